--- /dev/null
+++ b/basaltlead/api/__init__.py
@@ -0,0 +1,1 @@
+"""The HTTP interface that a controller offers to users."""
--- a/basaltlead/user_api.py
+++ b/basaltlead/api/users.py
@@ -7,18 +7,19 @@
 
 import msgspec
 
-from basaltlead import upgrade
 from basaltlead.clients.base import Unavailable, encode
-from basaltlead.clients.state import Conflict, SessionLeaseExpired, State, TooLarge
-from basaltlead.clock import now_us, wall_us
-from basaltlead.core.block_state import Limits
+from basaltlead.cluster import versions
+from basaltlead.cluster.membership import Membership
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.model import Kind
-from basaltlead.logs import LogRateLimiter, log
-from basaltlead.membership import Membership
+from basaltlead.core.shard_state import Limits
 from basaltlead.net.http import Failed, Request, Response
 from basaltlead.net.limiter import Limiter
-from basaltlead.records import (
+from basaltlead.runtime.clock import now_us, wall_us
+from basaltlead.runtime.logs import LogRateLimiter, log
+from basaltlead.storage.client import Conflict, SessionLeaseExpired, State, TooLarge
+from basaltlead.storage.limits import StoreLimits
+from basaltlead.storage.records import (
     LEASE,
     OPEN,
     OVER,
@@ -26,8 +27,7 @@
     StoredJob,
     job_of,
 )  # fmt: skip
-from basaltlead.result_rows import Progress, ResultLayout, split_open
-from basaltlead.store_limits import StoreLimits
+from basaltlead.storage.result_rows import Progress, ResultLayout, split_open
 from basaltlead.wire.state import Drop, Guard, Put, Row
 from basaltlead.wire.users import REF, JobAnswer, Refusal, Submission
 
@@ -128,13 +128,13 @@
             # A job that was accepted stays accepted, whatever has changed since.
             known = await self._look(sent.ref)
             return known if known is not None else refusal(422, never)
-        if sent.shape == "service" and not upgrade.services_allowed(self.member.cluster):
+        if sent.shape == "service" and not versions.services_allowed(self.member.cluster):
             known = await self._look(sent.ref)
             return known if known is not None else refusal(503, "not all upgraded", MUCH_LATER)
         guards = [self.member.guard(), Guard(OPEN + sent.ref, 0), Guard(OVER + sent.ref, 0)]
         if sent.shape == "service":
             others = [name for name in self.member.names if name != self.member.name]
-            guards += upgrade.member_guards(self.member.cluster, others)
+            guards += versions.member_guards(self.member.cluster, others)
         try:
             stored = StoredJob.of(sent, wall_us())
             await self.state.multi(guards, [Put(OPEN + sent.ref, stored)])
--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -14,7 +14,7 @@
     serve = verbs.add_parser("serve", help="run one controller until it is killed")
     serve.add_argument("--operator", metavar="FILE", help="the operators' own settings (YAML)")
     serve.add_argument("--config", metavar="FILE", required=True, help="the platform's TOML file")
-    from basaltlead.duties import commands
+    from basaltlead.operators import commands
 
     commands.add_to(verbs)
     return top
@@ -24,17 +24,18 @@
     """Run the command line; its exit status."""
     options = parser().parse_args(argv)
     if options.verb != "serve":
-        from basaltlead.duties import commands
+        from basaltlead.operators import commands
 
         return commands.run(options)
-    from basaltlead.settings import SettingsError, load
+    from basaltlead.config.settings import SettingsError, load
 
     try:
         settings = load(options.config, options.operator)
     except SettingsError as fault:
         print(f"basaltlead: {fault}", file=sys.stderr)
         return 2
-    from basaltlead import logs, node
+    from basaltlead import controller
+    from basaltlead.runtime import logs
 
     logs.set_up()
-    return node.serve(settings)
+    return controller.serve(settings)
--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -4,8 +4,8 @@
 from urllib.parse import quote
 
 from basaltlead.clients.base import Budget, Unavailable, decode, encode
-from basaltlead.clock import now_us
 from basaltlead.net.http import Failed, Pool
+from basaltlead.runtime.clock import now_us
 from basaltlead.wire.cloud import Hire, MachineType, Names, Page, Rented, Types
 
 TIMEOUT_US = 4_000_000
--- /dev/null
+++ b/basaltlead/cluster/__init__.py
@@ -0,0 +1,1 @@
+"""Membership, leader election and messages among the controllers."""
--- a/basaltlead/leading.py
+++ b/basaltlead/cluster/election.py
@@ -2,11 +2,10 @@
 
 import asyncio
 
-from basaltlead import upgrade
 from basaltlead.clients.base import Unavailable
-from basaltlead.clients.state import Conflict, SessionLeaseExpired
-from basaltlead.clock import now_us, wall_us
-from basaltlead.core.leadership import (
+from basaltlead.cluster import versions
+from basaltlead.cluster.membership import Membership
+from basaltlead.core.cluster_view import (
     FENCING_TOKEN,
     LEADER,
     Claim,
@@ -15,10 +14,11 @@
     member_key,
     spoken,
 )
-from basaltlead.events import wait_for_event
-from basaltlead.logs import log
-from basaltlead.membership import Membership
 from basaltlead.net.http import Failed
+from basaltlead.runtime.clock import now_us, wall_us
+from basaltlead.runtime.events import wait_for_event
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import Conflict, SessionLeaseExpired
 from basaltlead.wire.state import Guard, Put
 
 # A candidate for the leader's place waits for that long for each one before it in the order of
@@ -125,7 +125,7 @@
         grant = Grant(target, cluster.members[target][0].incarnation, counter.last + 1)
         if key in self.member.duty_keys:
             # An older member that joins in this very moment makes the grant fail.
-            guards += upgrade.member_guards(
+            guards += versions.member_guards(
                 cluster, cluster.members.keys() - named - {self.member.name}
             )
             grant.granted_at = wall_us()
--- a/basaltlead/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -5,12 +5,10 @@
 
 import msgspec
 
-from basaltlead import upgrade
 from basaltlead.clients.base import Backoff, Unavailable
-from basaltlead.clients.state import TROUBLE, Conflict, SessionLeaseExpired, State
-from basaltlead.clock import chance, now_us
-from basaltlead.core import leadership
-from basaltlead.core.leadership import (
+from basaltlead.cluster import versions
+from basaltlead.core import cluster_view
+from basaltlead.core.cluster_view import (
     LEADER,
     MEMBER_PREFIX,
     PREFIX,
@@ -21,9 +19,11 @@
     member_key,
     spoken,
 )  # fmt: skip
-from basaltlead.logs import log
 from basaltlead.net.http import Failed
-from basaltlead.watching import follow
+from basaltlead.runtime.clock import chance, now_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE, Conflict, SessionLeaseExpired, State
+from basaltlead.storage.watch import follow
 from basaltlead.wire.state import Change, Drop, Guard, Put, Row
 
 
@@ -40,7 +40,7 @@
     ) -> None:  # fmt: skip
         self.name = name
         self.names = sorted({name, *peers})  # of all configured controllers
-        self.record_version = upgrade.record_version(bool(duties))
+        self.record_version = versions.record_version(bool(duties))
         self.state = state
         self.ttl_us = session_lease_us
         # An owner acts no longer than a session lease after its last read of the open jobs was
@@ -136,7 +136,7 @@
     @property
     def duties_granted(self) -> bool:
         """Are the duties granted on their own, rather than carried out by the blocks' owners?"""
-        return bool(self.duty_keys) and upgrade.duties_allowed(self.cluster)
+        return bool(self.duty_keys) and versions.duties_allowed(self.cluster)
 
     @property
     def leads(self) -> bool:
@@ -159,7 +159,7 @@
                     backoff.reset()
                 sent = now_us()
                 await self.state.renew_lease(self.session_lease, min(1_500_000, self.ttl_us // 4))
-                self.renewed_until = leadership.session_validity_end(sent, self.ttl_us)
+                self.renewed_until = cluster_view.session_validity_end(sent, self.ttl_us)
                 self.contact_at = now_us()
                 backoff.reset()
                 await asyncio.sleep(self.ttl_us / 6e6)
@@ -189,7 +189,7 @@
             [Put(member_key(self.name), claim, session_lease)],
         )
         self.session_lease, self.incarnation, self.version = session_lease, incarnation, version
-        self.renewed_until = leadership.session_validity_end(sent, self.ttl_us)
+        self.renewed_until = cluster_view.session_validity_end(sent, self.ttl_us)
         self.contact_at = now_us()
         self.cluster.members[self.name] = (claim, version)
         log.info("joined as %s/%s, version %d", self.name, incarnation, self.record_version)
--- a/basaltlead/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -20,13 +20,13 @@
 import msgspec
 
 from basaltlead.clients.base import encode
-from basaltlead.clock import now_us
+from basaltlead.cluster.membership import Membership
+from basaltlead.config.settings import Peer
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.logs import LogRateLimiter, log
-from basaltlead.membership import Membership
 from basaltlead.net.http import listen
 from basaltlead.net.netstring import FrameProtocol
-from basaltlead.settings import Peer
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.wire.peers import Answer, Ask, Cancelled, Message, Question, TakeoverDeferral
 
 decoder = msgspec.json.Decoder(Message)
--- a/basaltlead/upgrade.py
+++ b/basaltlead/cluster/versions.py
@@ -19,7 +19,7 @@
 
 from collections.abc import Iterable
 
-from basaltlead.core.leadership import Cluster, member_key
+from basaltlead.core.cluster_view import Cluster, member_key
 from basaltlead.wire.state import Guard
 
 SERVICES = 1  # the version that knows services
--- /dev/null
+++ b/basaltlead/config/__init__.py
@@ -0,0 +1,1 @@
+"""Settings of a controller: the platform's file and the operators' file."""
--- a/basaltlead/settings.py
+++ b/basaltlead/config/settings.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from basaltlead.store_limits import StoreLimits
+from basaltlead.storage.limits import StoreLimits
 
 US = 1_000_000
 
@@ -249,7 +249,7 @@
 
 def _check_calendar(calendar: str, path: str) -> None:
     try:
-        from basaltlead.duties import quiet_times  # libraries that only this needs
+        from basaltlead.scaling import quiet_times  # libraries that only this needs
     except ImportError as fault:
         raise SettingsError(f"{path}: quiet: {fault}: install basaltlead[operators]") from None
     quiet_times.read(calendar)
--- a/basaltlead/node.py
+++ b/basaltlead/controller.py
@@ -8,35 +8,35 @@
 
 import msgspec
 
-from basaltlead.autoscaler import Autoscaler
+from basaltlead.api.users import UserApi, refusal
 from basaltlead.clients.base import encode
 from basaltlead.clients.cloud import Cloud
-from basaltlead.clients.state import State
-from basaltlead.clock import now_us
+from basaltlead.cluster.election import Leading
+from basaltlead.cluster.membership import Membership
+from basaltlead.cluster.peers import Peers
+from basaltlead.config.settings import Settings
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.fleet import OfferBook
-from basaltlead.core.leadership import Grant, block_key
+from basaltlead.core.cluster_view import Grant, block_key
+from basaltlead.core.fleet_sizing import OfferBook
 from basaltlead.core.market import Market, Promises, Terms
 from basaltlead.core.model import US, Kind
-from basaltlead.dispatcher import LEAST_SOCKETS
-from basaltlead.duties.coordinator import HeldDuties
 from basaltlead.duties.model import DUTY_KEYS
+from basaltlead.duties.registry import HeldDuties
 from basaltlead.duties.reports import DutyReports
-from basaltlead.leading import Leading
-from basaltlead.leasing import Leasing
-from basaltlead.logs import LogRateLimiter, log
-from basaltlead.machine_types import MachineTypes
-from basaltlead.membership import Membership
 from basaltlead.net.http import Request, Response, Server
-from basaltlead.owner import Owner, limits_of
-from basaltlead.peers import Peers
-from basaltlead.records import HIRE, LEASE, MACHINE, OPEN
-from basaltlead.settings import Settings
-from basaltlead.user_api import UserApi, refusal
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import LogRateLimiter, log
+from basaltlead.scaling.autoscaler import Autoscaler
+from basaltlead.scaling.machine_type_catalog import MachineTypes
+from basaltlead.shard.assignment import Leasing
+from basaltlead.shard.dispatcher import LEAST_SOCKETS
+from basaltlead.shard.leader import Owner, limits_of
+from basaltlead.storage.client import State
+from basaltlead.storage.records import HIRE, LEASE, MACHINE, OPEN
 from basaltlead.wire.workers import Elsewhere, Report
 
 if TYPE_CHECKING:
-    from basaltlead.duties.quiet_times import QuietTimes
+    from basaltlead.scaling.quiet_times import QuietTimes
 
 BID_BYTES = 40  # what a bid takes of a stored record at most
 RECORD_BYTES = 64  # and the rest of the record
@@ -285,7 +285,7 @@
     """The operators' calendar, if there is one: only then its libraries are needed."""
     if settings.operator.quiet is None:
         return None
-    from basaltlead.duties.quiet_times import QuietTimes
+    from basaltlead.scaling.quiet_times import QuietTimes
 
     return QuietTimes(settings.operator.quiet.calendar)
 
--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -8,9 +8,9 @@
 
 from basaltlead.core.auction import Bid, clear, price
 from basaltlead.core.bidding import BidDirection, Budget, ceiling, vertical
-from basaltlead.core.block import Block
 from basaltlead.core.demand import NO_DUE, Due
 from basaltlead.core.model import US, Shape, Work
+from basaltlead.core.shard import Block
 
 # Of the capacity: what jobs without a promise may always bid for, however much promised jobs
 # need. They use what others leave; with nothing left for long they would not be served at all.
--- a/basaltlead/core/planning.py
+++ b/basaltlead/core/planning.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Iterator
 from functools import cached_property
 
-from basaltlead.core import gangs, placement
-from basaltlead.core.block import Block
-from basaltlead.core.block_state import TRIALS_OF_ITS_OWN, Limits
+from basaltlead.core import gang_placement, placement
 from basaltlead.core.model import RANKS, US, Attempt, Job, Machine, Shape, Work, allowed
-from basaltlead.core.replicas import ReplicaChoice
+from basaltlead.core.replica_placement import ReplicaChoice
+from basaltlead.core.shard import Block
+from basaltlead.core.shard_state import TRIALS_OF_ITS_OWN, Limits
 
 MOST_STARTS = 2000  # of one job in one plan
 GATHER_US = 20 * US  # a gang that has waited for so long has room kept free for it
@@ -215,7 +215,7 @@
             chosen = self._cheapest(work, suited)
         else:
             roomy = self._suited(work, self.roomy)
-            chosen = gangs.place(work, roomy) or self._make_gang_room(work, suited)
+            chosen = gang_placement.place(work, roomy) or self._make_gang_room(work, suited)
         if chosen is None:
             self._give_up(asks)
             self._keep_room(work, suited)
--- a/basaltlead/core/block.py
+++ b/basaltlead/core/shard.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct
 
-from basaltlead.core.block_state import BlockState, Message
 from basaltlead.core.model import US, Attempt, Machine, Work
+from basaltlead.core.shard_state import BlockState, Message
 
 SLOW_TIMES = 6  # a machine is slow if a task takes that many times what others took
 MOST_GIVEN_UP = 4  # tasks of one job that are taken off slow machines
--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from basaltlead.core.fleet import Offer, unit_price
+from basaltlead.core.fleet_sizing import Offer, unit_price
 from basaltlead.core.model import US, Kind
 
 SILENT_COUNT = 3  # machines that must be silent before their zone is in doubt
--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from basaltlead.clients.state import TROUBLE
-from basaltlead.clock import age_us
 from basaltlead.core.model import US
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import Duty
-from basaltlead.logs import log
-from basaltlead.records import HIRE, MACHINE, OPEN, StoredHire
-from basaltlead.result_rows import split_open
+from basaltlead.runtime.clock import age_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE
+from basaltlead.storage.records import HIRE, MACHINE, OPEN, StoredHire
+from basaltlead.storage.result_rows import split_open
 from basaltlead.wire.state import Drop, Guard, Row
 
 PAUSE_S = 30.0  # between two passes
--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -12,11 +12,11 @@
 from msgspec import Struct
 
 from basaltlead.clients.base import Unavailable, encode
-from basaltlead.clients.state import Conflict, State
-from basaltlead.clock import wall_us
 from basaltlead.duties.model import Duty, GrantHolder
 from basaltlead.net.http import Failed
-from basaltlead.records import HISTORY
+from basaltlead.runtime.clock import wall_us
+from basaltlead.storage.client import Conflict, State
+from basaltlead.storage.records import HISTORY
 from basaltlead.wire.state import Drop, Guard, Put
 
 PAGES = 64  # of each duty's ring
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -2,20 +2,20 @@
 
 from typing import TYPE_CHECKING
 
-from basaltlead.background import BackgroundTasks
 from basaltlead.clients.base import Backoff
 from basaltlead.clients.cloud import Cloud
-from basaltlead.clients.state import TROUBLE, State
-from basaltlead.core.leadership import Grant
+from basaltlead.cluster.membership import Membership
+from basaltlead.config.settings import Settings
+from basaltlead.core.cluster_view import Grant
 from basaltlead.duties.history import History, event
 from basaltlead.duties.model import Duty
-from basaltlead.logs import log
-from basaltlead.membership import Membership
-from basaltlead.settings import Settings
+from basaltlead.runtime.logs import log
+from basaltlead.runtime.tasks import BackgroundTasks
+from basaltlead.storage.client import TROUBLE, State
 from basaltlead.wire.state import Guard
 
 if TYPE_CHECKING:
-    from basaltlead.duties.quiet_times import QuietTimes
+    from basaltlead.scaling.quiet_times import QuietTimes
 
 
 class DutyHolder:
--- a/basaltlead/duties/returning.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -2,7 +2,7 @@
 
 from basaltlead.clients.cloud import Cloud, Refused
 from basaltlead.duties.model import GrantHolder
-from basaltlead.logs import log
+from basaltlead.runtime.logs import log
 
 MOST_NAMES = 100  # the cloud deletes that many at once
 REFUSED_PAUSE_US = 60_000_000  # before a machine that the cloud won't delete is tried again
--- a/basaltlead/duties/renting.py
+++ b/basaltlead/duties/machine_rental.py
@@ -6,11 +6,11 @@
 
 from basaltlead.clients.base import Backoff, Unavailable
 from basaltlead.clients.cloud import Cloud, NoCapacity, Refused
-from basaltlead.clients.state import Conflict, State, TooLarge
 from basaltlead.duties.model import GrantHolder
-from basaltlead.logs import log
 from basaltlead.net.http import Failed
-from basaltlead.records import HIRE, StoredHire
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import Conflict, State, TooLarge
+from basaltlead.storage.records import HIRE, StoredHire
 from basaltlead.wire.cloud import Hire
 from basaltlead.wire.state import Drop, Guard, Put
 
--- a/basaltlead/duties/model.py
+++ b/basaltlead/duties/model.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from basaltlead.core.leadership import duty_key
+from basaltlead.core.cluster_view import duty_key
 from basaltlead.core.model import US
 from basaltlead.wire.state import Guard
 
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -6,19 +6,26 @@
 
 from basaltlead.clients.base import Unavailable
 from basaltlead.clients.cloud import NoCapacity
-from basaltlead.clients.state import TROUBLE, Conflict
-from basaltlead.clock import now_us, wall_us
-from basaltlead.core.fleet import Offer
-from basaltlead.core.leadership import block_key, member_key
+from basaltlead.core.cluster_view import block_key, member_key
+from basaltlead.core.fleet_sizing import Offer
 from basaltlead.core.model import US
-from basaltlead.duties.abandoned import FAILED, Strangers, patience_us
 from basaltlead.duties.history import Event, event
 from basaltlead.duties.holder import DutyHolder
+from basaltlead.duties.machine_deletion import MOST_NAMES
 from basaltlead.duties.model import Duty
-from basaltlead.duties.returning import MOST_NAMES
-from basaltlead.logs import log
+from basaltlead.duties.unknown_machines import FAILED, Strangers, patience_us
 from basaltlead.net.http import Failed
-from basaltlead.records import HIRE, MACHINE, RETURN, StoredHire, StoredMachine, StoredReturn
+from basaltlead.runtime.clock import now_us, wall_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE, Conflict
+from basaltlead.storage.records import (
+    HIRE,
+    MACHINE,
+    RETURN,
+    StoredHire,
+    StoredMachine,
+    StoredReturn,
+)
 from basaltlead.wire.cloud import Rented
 from basaltlead.wire.state import Guard, Put, Row
 
--- a/basaltlead/duties/coordinator.py
+++ b/basaltlead/duties/registry.py
@@ -3,20 +3,20 @@
 from typing import TYPE_CHECKING
 
 from basaltlead.clients.cloud import Cloud
-from basaltlead.clients.state import State
-from basaltlead.clock import now_us
+from basaltlead.cluster.membership import Membership
+from basaltlead.config.settings import Settings
 from basaltlead.duties.clean_up_duty import CleanUpDuty
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import CLOUD_PATIENCE_US, CLOUD_SHARES, LEAST_CLOUD_SHARE, Duty
 from basaltlead.duties.reclaim_duty import ReclaimDuty
 from basaltlead.duties.rent_duty import RentDuty
 from basaltlead.duties.return_duty import ReturnDuty
-from basaltlead.logs import log
-from basaltlead.membership import Membership
-from basaltlead.settings import Settings
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import State
 
 if TYPE_CHECKING:
-    from basaltlead.duties.quiet_times import QuietTimes
+    from basaltlead.scaling.quiet_times import QuietTimes
 
 HOLDERS: dict[Duty, type[DutyHolder]] = {
     holder.duty: holder for holder in (RentDuty, ReturnDuty, ReclaimDuty, CleanUpDuty)
--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -5,14 +5,14 @@
 
 import msgspec
 
-from basaltlead.clients.state import TROUBLE
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
+from basaltlead.duties.machine_rental import MOST_REASON, Renting
 from basaltlead.duties.model import Duty
-from basaltlead.duties.renting import MOST_REASON, Renting
-from basaltlead.logs import log
-from basaltlead.records import HIRE, StoredHire
-from basaltlead.watching import follow_rows
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE
+from basaltlead.storage.records import HIRE, StoredHire
+from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.state import Guard, Put
 
 MOST_REQUESTS = 6  # that are under way at once
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from basaltlead.clients.state import TROUBLE, State
-from basaltlead.core.leadership import PREFIX, Cluster
+from basaltlead.cluster.membership import Membership
+from basaltlead.cluster.versions import duties_allowed
+from basaltlead.core.cluster_view import PREFIX, Cluster
 from basaltlead.duties.model import Duty
-from basaltlead.membership import Membership
-from basaltlead.records import HIRE, HISTORY, RETURN, StoredHire, StoredReturn
-from basaltlead.upgrade import duties_allowed
+from basaltlead.storage.client import TROUBLE, State
+from basaltlead.storage.records import HIRE, HISTORY, RETURN, StoredHire, StoredReturn
 from basaltlead.wire.peers import (
     Answer,
     DutiesAnswer,
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -7,16 +7,16 @@
 
 from basaltlead.clients.base import Backoff
 from basaltlead.clients.cloud import CLOUD_TROUBLE
-from basaltlead.clients.state import TROUBLE
-from basaltlead.clock import now_us
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
+from basaltlead.duties.machine_deletion import MOST_NAMES, Returning
 from basaltlead.duties.model import Duty
-from basaltlead.duties.returning import MOST_NAMES, Returning
-from basaltlead.events import wait_for_event
-from basaltlead.logs import log
-from basaltlead.records import MACHINE, RETURN, StoredReturn
-from basaltlead.watching import follow_rows
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.events import wait_for_event
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE
+from basaltlead.storage.records import MACHINE, RETURN, StoredReturn
+from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.state import Drop, Guard, Put
 
 PAUSE_S = 0.5  # between two looks, should nothing have changed
--- a/basaltlead/duties/abandoned.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Collection, Iterable
 
-from basaltlead.core.fleet import Offer
+from basaltlead.core.fleet_sizing import Offer
 from basaltlead.core.model import US
 from basaltlead.wire.cloud import Rented
 
--- a/basaltlead/net/http.py
+++ b/basaltlead/net/http.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from basaltlead.logs import log
+from basaltlead.runtime.logs import log
 
 MAX_BODY = 64 * 1024
 MAX_HEADER = 16 * 1024
--- /dev/null
+++ b/basaltlead/operators/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' commands and the client behind them."""
--- a/basaltlead/duties/client.py
+++ b/basaltlead/operators/client.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from basaltlead.clients.base import encode
+from basaltlead.config.settings import Settings, SettingsError
 from basaltlead.net.netstring import FrameProtocol
-from basaltlead.settings import Settings, SettingsError
 from basaltlead.wire.peers import (
     Answer,
     DutiesAnswer,
--- a/basaltlead/duties/commands.py
+++ b/basaltlead/operators/commands.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from basaltlead.clock import wall_us
-from basaltlead.duties import client
-from basaltlead.settings import SettingsError, load
+from basaltlead.config.settings import SettingsError, load
+from basaltlead.operators import client
+from basaltlead.runtime.clock import wall_us
 from basaltlead.wire.peers import DutiesAnswer
 
 BAD_SETTINGS, UNREACHABLE, NOT_KNOWN, NO_LIBRARY, NOT_WRITTEN = 2, 3, 4, 5, 6
@@ -77,7 +77,7 @@
 
 def _export(address: str, out: str) -> int:
     try:
-        from basaltlead.duties.audit_export import export
+        from basaltlead.operators.audit_export import export
     except ImportError as fault:
         return _failed(f"{fault}: install basaltlead[operators]", NO_LIBRARY)
     try:
--- a/basaltlead/background.py
+++ b/basaltlead/runtime/tasks.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from basaltlead.logs import log
+from basaltlead.runtime.logs import log
 
 LOOP = "loop "  # names of tasks that must never end begin with this
 
--- a/basaltlead/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -3,19 +3,19 @@
 import asyncio
 
 from basaltlead.clients.cloud import CLOUD_TROUBLE, Cloud
-from basaltlead.clock import now_us
-from basaltlead.core import demand, fleet
-from basaltlead.core.fleet import Demand, Offer, OfferBook, WarmSpare
+from basaltlead.config.settings import Settings
+from basaltlead.core import demand, fleet_sizing
+from basaltlead.core.fleet_sizing import Demand, Offer, OfferBook, WarmSpare
 from basaltlead.core.market import Market
 from basaltlead.core.model import US, Machine, Shape
 from basaltlead.core.silent_zones import SilentZones
-from basaltlead.duties.abandoned import FAILED
-from basaltlead.logs import log
-from basaltlead.machine_returns import MachineReturns, overdue
-from basaltlead.owner import Owner, placeholder_kind
-from basaltlead.reachability import Reachability
-from basaltlead.rental_requests import RentalRequests
-from basaltlead.settings import Settings
+from basaltlead.duties.unknown_machines import FAILED
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import log
+from basaltlead.scaling.reachability import Reachability
+from basaltlead.scaling.scale_in import MachineReturns, overdue
+from basaltlead.scaling.scale_out import RentalRequests
+from basaltlead.shard.leader import Owner, placeholder_kind
 from basaltlead.wire.cloud import Rented
 
 # Machines that one pass asks for: a few, or a sixteenth of a large fleet, so that a fleet of
@@ -124,7 +124,7 @@
             room = MOST_HIRING - len(self.requests.pending)
             self._look_for_silent_zones(now)
             expected = self.expected(now)
-            plan = fleet.size(
+            plan = fleet_sizing.size(
                 needs, self.spares(now), expected, self.owner.kinds, self._offers(expected, now),
                 run_us, self._most_hires(),
             )  # fmt: skip
--- a/basaltlead/quiet_keeping.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -3,14 +3,14 @@
 import msgspec
 
 from basaltlead.clients.base import Backoff, Unavailable
-from basaltlead.clients.state import Conflict, SessionLeaseExpired
-from basaltlead.core import fleet
+from basaltlead.core import fleet_sizing
 from basaltlead.core.model import Machine
-from basaltlead.duties.quiet_allowance import QuietAllowance, StoredQuiet
-from basaltlead.logs import log
 from basaltlead.net.http import Failed
-from basaltlead.owner import Owner
-from basaltlead.records import QUIET
+from basaltlead.runtime.logs import log
+from basaltlead.scaling.quiet_budget import QuietAllowance, StoredQuiet
+from basaltlead.shard.leader import Owner
+from basaltlead.storage.client import Conflict, SessionLeaseExpired
+from basaltlead.storage.records import QUIET
 
 
 class QuietKeeping:
@@ -53,7 +53,7 @@
         """Is an idle machine kept?"""
         if not self.loaded or self.quiet_times.current() is None:
             return False
-        return self.allowance.keeps(fleet.unit_price(machine.kind, machine.spot))
+        return self.allowance.keeps(fleet_sizing.unit_price(machine.kind, machine.spot))
 
     async def _reserve_more(self) -> None:
         try:
--- a/basaltlead/machine_types.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -7,12 +7,12 @@
 
 from basaltlead.clients.base import Backoff, Unavailable, encode
 from basaltlead.clients.cloud import CLOUD_TROUBLE, Cloud
-from basaltlead.clients.state import TROUBLE, State
+from basaltlead.cluster.membership import Membership
 from basaltlead.core.model import Kind
-from basaltlead.logs import log
-from basaltlead.membership import Membership
 from basaltlead.net.http import Failed
-from basaltlead.records import TYPES, kind_of
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE, State
+from basaltlead.storage.records import TYPES, kind_of
 from basaltlead.wire.cloud import MachineType, Types
 from basaltlead.wire.state import Put
 
--- a/basaltlead/duties/quiet_allowance.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -12,7 +12,7 @@
 from basaltlead.core.model import US
 
 if TYPE_CHECKING:
-    from basaltlead.duties.quiet_times import QuietTime
+    from basaltlead.scaling.quiet_times import QuietTime
 
 PARTS = 10  # of the bound, reserved one after the other
 HOUR_US = 3600 * US
--- a/basaltlead/duties/quiet_times.py
+++ b/basaltlead/scaling/quiet_times.py
@@ -13,10 +13,10 @@
 import recurring_ical_events
 from icalendar.parser import Contentline
 
-from basaltlead.clock import wall_us
+from basaltlead.config.settings import SettingsError
 from basaltlead.core.model import US
-from basaltlead.logs import log
-from basaltlead.settings import SettingsError
+from basaltlead.runtime.clock import wall_us
+from basaltlead.runtime.logs import log
 
 LONGEST = timedelta(hours=24)  # a quiet time lasts no longer
 HORIZON = timedelta(hours=6)  # occurrences are worked out so far ahead
--- a/basaltlead/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -2,12 +2,12 @@
 
 from typing import TYPE_CHECKING
 
-from basaltlead.clock import now_us
 from basaltlead.core.model import US, Machine
 from basaltlead.core.silent_zones import SILENT_COUNT
+from basaltlead.runtime.clock import now_us
 
 if TYPE_CHECKING:
-    from basaltlead.owner import Owner
+    from basaltlead.shard.leader import Owner
 
 BLIND_LEASES = 4  # after so long of hearing nobody we believe that they are gone
 ANSWER_US = 4 * US  # for how long a worker waits for an answer; it tries others a second apart
--- a/basaltlead/machine_returns.py
+++ b/basaltlead/scaling/scale_in.py
@@ -7,18 +7,18 @@
 
 from basaltlead.clients.base import Backoff, Unavailable
 from basaltlead.clients.cloud import CLOUD_TROUBLE, Cloud
-from basaltlead.clients.state import Conflict, SessionLeaseExpired
-from basaltlead.clock import now_us, wall_us
-from basaltlead.core import fleet
+from basaltlead.core import fleet_sizing
 from basaltlead.core.model import US, Machine
-from basaltlead.duties.returning import MOST_NAMES, Returning
-from basaltlead.logs import log
+from basaltlead.duties.machine_deletion import MOST_NAMES, Returning
 from basaltlead.net.http import Failed
-from basaltlead.owner import Owner
-from basaltlead.quiet_keeping import QuietKeeping
-from basaltlead.reachability import Reachability
-from basaltlead.records import MACHINE, RETURN, StoredReturn
-from basaltlead.watching import follow_rows
+from basaltlead.runtime.clock import now_us, wall_us
+from basaltlead.runtime.logs import log
+from basaltlead.scaling.idle_retention import QuietKeeping
+from basaltlead.scaling.reachability import Reachability
+from basaltlead.shard.leader import Owner
+from basaltlead.storage.client import Conflict, SessionLeaseExpired
+from basaltlead.storage.records import MACHINE, RETURN, StoredReturn
+from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.state import Drop, Guard, Put
 
 MINIMUM_US = 60 * US  # what a machine costs at least
@@ -38,7 +38,7 @@
     """For how long a machine may idle at the price of renting one anew: its boot, at the
     ordinary price, since a spot machine that is returned may not be had again."""
     kind = machine.kind
-    return kind.boot_us * kind.price / max(fleet.unit_price(kind, machine.spot), 1e-6)
+    return kind.boot_us * kind.price / max(fleet_sizing.unit_price(kind, machine.spot), 1e-6)
 
 
 class MachineReturns:
--- a/basaltlead/rental_requests.py
+++ b/basaltlead/scaling/scale_out.py
@@ -6,16 +6,16 @@
 import msgspec
 
 from basaltlead.clients.cloud import Cloud
-from basaltlead.clients.state import TROUBLE
-from basaltlead.clock import age_us, now_us, wall_us
-from basaltlead.core.fleet import Offer, OfferBook
+from basaltlead.core.fleet_sizing import Offer, OfferBook
 from basaltlead.core.model import Machine
+from basaltlead.duties.machine_rental import MOST_REASON, Renting
 from basaltlead.duties.model import Duty
-from basaltlead.duties.renting import MOST_REASON, Renting
-from basaltlead.logs import log
-from basaltlead.owner import Owner, placeholder_kind
-from basaltlead.records import HIRE, StoredHire
-from basaltlead.watching import follow_rows
+from basaltlead.runtime.clock import age_us, now_us, wall_us
+from basaltlead.runtime.logs import log
+from basaltlead.shard.leader import Owner, placeholder_kind
+from basaltlead.storage.client import TROUBLE
+from basaltlead.storage.records import HIRE, StoredHire
+from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.state import Drop, Guard, Put
 
 MOST_IN_HIRE = 50  # the cloud rents that many at once
--- a/basaltlead/leasing.py
+++ b/basaltlead/shard/assignment.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from basaltlead.clients.state import TROUBLE, State
-from basaltlead.core.block_state import NAMES_KEPT, Limits
-from basaltlead.core.leadership import LEADER
+from basaltlead.cluster.membership import Membership
+from basaltlead.core.cluster_view import LEADER
 from basaltlead.core.model import STANDING_US, Job
-from basaltlead.events import wait_for_event
-from basaltlead.logs import log
-from basaltlead.membership import Membership
-from basaltlead.records import (
+from basaltlead.core.shard_state import NAMES_KEPT, Limits
+from basaltlead.runtime.events import wait_for_event
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE, State
+from basaltlead.storage.records import (
     HIRE,
     LEASE,
     MACHINE,
@@ -24,8 +24,8 @@
     StoredMachine,
     job_of,
 )  # fmt: skip
-from basaltlead.result_rows import split_open
-from basaltlead.watching import follow
+from basaltlead.storage.result_rows import split_open
+from basaltlead.storage.watch import follow
 from basaltlead.wire.state import Change, Guard, Put, Row
 
 
--- a/basaltlead/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from basaltlead.clients.state import TROUBLE, Conflict
 from basaltlead.clients.workers import Workers
-from basaltlead.clock import now_us, wall_us
-from basaltlead.core.block import TaskCommand
+from basaltlead.config.settings import Settings
 from basaltlead.core.model import US, Attempt, Machine
-from basaltlead.logs import log
+from basaltlead.core.shard import TaskCommand
 from basaltlead.net.http import Failed
-from basaltlead.records import MACHINE, StoredMachine
-from basaltlead.settings import Settings
+from basaltlead.runtime.clock import now_us, wall_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE, Conflict
+from basaltlead.storage.records import MACHINE, StoredMachine
 from basaltlead.wire.state import Guard, Put
 from basaltlead.wire.workers import Command, Order
 
 if TYPE_CHECKING:
-    from basaltlead.owner import Owner
+    from basaltlead.shard.leader import Owner
 
 
 LEAST_SOCKETS = 8  # to workers, whoever else needs some
--- a/basaltlead/owner.py
+++ b/basaltlead/shard/leader.py
@@ -10,23 +10,25 @@
 
 import msgspec
 
-from basaltlead.background import BackgroundTasks
 from basaltlead.clients.base import Backoff, encode
-from basaltlead.clients.state import TROUBLE, Conflict, State
-from basaltlead.clock import age_us, now_us
-from basaltlead.core.block import Block, TaskCommand
-from basaltlead.core.block_state import Limits, Timing
-from basaltlead.core.leadership import Grant, block_key
+from basaltlead.cluster.membership import Membership
+from basaltlead.config.settings import Settings
+from basaltlead.core.cluster_view import Grant, block_key
 from basaltlead.core.market import Market, TeamRecord
 from basaltlead.core.model import US, Job, Kind, Machine
 from basaltlead.core.planning import plan
-from basaltlead.dispatcher import WorkerDispatcher, order_of
-from basaltlead.events import wait_for_event
-from basaltlead.logs import log
-from basaltlead.membership import Membership
+from basaltlead.core.shard import Block, TaskCommand
+from basaltlead.core.shard_state import Limits, Timing
 from basaltlead.net.http import Response
-from basaltlead.rebalancer import Rebalancer
-from basaltlead.records import (
+from basaltlead.runtime.clock import age_us, now_us
+from basaltlead.runtime.events import wait_for_event
+from basaltlead.runtime.logs import log
+from basaltlead.runtime.tasks import BackgroundTasks
+from basaltlead.shard.dispatcher import WorkerDispatcher, order_of
+from basaltlead.shard.rebalancer import Rebalancer
+from basaltlead.shard.results import Results
+from basaltlead.storage.client import TROUBLE, Conflict, State
+from basaltlead.storage.records import (
     HIRE,
     LEASE,
     MACHINE,
@@ -39,15 +41,13 @@
     StoredReturn,
     job_of,
 )  # fmt: skip
-from basaltlead.result_rows import CHUNK_BLOCKS, ResultLayout, load_results, split_open
-from basaltlead.results import Results
-from basaltlead.settings import Settings
-from basaltlead.watching import follow
+from basaltlead.storage.result_rows import CHUNK_BLOCKS, ResultLayout, load_results, split_open
+from basaltlead.storage.watch import follow
 from basaltlead.wire.state import Change, Drop, Guard, Put, Row
 from basaltlead.wire.workers import Orders, Report
 
 if TYPE_CHECKING:
-    from basaltlead.duties.quiet_times import QuietTimes
+    from basaltlead.scaling.quiet_times import QuietTimes
 
 PLAN_US = US // 2  # some things become possible by the mere passing of time
 TICK_US = US // 10  # how exactly the ends of leases are noticed
--- a/basaltlead/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -6,19 +6,19 @@
 import msgspec
 
 from basaltlead.clients.base import Backoff, Unavailable
-from basaltlead.clients.state import TROUBLE, Conflict, SessionLeaseExpired, TooLarge
-from basaltlead.clock import now_us
-from basaltlead.core.block_state import Limits
-from basaltlead.core.leadership import Load, load_key
+from basaltlead.core.cluster_view import Load, load_key
 from basaltlead.core.model import US, Work
-from basaltlead.logs import log
+from basaltlead.core.shard_state import Limits
 from basaltlead.net.http import Failed
-from basaltlead.records import LEASE, OPEN, Lease
-from basaltlead.watching import follow
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE, Conflict, SessionLeaseExpired, TooLarge
+from basaltlead.storage.records import LEASE, OPEN, Lease
+from basaltlead.storage.watch import follow
 from basaltlead.wire.state import Change, Guard, Put, Row
 
 if TYPE_CHECKING:
-    from basaltlead.owner import Owner
+    from basaltlead.shard.leader import Owner
 
 
 class Rebalancer:
--- a/basaltlead/results.py
+++ b/basaltlead/shard/results.py
@@ -5,22 +5,22 @@
 from typing import TYPE_CHECKING, Any
 
 from basaltlead.clients.base import Unavailable
-from basaltlead.clients.state import Conflict, SessionLeaseExpired
-from basaltlead.clock import now_us
 from basaltlead.core.model import US, Work
-from basaltlead.logs import log
 from basaltlead.net.http import Failed
-from basaltlead.records import (
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import Conflict, SessionLeaseExpired
+from basaltlead.storage.records import (
     LEASE,
     OPEN,
     OVER,
     Final,
 )  # fmt: skip
-from basaltlead.result_rows import split_open
+from basaltlead.storage.result_rows import split_open
 from basaltlead.wire.state import Drop, Guard, Put
 
 if TYPE_CHECKING:
-    from basaltlead.owner import Owner
+    from basaltlead.shard.leader import Owner
 
 FLUSH_US = 2 * US  # results of unfinished jobs wait this long: their workers still keep them
 
--- /dev/null
+++ b/basaltlead/storage/__init__.py
@@ -0,0 +1,1 @@
+"""The key-value store: client, stored records, and their layout."""
--- a/basaltlead/clients/state.py
+++ b/basaltlead/storage/client.py
@@ -7,7 +7,7 @@
 
 from basaltlead.clients.base import Budget, Unavailable, decode, encode
 from basaltlead.net.http import Failed, Pool
-from basaltlead.store_limits import StoreLimits
+from basaltlead.storage.limits import StoreLimits
 from basaltlead.wire.state import (
     Changes,
     Drop,
--- a/basaltlead/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from basaltlead.core.model import Shape, Work
-from basaltlead.records import OPEN
+from basaltlead.storage.records import OPEN
 
 STRETCH = 24_576  # tasks whose results share a stretch row: 4 KiB of text
 CHUNK_BLOCKS = 1000  # block numbers from this one on stand for chunk rows
--- a/basaltlead/watching.py
+++ b/basaltlead/storage/watch.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from basaltlead.clients.base import Backoff
-from basaltlead.clients.state import TROUBLE, State, TooOld
-from basaltlead.clock import chance, now_us
-from basaltlead.logs import log
+from basaltlead.runtime.clock import chance, now_us
+from basaltlead.runtime.logs import log
+from basaltlead.storage.client import TROUBLE, State, TooOld
 from basaltlead.wire.state import Change, Row
 
 
--- a/run.py
+++ b/run.py
@@ -22,7 +22,9 @@
         done = compileall.compile_dir(folder, quiet=2) and done
     import asyncio  # noqa: F401  (imported for its byte-code, which lands under the prefix)
 
-    from basaltlead import cli, node  # noqa: F401
+    from basaltlead import (
+        controller,  # noqa: F401
+    )
 
     return 0 if done else 1
 
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -11,7 +11,7 @@
 from tests.fakes.worker import FakeWorker
 
 if TYPE_CHECKING:
-    from tests.fakes.world import World
+    from tests.fakes.deployment import World
 
 
 class FakeCloud:
--- a/tests/fakes/world.py
+++ b/tests/fakes/deployment.py
@@ -9,10 +9,10 @@
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.duty_checker import DutyChecker
 from tests.fakes.old_version import OldNode
-from tests.fakes.rules import RuleChecker
+from tests.fakes.rule_checker import RuleChecker
 from tests.fakes.state import FakeState
 from tests.fakes.worker import FakeWorker
-from tests.world import Loop, on_host
+from tests.simulation import Loop, on_host
 
 
 class World:
@@ -61,7 +61,7 @@
             self.boot(name)
 
     def settings(self, name: str) -> Any:
-        from basaltlead.settings import Settings, _convert
+        from basaltlead.config.settings import Settings, _convert
 
         return _convert(self.settings_file(name), Settings, "test")
 
@@ -98,7 +98,7 @@
         )  # fmt: skip
 
     def boot(self, name: str) -> None:
-        from basaltlead.node import Node
+        from basaltlead.controller import Node
 
         async def run() -> None:
             node = (OldNode if name in self.old else Node)(self.settings(name))
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from basaltlead.core.leadership import Grant
-from basaltlead.node import Node
-from basaltlead.owner import Owner
-from basaltlead.result_rows import CHUNK_BLOCKS, ResultLayout, split_open
-from basaltlead.settings import Settings
-from tests import old_schemas
+from basaltlead.config.settings import Settings
+from basaltlead.controller import Node
+from basaltlead.core.cluster_view import Grant
+from basaltlead.shard.leader import Owner
+from basaltlead.storage.result_rows import CHUNK_BLOCKS, ResultLayout, split_open
+from tests.fakes import old_schemas
 
 
 class OldOwner(Owner):
--- a/tests/fakes/rules.py
+++ b/tests/fakes/rule_checker.py
@@ -5,7 +5,7 @@
 from tests.fakes.worker import FakeWorker
 
 if TYPE_CHECKING:
-    from tests.fakes.world import World
+    from tests.fakes.deployment import World
 
 
 class RuleChecker:
--- a/tests/fakes/state.py
+++ b/tests/fakes/state.py
@@ -9,7 +9,7 @@
 
 from basaltlead.net.http import Request, Response, Server
 from tests.fakes.replies import reply
-from tests.world import PEER, Loop
+from tests.simulation import PEER, Loop
 
 
 class FakeState:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -6,10 +6,10 @@
 
 from basaltlead.net.http import Pool, Request, Response, Server
 from tests.fakes.replies import reply
-from tests.world import on_host
+from tests.simulation import on_host
 
 if TYPE_CHECKING:
-    from tests.fakes.world import World
+    from tests.fakes.deployment import World
 
 
 class FakeWorker:
--- a/tests/measure_duties.py
+++ b/tests/measure_duties.py
@@ -13,7 +13,7 @@
 from basaltlead.duties.model import Duty
 from tests.fakes import World
 from tests.fakes.state import FakeState
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 SEEDS = range(1, 11)
 CAUSES: dict[str, Callable[[World, str], Any]] = {
--- a/tests/loopback.py
+++ b/tests/run_loopback.py
@@ -1,6 +1,6 @@
 """Three real controllers on loopback, paused and resumed at random while they work.
 
-    python3 -m tests.loopback --seed 7 --minutes 10
+    python3 -m tests.run_loopback --seed 7 --minutes 10
 
 The state service, the cloud, the workers and the users are the stand-ins of the stories, in this
 process; the controllers are processes of their own, with duties switched on. At the end everything
@@ -183,7 +183,7 @@
 
 def main() -> int:
     """The command line."""
-    top = argparse.ArgumentParser(prog="tests.loopback", description="Pause real controllers.")
+    top = argparse.ArgumentParser(prog="tests.run_loopback", description="Pause real controllers.")
     top.add_argument("--seed", type=int, default=1)
     top.add_argument("--minutes", type=float, default=10.0)
     options = top.parse_args()
--- a/tests/world.py
+++ b/tests/simulation.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from basaltlead import clock
+from basaltlead.runtime import clock
 
 HOST: contextvars.ContextVar[str] = contextvars.ContextVar("host", default="10.9.9.9")
 PEER: contextvars.ContextVar[str] = contextvars.ContextVar("peer", default="")  # who is heard
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,22 +6,22 @@
 
 import pytest
 
-from basaltlead.clients.state import Conflict
-from basaltlead.core.fleet import Offer
+from basaltlead.core.fleet_sizing import Offer
 from basaltlead.core.model import US
-from basaltlead.duties.abandoned import Strangers
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import Duty
-from basaltlead.machine_returns import MachineReturns
-from basaltlead.records import StoredHire
-from basaltlead.rental_requests import RentalRequests
+from basaltlead.duties.unknown_machines import Strangers
+from basaltlead.scaling.scale_in import MachineReturns
+from basaltlead.scaling.scale_out import RentalRequests
+from basaltlead.storage.client import Conflict
+from basaltlead.storage.records import StoredHire
 from basaltlead.wire.cloud import Rented
 from tests.fakes import World
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.state import FakeState
 from tests.fakes.worker import FakeWorker
-from tests.world import Loop, on_host, play
+from tests.simulation import Loop, on_host, play
 
 ON = {"duties": True}
 TAKEOVER = 6.0  # s: a session lease of 1.8 s, its end noticed, and the grant
--- a/tests/test_service.py
+++ b/tests/test_end_to_end.py
@@ -10,7 +10,7 @@
 from basaltlead.net.http import Failed, Pool, Request, Response, Server
 from basaltlead.wire.workers import Command, Order
 from tests.fakes import FakeWorker, World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 def test_a_quiet_day_runs_arrays_and_gangs_to_their_end() -> None:
--- a/tests/test_succession.py
+++ b/tests/test_failover_order.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from basaltlead.core.leadership import Claim, Cluster, Grant, block_key
+from basaltlead.core.cluster_view import Claim, Cluster, Grant, block_key
 from tests.fakes import World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 def _cluster(last_owner: str, *names: str) -> Cluster:
--- a/tests/test_meetings.py
+++ b/tests/test_fault_combinations.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.fakes import FakeWorker, World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 LEASE, CANCEL = 10.0, 30.0  # s; together with a right of a third of a lease they leave little over
 
--- a/tests/test_troubles.py
+++ b/tests/test_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from tests.fakes import FakeCloud, FakeState, FakeWorker, World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 def _holder(world: World, task: str) -> FakeWorker:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet_sizing.py
@@ -1,11 +1,11 @@
 """What is rented for what waits."""
 
-from basaltlead.core import fleet
-from basaltlead.core.fleet import Demand, Offer
+from basaltlead.core import fleet_sizing
+from basaltlead.core.fleet_sizing import Demand, Offer
 from basaltlead.core.model import US
 from tests.fakes import World
-from tests.test_block import KIND, Story, a_job
-from tests.world import Loop, play
+from tests.simulation import Loop, play
+from tests.test_shard import KIND, Story, a_job
 
 BOTH: dict[Offer, int | None] = {Offer("k", "a", True): None, Offer("k", "a", False): None}
 
@@ -16,7 +16,9 @@
     story = Story(machines=0)
     work = story.block.add_job(a_job(tasks=40), 200, story.now)
     needs = [Demand(work, 40, drain_us)]
-    return [offer.spot for offer in fleet.size(needs, [], [], {"k": KIND}, offers, {}, 12).hires]
+    return [
+        offer.spot for offer in fleet_sizing.size(needs, [], [], {"k": KIND}, offers, {}, 12).hires
+    ]
 
 
 def test_spot_machines_are_hired_early_and_ordinary_ones_for_lasting_backlogs() -> None:
--- a/tests/test_fleets.py
+++ b/tests/test_large_fleets.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from basaltlead.clock import now_us
 from basaltlead.core.model import Machine
-from basaltlead.dispatcher import WorkerDispatcher
+from basaltlead.runtime.clock import now_us
+from basaltlead.shard.dispatcher import WorkerDispatcher
 from basaltlead.wire.workers import Command
 from tests.fakes import FakeWorker, World
-from tests.world import HOST, Loop, play
+from tests.simulation import HOST, Loop, play
 
 
 async def _full(world: World, gangs: int, arrays: int) -> list[str]:
--- a/tests/test_rights.py
+++ b/tests/test_lease_safety.py
@@ -5,10 +5,10 @@
 import pytest
 
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.leadership import Claim, Grant, block_key, session_validity_end
+from basaltlead.core.cluster_view import Claim, Grant, block_key, session_validity_end
 from basaltlead.wire.peers import Ask
 from tests.fakes import World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 def test_a_right_ends_before_its_hold_does_on_any_clock() -> None:
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -1,11 +1,11 @@
 """Bids: what moves them, and what a job that can keep no promise any more may bid."""
 
-from basaltlead.core.block import Block
-from basaltlead.core.block_state import Limits, Timing
+from basaltlead.config.settings import Objective
 from basaltlead.core.market import Market, Promises, Terms
 from basaltlead.core.model import US, Job, Kind, Machine, Shape, Work
-from basaltlead.settings import Objective
-from tests.test_block import a_job
+from basaltlead.core.shard import Block
+from basaltlead.core.shard_state import Limits, Timing
+from tests.test_shard import a_job
 
 TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
--- a/tests/test_operators.py
+++ b/tests/test_operator_commands.py
@@ -12,14 +12,14 @@
 import pytest
 
 from basaltlead import cli
+from basaltlead.config.settings import SettingsError
 from basaltlead.core.model import US
-from basaltlead.duties import client
-from basaltlead.duties.audit_export import export
 from basaltlead.duties.history import PAGES, HistoryPage, event
 from basaltlead.duties.model import Duty
-from basaltlead.duties.quiet_allowance import HOUR_US, QuietAllowance, StoredQuiet
-from basaltlead.duties.quiet_times import QuietTime, QuietTimes, read
-from basaltlead.settings import SettingsError
+from basaltlead.operators import client
+from basaltlead.operators.audit_export import export
+from basaltlead.scaling.quiet_budget import HOUR_US, QuietAllowance, StoredQuiet
+from basaltlead.scaling.quiet_times import QuietTime, QuietTimes, read
 from basaltlead.wire.peers import (
     DutiesAnswer,
     DutiesQuestion,
@@ -29,9 +29,9 @@
     OpenIntent,
 )
 from tests.fakes import World
-from tests.loopback import as_toml
+from tests.run_loopback import as_toml
+from tests.simulation import Loop, play
 from tests.test_duties import ON, _started
-from tests.world import Loop, play
 
 SECOND = 1_000_000
 
--- a/tests/test_chaos.py
+++ b/tests/test_random_faults.py
@@ -7,7 +7,7 @@
 
 from basaltlead.duties.model import Duty
 from tests.fakes import World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 async def _users(world: World, chance: random.Random, jobs: int) -> None:
--- a/tests/test_replicas.py
+++ b/tests/test_replica_placement.py
@@ -6,8 +6,8 @@
 from basaltlead.core.market import Market, Promises, Terms
 from basaltlead.core.model import RANKS, STANDING_US, US, Shape, Work
 from basaltlead.core.planning import plan
-from basaltlead.result_rows import ResultLayout, load_results
-from tests.test_block import TIMING, Story, a_job, listed
+from basaltlead.storage.result_rows import ResultLayout, load_results
+from tests.test_shard import TIMING, Story, a_job, listed
 
 PRODUCTION = RANKS["production"]
 TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
--- a/tests/test_services.py
+++ b/tests/test_replicated_services.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.fakes import FakeWorker, World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 async def _served(world: World, **fields: Any) -> str:
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.fakes import FakeCloud, FakeWorker, World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 def _machine(world: World, number: int, zone: str = "a", spot: bool = False) -> FakeWorker:
--- a/tests/test_scale.py
+++ b/tests/test_scale_hundreds.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from basaltlead.core import demand, fleet, planning
-from basaltlead.core.block_state import Limits
-from basaltlead.core.fleet import Demand, Offer
+from basaltlead.core import demand, fleet_sizing, planning
+from basaltlead.core.fleet_sizing import Demand, Offer
 from basaltlead.core.model import US, Machine, Room, Shape, Work
-from tests.test_block import KIND, TIMING, Story, a_job, listed
+from basaltlead.core.shard_state import Limits
+from tests.test_shard import KIND, TIMING, Story, a_job, listed
 
 MACHINES = 930
 
@@ -92,8 +92,8 @@
     running = sum(len(work.live) for work in works)
     needs = [Demand(work, work.remaining) for work in works]
     machines = list(story.block.machines.values())
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (fleet, "allowed"))
-    fleet.size(needs, [], machines, {"k": KIND}, {}, {}, 12)
+    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (fleet_sizing, "allowed"))
+    fleet_sizing.size(needs, [], machines, {"k": KIND}, {}, {}, 12)
     assert running >= 3 * MACHINES
     assert count.calls < running + 2 * MACHINES
 
@@ -152,8 +152,8 @@
     machines: list[Machine] = list(story.block.machines.values())
     needs = [Demand(work, work.remaining) for work in works]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (fleet, "allowed"))
-    plan = fleet.size(needs, [], machines, {"k": KIND}, offers, {}, 12)
+    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (fleet_sizing, "allowed"))
+    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, 12)
     assert len(plan.hires) == 12
     assert count.calls < 6 * MACHINES * len(works)
 
--- a/tests/test_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from basaltlead.autoscaler import FEW_HIRED, HIRED_SHARE, RECORD_S
-from basaltlead.core import fleet, planning, replicas
-from basaltlead.core.block import Block
-from basaltlead.core.block_state import NAMES_KEPT, BlockState, Limits
-from basaltlead.core.fleet import Demand, Offer
+from basaltlead.core import fleet_sizing, planning, replica_placement
+from basaltlead.core.fleet_sizing import Demand, Offer
 from basaltlead.core.model import RANKS, US, Machine, Room, Shape
+from basaltlead.core.shard import Block
+from basaltlead.core.shard_state import NAMES_KEPT, BlockState, Limits
+from basaltlead.scaling.autoscaler import FEW_HIRED, HIRED_SHARE, RECORD_S
 from tests.fakes import World
-from tests.test_block import KIND, TIMING, Story, a_job, listed
-from tests.test_scale import Counted
-from tests.world import Loop, play
+from tests.simulation import Loop, play
+from tests.test_scale_hundreds import Counted
+from tests.test_shard import KIND, TIMING, Story, a_job, listed
 
 MACHINES = 4000
 PLACES = 4  # tasks that one machine holds
@@ -111,7 +111,7 @@
             a_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, guess_us=0),
             200, story.now,
         )  # fmt: skip
-    looked = Counted(monkeypatch, (replicas.ReplicaChoice, "_ranked"))
+    looked = Counted(monkeypatch, (replica_placement.ReplicaChoice, "_ranked"))
     planning.plan(story.block, story.now)
     assert looked.calls <= MACHINES + 300
     high = story.block.add_job(
@@ -190,7 +190,7 @@
     needs = [Demand(work, work.remaining * 2) for work in works]
     machines: list[Machine] = list(story.block.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
-    plan = fleet.size(needs, [], machines, {"k": KIND}, offers, {}, MACHINES // 16)
+    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, MACHINES // 16)
     assert len(plan.hires) == MACHINES // 16
     for number in range(MACHINES):
         story.block.drop_machine(_name(number), story.now)
--- a/tests/test_block.py
+++ b/tests/test_shard.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from basaltlead.core.block import Block
-from basaltlead.core.block_state import Limits, Timing
 from basaltlead.core.model import US, Attempt, Job, Kind, Machine, Shape, Work
 from basaltlead.core.planning import plan
+from basaltlead.core.shard import Block
+from basaltlead.core.shard_state import Limits, Timing
 from basaltlead.wire.workers import Listed, Report
 
 KIND = Kind("k", 4.0, 0.0, 16.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a", "b"))
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from basaltlead.core.fleet import Offer
+from basaltlead.core.fleet_sizing import Offer
 from basaltlead.core.model import US, Kind
 from basaltlead.core.silent_zones import PAUSE_US, SilentZones
 from tests.fakes import FakeWorker, World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 KINDS = {
     "dear": Kind("dear", 4.0, 0.0, 16.0, 2.0, 1.0, 5 * US, 50.0, 1.0, ("a", "b")),
--- a/tests/test_limits.py
+++ b/tests/test_state_service_limits.py
@@ -9,12 +9,13 @@
 
 from basaltlead import cli
 from basaltlead.clients.base import encode
-from basaltlead.clients.state import State, TooLarge
+from basaltlead.controller import most_bids
 from basaltlead.core.market import Market, Promises, Terms
 from basaltlead.core.model import US, Work
-from basaltlead.machine_types import pages_of
-from basaltlead.node import most_bids
-from basaltlead.result_rows import (
+from basaltlead.scaling.machine_type_catalog import pages_of
+from basaltlead.storage.client import State, TooLarge
+from basaltlead.storage.limits import TRANSACTION_BYTES, StoreLimits
+from basaltlead.storage.result_rows import (
     CHUNK_BLOCKS,
     STRETCH,
     ProgressChunk,
@@ -22,12 +23,11 @@
     load_results,
     split_open,
 )
-from basaltlead.store_limits import TRANSACTION_BYTES, StoreLimits
 from basaltlead.wire.cloud import MachineType
 from basaltlead.wire.state import Drop, Guard, Put
 from tests.fakes import World
-from tests.test_block import a_job
-from tests.world import Loop, play
+from tests.simulation import Loop, play
+from tests.test_shard import a_job
 
 LIMITS = StoreLimits(rps=100.0, write_rps=50.0, value_bytes=200, operations=3)
 
@@ -298,7 +298,7 @@
 def test_the_lower_of_both_limits_holds_from_the_start(
     text: str, wanted: StoreLimits, tmp_path: Path
 ) -> None:
-    from basaltlead import settings
+    from basaltlead.config import settings
 
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace("{next}", text))
--- a/tests/test_strangers.py
+++ b/tests/test_unknown_machines.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from basaltlead.logs import log
 from basaltlead.net.http import Response
+from basaltlead.runtime.logs import log
 from tests.fakes import World
-from tests.world import Loop, play
+from tests.simulation import Loop, play
 
 
 def test_a_job_that_fails_everywhere_burns_no_fleet_and_no_machine_is_blamed_for_it() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,16 +17,15 @@
 import msgspec
 import pytest
 
-from basaltlead import upgrade
-from basaltlead.core.leadership import Claim, Cluster, Counter, Grant
+from basaltlead.cluster import versions
+from basaltlead.cluster.peers import decoder
+from basaltlead.core.cluster_view import Claim, Cluster, Counter, Grant
 from basaltlead.core.market import TeamRecord
 from basaltlead.core.model import Shape
-from basaltlead.peers import decoder
-from basaltlead.records import Final, StoredHire, StoredJob, StoredMachine, job_of
-from basaltlead.result_rows import Progress
-from tests import old_schemas
-from tests.fakes import FakeWorker, World
-from tests.world import Loop, play
+from basaltlead.storage.records import Final, StoredHire, StoredJob, StoredMachine, job_of
+from basaltlead.storage.result_rows import Progress
+from tests.fakes import FakeWorker, World, old_schemas
+from tests.simulation import Loop, play
 
 DATA = json.loads((Path(__file__).parent / "data" / "production_records.json").read_text())
 TYPES: dict[str, Any] = {
@@ -150,11 +149,11 @@
 
 
 def test_services_are_allowed_while_no_member_is_of_an_older_version() -> None:
-    assert not upgrade.services_allowed(Cluster())  # nothing is known yet
-    assert not upgrade.services_allowed(_cluster(a=1, b=0))
+    assert not versions.services_allowed(Cluster())  # nothing is known yet
+    assert not versions.services_allowed(_cluster(a=1, b=0))
     one_away = _cluster(a=1, b=1)
-    assert upgrade.services_allowed(one_away)  # without its key the third does nothing
-    guards = upgrade.member_guards(one_away, ["b", "c"])
+    assert versions.services_allowed(one_away)  # without its key the third does nothing
+    guards = versions.member_guards(one_away, ["b", "c"])
     assert [(guard.key, guard.version) for guard in guards] == [
         ("c/member/b", 5), ("c/member/c", 0),
     ]  # fmt: skip
--- a/tests/test_spellings.py
+++ b/tests/test_wire_format.py
@@ -3,9 +3,9 @@
 import msgspec
 import pytest
 
-from basaltlead.core.leadership import Claim, Grant
-from basaltlead.records import StoredHire, StoredMachine
-from basaltlead.result_rows import Progress
+from basaltlead.core.cluster_view import Claim, Grant
+from basaltlead.storage.records import StoredHire, StoredMachine
+from basaltlead.storage.result_rows import Progress
 from basaltlead.wire.peers import Ask, Cancelled, TakeoverDeferral
 from basaltlead.wire.state import Drop, Guard, Put, Transaction
 from basaltlead.wire.workers import Command, Order, Orders
