--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -7,28 +7,35 @@
 
 import msgspec
 
-from basaltlead.clients.base import Unavailable, encode
+from basaltlead.clients.base import encode
 from basaltlead.cluster import versions
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.model import Kind
-from basaltlead.core.shard_state import Limits
-from basaltlead.net.http import Failed, Request, Response
+from basaltlead.core.entities import MachineType
+from basaltlead.core.shard_state import TeamQuota
+from basaltlead.errors import (
+    PreconditionFailed,
+    RequestFailed,
+    SessionLeaseExpired,
+    TransactionTooLarge,
+    Unavailable,
+)
+from basaltlead.net.http import Request, Response
 from basaltlead.net.limiter import Limiter
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import LogRateLimiter, log
-from basaltlead.storage.client import Conflict, SessionLeaseExpired, State, TooLarge
+from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.limits import StoreLimits
 from basaltlead.storage.records import (
-    LEASE,
+    ASSIGNMENT,
     OPEN,
     OVER,
     Final,
     StoredJob,
     job_of,
-)  # fmt: skip
+)
 from basaltlead.storage.result_rows import Progress, ResultLayout, split_open
-from basaltlead.wire.state import Drop, Guard, Put, Row
+from basaltlead.wire.store import Drop, Precondition, Put, Row
 from basaltlead.wire.users import REF, JobAnswer, Refusal, Submission
 
 T = TypeVar("T")
@@ -47,7 +54,7 @@
     return Response(status, encode(Refusal(text)), headers)
 
 
-def told(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
+def job_answer(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
     """An answer with the state of a job."""
     return Response(status, encode(JobAnswer(ref, stage, done, running)))
 
@@ -57,21 +64,21 @@
 
     def __init__(
         self,
-        state: State,
-        member: Membership,
-        teams: dict[str, Limits],
+        store: KeyValueStore,
+        membership: Membership,
+        teams: dict[str, TeamQuota],
         limits: StoreLimits,
-        blocks: int,
+        shards: int,
         cancellations: Cancellations,
     ) -> None:
-        self.state = state
-        self.member = member
+        self.store = store
+        self.membership = membership
         self.teams = teams
         self.limits = limits
         layout = ResultLayout(limits.value_bytes)
-        self.most_rows = 1 + layout.most_rows(MOST_JOB_TASKS, blocks)
-        self.blocks = blocks
-        self.kinds: dict[str, Kind] = {}
+        self.most_rows = 1 + layout.most_rows(MOST_JOB_TASKS, shards)
+        self.shards = shards
+        self.machine_types: dict[str, MachineType] = {}
         self.limiter = Limiter()
         self.finals: dict[str, Final] = {}  # final answers, the only ones that may be cached
         self.cancellations = cancellations
@@ -85,7 +92,7 @@
                 sent = msgspec.json.decode(request.body, type=Submission)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
                 return refusal(400, str(fault)[:200])
-        if self.state.behind_s(writing=request.method == "POST") > MOST_QUEUED_S:
+        if self.store.behind_s(writing=request.method == "POST") > MOST_QUEUED_S:
             return refusal(503, "busy", MUCH_LATER)
         if not self.limiter.enter():
             return refusal(503, "busy", LATER)
@@ -95,7 +102,7 @@
                 return await (self.submit(sent) if sent else self._route(request))
         except TimeoutError:
             return refusal(503, "no answer in time", LATER)
-        except (Failed, Unavailable, Conflict, SessionLeaseExpired) as fault:
+        except (RequestFailed, Unavailable, PreconditionFailed, SessionLeaseExpired) as fault:
             if self.log_limiter.ok(started):
                 log.info("%s %s: %s", request.method, request.path, fault)
             return refusal(503, "not sure right now", LATER)
@@ -120,33 +127,37 @@
     async def submit(self, sent: Submission) -> Response:
         final = self.finals.get(sent.ref)
         if final is not None:
-            return told(200, sent.ref, final.stage, final.done)
-        if not self.kinds or not self.member.acts:
+            return job_answer(200, sent.ref, final.stage, final.done)
+        if not self.machine_types or not self.membership.holds_valid_lease:
             return refusal(503, "starting", LATER)
         never = self.never_runs(sent)
         if never:
             # A job that was accepted stays accepted, whatever has changed since.
-            known = await self._look(sent.ref)
+            known = await self._current_state(sent.ref)
             return known if known is not None else refusal(422, never)
-        if sent.shape == "service" and not versions.services_allowed(self.member.cluster):
-            known = await self._look(sent.ref)
+        if sent.shape == "service" and not versions.services_allowed(self.membership.cluster):
+            known = await self._current_state(sent.ref)
             return known if known is not None else refusal(503, "not all upgraded", MUCH_LATER)
-        guards = [self.member.guard(), Guard(OPEN + sent.ref, 0), Guard(OVER + sent.ref, 0)]
+        preconditions = [
+            self.membership.precondition(),
+            Precondition(OPEN + sent.ref, 0),
+            Precondition(OVER + sent.ref, 0),
+        ]
         if sent.shape == "service":
-            others = [name for name in self.member.names if name != self.member.name]
-            guards += versions.member_guards(self.member.cluster, others)
+            others = [name for name in self.membership.names if name != self.membership.name]
+            preconditions += versions.member_preconditions(self.membership.cluster, others)
         try:
             stored = StoredJob.of(sent, wall_us())
-            await self.state.multi(guards, [Put(OPEN + sent.ref, stored)])
-        except TooLarge as fault:
-            known = await self._look(sent.ref)
+            await self.store.compare_and_swap(preconditions, [Put(OPEN + sent.ref, stored)])
+        except TransactionTooLarge as fault:
+            known = await self._current_state(sent.ref)
             return known if known is not None else refusal(422, str(fault))
-        except Conflict as conflict:
+        except PreconditionFailed as conflict:
             if not any(key.endswith("/" + sent.ref) for key in conflict.failed):
                 raise
-            known = await self._look(sent.ref)
+            known = await self._current_state(sent.ref)
             return known if known is not None else refusal(503, "again, please", LATER)
-        return told(201, sent.ref, "pending")
+        return job_answer(201, sent.ref, "pending")
 
     def never_runs(self, sent: Submission) -> str:
         """Why a job can never run, or nothing."""
@@ -156,9 +167,9 @@
         job = job_of(sent)
         zones = {
             zone
-            for kind in self.kinds.values()
-            if kind.holds(job) and (job.types is None or kind.name in job.types)
-            for zone in kind.zones
+            for machine_type in self.machine_types.values()
+            if machine_type.holds(job) and (job.types is None or machine_type.name in job.types)
+            for zone in machine_type.zones
             if job.zone in (None, zone)
         }
         if not zones:
@@ -177,14 +188,14 @@
 
     async def _rows(self, ref: str) -> list[Row]:
         """The open job's rows: itself first, then its results; empty if it is not open."""
-        if self.member.cut_off:
+        if self.membership.cut_off:
             raise Unavailable("the state service does not answer")
-        page = await self.state.page(OPEN + ref, most=self.most_rows)
+        page = await self.store.page(OPEN + ref, most=self.most_rows)
         rows = [row for row in page.rows if split_open(row.key)[0] == ref]
         return rows if rows and rows[0].key == OPEN + ref else []
 
     async def _final(self, ref: str) -> Final | None:
-        row = await self.state.get(OVER + ref)
+        row = await self.store.get(OVER + ref)
         if row is None:
             return None
         final = msgspec.json.decode(row.value, type=Final)
@@ -192,15 +203,16 @@
         return final
 
     def remember(self, ref: str, final: Final) -> None:
-        """To be called before anybody is told: owners must know of every cancellation that is."""
+        """To be called before anybody is told: shard leaders must know of every cancellation that
+        is."""
         self.finals[ref] = final
         if final.stage == "withdrawn" and self.cancellations.add(ref, now_us()):
             self.cancelled(ref)
         while len(self.finals) > FINALS_KEPT:
             del self.finals[next(iter(self.finals))]
 
-    async def _look(self, ref: str) -> Response | None:
-        """The present state, or None when the state service says that there is no such job.
+    async def _current_state(self, ref: str) -> Response | None:
+        """The present state, or None when the key-value store says that there is no such job.
 
         A job goes from open to over in one transaction, so looking in this order misses none.
         """
@@ -212,49 +224,55 @@
             # Has somebody told of its end since we asked? Nobody should hear the older state.
             final = self.finals.get(ref)
             if final is not None:
-                return told(200, ref, final.stage, final.done)
+                return job_answer(200, ref, final.stage, final.done)
             if ref in self.cancellations:
-                return told(200, ref, "withdrawn", done)
-            return told(200, ref, "running" if done or running else "pending", done, running)
+                return job_answer(200, ref, "withdrawn", done)
+            return job_answer(200, ref, "running" if done or running else "pending", done, running)
         final = await self._final(ref)
-        return None if final is None else told(200, ref, final.stage, final.done)
+        return None if final is None else job_answer(200, ref, final.stage, final.done)
 
     async def poll(self, ref: str) -> Response:
         final = self.finals.get(ref)
         if final is not None:
-            return told(200, ref, final.stage, final.done)
-        known = await self._look(ref)
+            return job_answer(200, ref, final.stage, final.done)
+        known = await self._current_state(ref)
         return known if known is not None else refusal(404, "no such job")
 
     async def cancel(self, ref: str) -> Response:
         for _ in range(4):
             final = self.finals.get(ref)
             if final is not None:
-                return told(200, ref, final.stage, final.done)
+                return job_answer(200, ref, final.stage, final.done)
             rows = await self._rows(ref)
             if not rows:
                 final = await self._final(ref)
                 if final is None:
                     return refusal(404, "no such job")
                 continue
-            if not self.member.acts:
+            if not self.membership.holds_valid_lease:
                 return refusal(503, "starting", LATER)
             done = sum(msgspec.json.decode(row.value, type=Progress).count for row in rows[1:])
             final = Final("withdrawn", done)
             drops = [Drop(row.key) for row in rows]
-            if self.blocks > 1:
-                drops.insert(1, Drop(LEASE + ref))
+            if self.shards > 1:
+                drops.insert(1, Drop(ASSIGNMENT + ref))
             drops = drops[: self.limits.operations - 1]
             try:
-                await self.state.multi(
-                    [self.member.guard(), Guard(OPEN + ref, rows[0].version), Guard(OVER + ref, 0)],
+                await self.store.compare_and_swap(
+                    [
+                        self.membership.precondition(),
+                        Precondition(OPEN + ref, rows[0].version),
+                        Precondition(OVER + ref, 0),
+                    ],
                     [Put(OVER + ref, final), *drops],
                 )
-            except Conflict as conflict:
+            except PreconditionFailed as conflict:
                 if not any(key.endswith("/" + ref) for key in conflict.failed):
                     raise
                 continue
             log.info("job %s cancelled", ref)
             self.remember(ref, final)
         final = self.finals.get(ref)
-        return told(200, ref, final.stage, final.done) if final else refusal(503, "busy", LATER)
+        return (
+            job_answer(200, ref, final.stage, final.done) if final else refusal(503, "busy", LATER)
+        )
--- a/basaltlead/clients/__init__.py
+++ b/basaltlead/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients for the state service, the cloud and the workers."""
+"""Clients for the key-value store, the cloud and the workers."""
--- a/basaltlead/clients/base.py
+++ b/basaltlead/clients/base.py
@@ -6,15 +6,11 @@
 
 import msgspec
 
-from basaltlead.net.http import Failed
+from basaltlead.errors import RequestFailed
 
 T = TypeVar("T")
 
 
-class Unavailable(Exception):
-    """The other side said no for now (429, 503): the request was not executed."""
-
-
 class Budget:
     """A rate with a burst of one second's worth (a leaky bucket in time units)."""
 
@@ -74,12 +70,12 @@
         await asyncio.sleep(self.next_us() / 1e6)
 
 
-def decode(body: bytes, kind: type[T]) -> T:
+def decode(body: bytes, message_type: type[T]) -> T:
     """An answer as its type; a malformed one counts as no answer."""
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=message_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise Failed(f"malformed answer: {fault}", sent=True) from None
+        raise RequestFailed(f"malformed answer: {fault}", sent=True) from None
 
 
 def encode(value: Any) -> bytes:
--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -3,27 +3,23 @@
 from collections.abc import Callable
 from urllib.parse import quote
 
-from basaltlead.clients.base import Budget, Unavailable, decode, encode
-from basaltlead.net.http import Failed, Pool
+from basaltlead.clients.base import Budget, decode, encode
+from basaltlead.errors import NoCapacity, RequestFailed, RequestRejected, Unavailable
+from basaltlead.net.http import Pool
 from basaltlead.runtime.clock import now_us
-from basaltlead.wire.cloud import Hire, MachineType, Names, Page, Rented, Types
+from basaltlead.wire.cloud import (
+    MachineNames,
+    MachinePage,
+    MachineTypeInfo,
+    MachineTypeList,
+    RentedMachine,
+    RentRequest,
+)
 
 TIMEOUT_US = 4_000_000
 REFUSALS = (400, 403, 404, 409, 413, 422)
 
 
-class NoCapacity(Exception):
-    """None to be had of this type, zone and kind."""
-
-
-class Refused(Failed):
-    """The cloud says that the request is wrong: the same one will be refused again."""
-
-
-# What a call may end in, short of an answer.
-CLOUD_TROUBLE = (Failed, Unavailable, NoCapacity)
-
-
 class Cloud:
     """Calls to the cloud, inside this node's part of its rate."""
 
@@ -42,7 +38,7 @@
         await self.budget.take()
         try:
             status, answer = await self.pool.request(method, path, body, TIMEOUT_US, still)
-        except Failed:
+        except RequestFailed:
             self.unanswered_since = self.unanswered_since or now_us()
             raise
         self.unanswered_since = 0
@@ -51,27 +47,27 @@
         if status in (429, 503):
             raise Unavailable(f"cloud: {status}")
         if status in REFUSALS:
-            raise Refused(f"cloud: {status} {answer[:200]!r}", sent=True)
+            raise RequestRejected(f"cloud: {status} {answer[:200]!r}", sent=True)
         if status != 200:
-            raise Failed(f"cloud: {status} {answer[:200]!r}", sent=True)
+            raise RequestFailed(f"cloud: {status} {answer[:200]!r}", sent=True)
         return answer
 
-    async def types(self) -> list[MachineType]:
-        return decode(await self._call("GET", "/machine_types"), Types).types
+    async def types(self) -> list[MachineTypeInfo]:
+        return decode(await self._call("GET", "/machine_types"), MachineTypeList).types
 
-    async def hire(self, request: Hire, still: Callable[[], bool]) -> list[str]:
+    async def rent(self, request: RentRequest, still: Callable[[], bool]) -> list[str]:
         answer = await self._call("POST", "/machines", encode(request), still)
-        return decode(answer, Names).machines
+        return decode(answer, MachineNames).machines
 
     async def delete(self, names: list[str], still: Callable[[], bool]) -> None:
-        await self._call("POST", "/machines/delete", encode(Names(names)), still)
+        await self._call("POST", "/machines/delete", encode(MachineNames(names)), still)
 
-    async def machines(self) -> list[Rented]:
-        rented: list[Rented] = []
+    async def machines(self) -> list[RentedMachine]:
+        rented: list[RentedMachine] = []
         since = ""
         while True:
             path = "/machines?Most=500" + (f"&Since={quote(since)}" if since else "")
-            page = decode(await self._call("GET", path), Page)
+            page = decode(await self._call("GET", path), MachinePage)
             rented += page.machines
             if not page.more or not page.machines:
                 return rented
--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -4,8 +4,9 @@
 from collections.abc import Callable
 
 from basaltlead.clients.base import decode, encode
-from basaltlead.net.http import Failed, Pool
-from basaltlead.wire.workers import Command, Report
+from basaltlead.errors import RequestFailed
+from basaltlead.net.http import Pool
+from basaltlead.wire.workers import DirectCommand, Heartbeat
 
 
 class Workers:
@@ -26,28 +27,28 @@
         self.calls = asyncio.Semaphore(most)
 
     async def command(
-        self, address: str, command: Command, still: Callable[[], bool] = lambda: True
-    ) -> tuple[bool, Report]:
-        """(executed, the worker's report); `Failed` when there is no answer, or when the order
-        is no longer ours to give once its turn has come."""
+        self, address: str, command: DirectCommand, still: Callable[[], bool] = lambda: True
+    ) -> tuple[bool, Heartbeat]:
+        """(executed, the worker's report); `RequestFailed` when there is no answer, or when the
+        order is no longer ours to give once its turn has come."""
         async with self.calls:
             pool = self.pools.pop(address, None)
             if pool is None:
                 pool = Pool(address, limit=1, max_body=4 * 1024 * 1024)
-            self._make_room()
+            self._preempt_for_task()
             self.pools[address] = pool
             status, body = await pool.request(
                 "POST", "/do", encode(command), self.timeout_us, still
             )
         if status not in (200, 409):
-            raise Failed(f"worker: {status}", sent=True)
-        return status == 200, decode(body, Report)
+            raise RequestFailed(f"worker: {status}", sent=True)
+        return status == 200, decode(body, Heartbeat)
 
-    def _make_room(self) -> None:
-        while len(self.pools) >= min(self.most, self.room()) and self.let_go():
+    def _preempt_for_task(self) -> None:
+        while len(self.pools) >= min(self.most, self.room()) and self.close_idle():
             pass
 
-    def let_go(self) -> bool:
+    def close_idle(self) -> bool:
         """Close the connection that has rested for longest; False if all are in use."""
         idle = next((address for address, pool in self.pools.items() if not pool.busy), None)
         if idle is None:
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff, Unavailable
+from basaltlead.clients.base import Backoff
 from basaltlead.cluster import versions
 from basaltlead.core import cluster_view
 from basaltlead.core.cluster_view import (
@@ -13,59 +13,70 @@
     MEMBER_PREFIX,
     PREFIX,
     Claim,
-    Cluster,
+    ClusterView,
     Grant,
-    block_key,
     member_key,
+    shard_key,
     spoken,
-)  # fmt: skip
-from basaltlead.net.http import Failed
+)
+from basaltlead.errors import (
+    PreconditionFailed,
+    RequestFailed,
+    ServiceError,
+    SessionLeaseExpired,
+    Unavailable,
+)
 from basaltlead.runtime.clock import chance, now_us
 from basaltlead.runtime.logs import log
-from basaltlead.storage.client import TROUBLE, Conflict, SessionLeaseExpired, State
+from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.watch import follow
-from basaltlead.wire.state import Change, Drop, Guard, Put, Row
+from basaltlead.wire.store import Change, Drop, Precondition, Put, Row
 
 
 class Membership:
     """Keeps the session lease alive and the view of the cluster fresh.
 
-    `acts` is the one test that everything that depends on the lease must pass at the moment it is
-    done.
+    `holds_valid_lease` is the one test that everything that depends on the lease must pass at the
+    moment it is done.
     """
 
     def __init__(
-        self, name: str, peers: Iterable[str], state: State, session_lease_us: int, blocks: int,
+        self,
+        name: str,
+        peers: Iterable[str],
+        store: KeyValueStore,
+        session_lease_us: int,
+        shards: int,
         duties: Sequence[str] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.name = name
         self.names = sorted({name, *peers})  # of all configured controllers
         self.record_version = versions.record_version(bool(duties))
-        self.state = state
+        self.store = store
         self.ttl_us = session_lease_us
-        # An owner acts no longer than a session lease after its last read of the open jobs was
-        # sent, so a watch must come back well within that.
+        # A shard leader acts no longer than a session lease after its last read of the open jobs
+        # was sent, so a watch must come back well within that.
         self.watch_ms = min(4000, session_lease_us // 4000)
-        self.block_keys = [block_key(number) for number in range(blocks)]
-        self.duty_keys = list(duties)  # keys of the duties that are granted beside the blocks
+        self.shard_keys = [shard_key(number) for number in range(shards)]
+        self.duty_keys = list(duties)  # keys of the duties that are granted beside the shards
         self.incarnation = ""
         self.session_lease = 0
         self.version = 0
         self.renewed_until = 0  # how long our session lease is provably valid
         self.deferred_until = 0  # how long all peers have deferred our replacement
-        self.contact_at = 0  # the last good answer of the state service
+        self.contact_at = 0  # the last good answer of the key-value store
         self.started_at = now_us()
-        self.deferrals: dict[tuple[str, str], int] = {}  # to owners, until when
-        self.cluster = Cluster()
+        self.deferrals: dict[tuple[str, str], int] = {}  # to shard leaders, until when
+        self.cluster = ClusterView()
         self.changed: Callable[[], None] = lambda: None
         self.wake = asyncio.Event()
-        self.shy_until = 0  # after stepping down: let others claim first
+        self.no_claim_until = 0  # after stepping down: let others claim first
         self.chance = chance
 
-    # Lease validity
+    # TaskAssignment validity
 
     @property
-    def acts(self) -> bool:
+    def holds_valid_lease(self) -> bool:
         return self.version > 0 and now_us() < self.session_valid_until
 
     @property
@@ -74,19 +85,19 @@
 
     @property
     def partitioned(self) -> bool:
-        """Has the state service been silent for a while?"""
+        """Has the key-value store been silent for a while?"""
         return now_us() - self.contact_at > self.ttl_us // 3
 
     @property
     def cut_off(self) -> bool:
-        """Has the state service not answered for so long that asking it for a user is no use?"""
+        """Has the key-value store not answered for so long that asking it for a user is no use?"""
         return now_us() - self.contact_at > self.ttl_us
 
-    def defer_takeover(self, name: str, incarnation: str, span_us: int) -> int:
-        """Defer the replacement of an owner for a span; 0 when we will not.
+    def defer_failover(self, name: str, incarnation: str, span_us: int) -> int:
+        """Defer the replacement of a shard leader for a span; 0 when we will not.
 
-        With the state service in sight there is no reason to: if the owner has lost it alone,
-        somebody else should serve its machines.
+        With the key-value store in sight there is no reason to: if the shard leader has lost it
+        alone, somebody else should serve its machines.
         """
         member = self.cluster.members.get(name)
         replaced = bool(self.cluster.members) and (
@@ -101,8 +112,8 @@
         return span
 
     def may_replace(self, held: Grant) -> bool:
-        """Are all promises to this owner over, those that an earlier incarnation of ours may have
-        made included? One that was replaced by its own next incarnation has no use for any."""
+        """Are all promises to this shard leader over, those that an earlier incarnation of ours may
+        have made included? One that was replaced by its own next incarnation has no use for any."""
         member = self.cluster.members.get(held.name)
         if held.name == self.name or (
             member is not None and member[0].incarnation != held.incarnation
@@ -113,12 +124,12 @@
             not held.name or now >= self.started_at + self.ttl_us * 101 // 100
         )
 
-    def guard(self) -> Guard:
+    def precondition(self) -> Precondition:
         """What every write of this process is guarded on."""
-        return Guard(member_key(self.name), self.version)
+        return Precondition(member_key(self.name), self.version)
 
-    def owned(self, key: str) -> tuple[Grant, int] | None:
-        """The grant of a block or duty to this very incarnation."""
+    def held_grant(self, key: str) -> tuple[Grant, int] | None:
+        """The grant of a shard or duty to this very incarnation."""
         held = self.cluster.grants.get(key)
         if (
             held is None
@@ -129,13 +140,13 @@
             return None
         return held
 
-    def owner(self, block: int) -> str | None:
-        """The living owner of a block, as far as known."""
-        return self.cluster.holder(block_key(block))
+    def shard_leader(self, shard: int) -> str | None:
+        """The living leader of a shard, as far as known."""
+        return self.cluster.holder(shard_key(shard))
 
     @property
     def duties_granted(self) -> bool:
-        """Are the duties granted on their own, rather than carried out by the blocks' owners?"""
+        """Are the duties granted on their own, rather than carried out by the shard leaders?"""
         return bool(self.duty_keys) and versions.duties_allowed(self.cluster)
 
     @property
@@ -158,7 +169,7 @@
                     await self._join()
                     backoff.reset()
                 sent = now_us()
-                await self.state.renew_lease(self.session_lease, min(1_500_000, self.ttl_us // 4))
+                await self.store.renew_lease(self.session_lease, min(1_500_000, self.ttl_us // 4))
                 self.renewed_until = cluster_view.session_validity_end(sent, self.ttl_us)
                 self.contact_at = now_us()
                 backoff.reset()
@@ -166,7 +177,7 @@
             except SessionLeaseExpired:
                 log.info("session lease lost, joining anew")
                 self.leave()
-            except (Failed, Unavailable, Conflict) as fault:
+            except (RequestFailed, Unavailable, PreconditionFailed) as fault:
                 log.debug("session lease: %s", fault)
                 await backoff.rest()
 
@@ -178,14 +189,14 @@
 
     async def _join(self) -> None:
         sent = now_us()
-        session_lease = await self.state.create_lease(self.ttl_us)
-        old = await self.state.get(member_key(self.name))
+        session_lease = await self.store.create_lease(self.ttl_us)
+        old = await self.store.get(member_key(self.name))
         incarnation = f"{chance.getrandbits(48):012x}"
         claim = Claim(self.name, incarnation, self.record_version)
         # Guarded on what stood there, so that a late copy of this very request from an earlier
         # incarnation can't put that one back into our place.
-        version = await self.state.multi(
-            [Guard(member_key(self.name), old.version if old else 0)],
+        version = await self.store.compare_and_swap(
+            [Precondition(member_key(self.name), old.version if old else 0)],
             [Put(member_key(self.name), claim, session_lease)],
         )
         self.session_lease, self.incarnation, self.version = session_lease, incarnation, version
@@ -198,12 +209,12 @@
 
     async def watch(self) -> None:
         """Follow the keys of the cluster."""
-        await follow(self.state, PREFIX, self.watch_ms, self._load, self._take, self._seen)
+        await follow(self.store, PREFIX, self.watch_ms, self._load, self._take, self._seen)
 
     def _seen(self, asked: int, news: bool) -> None:
         self.contact_at = now_us()
         if news:
-            self._looked()
+            self._after_update()
 
     def _take(self, change: Change) -> None:
         if change.put is not None:
@@ -211,11 +222,13 @@
         elif change.drop is not None:
             self._drop(change.drop, change.version)
 
-    def _looked(self) -> None:
+    def _after_update(self) -> None:
         mine = self.cluster.members.get(self.name)
-        if self.version and (mine is None or mine[0].incarnation != self.incarnation) and (
-            mine is None or mine[1] > self.version
-        ):  # fmt: skip
+        if (
+            self.version
+            and (mine is None or mine[0].incarnation != self.incarnation)
+            and (mine is None or mine[1] > self.version)
+        ):
             log.info("our member key is gone, joining anew")
             self.leave()
         self.wake.set()
@@ -223,7 +236,7 @@
 
     def _load(self, rows: list[Row]) -> None:
         mine = self.cluster.members.get(self.name)
-        self.cluster = Cluster()
+        self.cluster = ClusterView()
         if mine is not None and self.version:
             self.cluster.members[self.name] = mine
         for row in rows:
@@ -243,23 +256,23 @@
             if known is not None and known[1] <= version:
                 del self.cluster.members[key.removeprefix(MEMBER_PREFIX)]
 
-    async def step_down(self, key: str, leader_too: bool) -> bool:
-        """Hand a block or duty back, and the leader's place if so wished, for others to take; the
+    async def release(self, key: str, leader_too: bool) -> bool:
+        """Hand a shard or duty back, and the leader's place if so wished, for others to take; the
         caller has stopped acting for it."""
-        held = self.owned(key)
+        held = self.held_grant(key)
         if held is None:
             return True
         if leader_too:
-            self.shy_until = now_us() + 15_000_000
-        guards = [self.guard(), Guard(key, held[1])]
+            self.no_claim_until = now_us() + 15_000_000
+        preconditions = [self.precondition(), Precondition(key, held[1])]
         free = Grant("", "", held[0].fencing_token, avoid=self.name)
         apply: list[Put | Drop] = [Put(key, free)]
         if leader_too and self.leads and self.cluster.leader is not None:
-            guards.append(Guard(LEADER, self.cluster.leader[1]))
+            preconditions.append(Precondition(LEADER, self.cluster.leader[1]))
             apply.append(Drop(LEADER))
         try:
-            version = await self.state.multi(guards, apply)
-        except TROUBLE as fault:
+            version = await self.store.compare_and_swap(preconditions, apply)
+        except ServiceError as fault:
             log.info("stepping down: %s", fault)
             return False
         self.cluster.note_grant(key, free, version)
--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -6,21 +6,21 @@
 
 So a service is accepted while no member key names an older version, in a transaction that is
 guarded on the member keys of all controllers. Its record can't be read by a version that would
-take it for an array. Should such a process join later and get the block, it fails to load it and
+take it for an array. Should such a process join later and get the shard, it fails to load it and
 hands it back, to one that can.
 
 Duties are granted to holders of their own while no member key names a version that does not know
-them. Beside an older member the blocks' owners carry them out, as they did before; what the holders
+them. Beside an older member the shard leaders carry them out, as they did before; what the holders
 had recorded and not carried out stays recorded, and is carried out by whoever may.
 
-Once no controller of version 0 is left anywhere, `services_allowed` and `member_guards` can go,
-and so can the chunk rows' empty field in `result_rows`.
+Once no controller of version 0 is left anywhere, `services_allowed` and `member_preconditions` can
+go, and so can the chunk rows' empty field in `result_rows`.
 """
 
 from collections.abc import Iterable
 
-from basaltlead.core.cluster_view import Cluster, member_key
-from basaltlead.wire.state import Guard
+from basaltlead.core.cluster_view import ClusterView, member_key
+from basaltlead.wire.store import Precondition
 
 SERVICES = 1  # the version that knows services
 DUTIES = 2  # the version whose duties are granted on their own
@@ -29,27 +29,27 @@
 
 def record_version(duties: bool) -> int:
     """What a member key names. A controller on which duties are switched off leaves them to the
-    blocks' owners, like one from before duties."""
+    shard leaders, like one from before duties."""
     return CURRENT if duties else SERVICES
 
 
-def duties_allowed(cluster: Cluster) -> bool:
+def duties_allowed(cluster: ClusterView) -> bool:
     """May duties be granted on their own, as far as we know? Beside a member that does not know
-    them they stay with the blocks' owners: it would neither read an intent nor leave it alone."""
+    them they stay with the shard leaders: it would neither read an intent nor leave it alone."""
     return _all_know(cluster, DUTIES)
 
 
-def _all_know(cluster: Cluster, version: int) -> bool:
+def _all_know(cluster: ClusterView, version: int) -> bool:
     versions = [claim.version for claim, _ in cluster.members.values()]
     return bool(versions) and min(versions) >= version
 
 
-def services_allowed(cluster: Cluster) -> bool:
+def services_allowed(cluster: ClusterView) -> bool:
     """May services be accepted, as far as we know? Not beside a member that can't read them."""
     return _all_know(cluster, SERVICES)
 
 
-def member_guards(cluster: Cluster, names: Iterable[str]) -> list[Guard]:
+def member_preconditions(cluster: ClusterView, names: Iterable[str]) -> list[Precondition]:
     """Conditions that the members are still those that were looked at: one of another version
     that has joined meanwhile makes the transaction fail."""
-    return [Guard(member_key(name), cluster.member_version(name)) for name in names]
+    return [Precondition(member_key(name), cluster.member_version(name)) for name in names]
--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -75,7 +75,7 @@
 
 
 class NextStateLimits(Struct, frozen=True):
-    """What the state service will limit to from some moment on, without notice."""
+    """What the key-value store will limit to from some moment on, without notice."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -84,7 +84,7 @@
 
 
 class StateLimits(Struct):
-    """Limits of the state service."""
+    """Limits of the key-value store."""
 
     rps: Positive
     write_rps: Positive
@@ -129,7 +129,7 @@
     most_cost: Positive
 
 
-class Operator(Struct, frozen=True, forbid_unknown_fields=True):
+class Operator(Struct, frozen=True, forbid_unknown_fields=True, rename={"shards": "blocks"}):
     """The operators' own YAML file. Every field has a default; see docs/operations.md."""
 
     round_s: Annotated[float, Meta(ge=1, le=600)] = 10.0
@@ -138,7 +138,7 @@
     reserve_price: Positive = 0.01
     threshold: Annotated[float, Meta(ge=0, le=1)] = 0.05
     idle_share: Annotated[float, Meta(ge=0, le=100)] = 0.6
-    blocks: Annotated[int, Meta(ge=1, le=16)] = 1
+    shards: Annotated[int, Meta(ge=1, le=16)] = 1
     right_s: Annotated[float, Meta(ge=1, le=600)] | None = None
     duties: bool = False
     quiet: Quiet | None = None
@@ -170,19 +170,19 @@
 
     @property
     def staleness_us(self) -> int:
-        """How long an owner may act without a look at the cancellations.
+        """How long a shard leader may act without a look at the cancellations.
 
         Let L be the time at which its last good look was asked for, or every other controller's
         word of what it had confirmed (see Peers). What was told before L is known by it, so a
         cancellation it does not know of was told to its user after L.
-        A report is answered with 200 only while the clock reads less than L + staleness (`acts`
-        is asked in the turn in which the answer is written, so a process that stood still before
-        that turn answers nothing; one that stands still after it has answered a report that was
-        sent before). The worker's lease counts from when that report was *sent*, so it is over
-        at L + staleness + lease at the latest, however long the answer was under way. Direct
-        commands renew nothing, and one that is executed late starts nothing that outlives the
-        lease. Clocks drift by 0.05% and a worker looks at its lease now and then: a hundredth of
-        the lease, a tenth of the rest and a second are left for that. So the task is gone within
+        A report is answered with 200 only while the clock reads less than L + staleness
+        (`holds_valid_lease` is asked in the turn in which the answer is written, so a process that
+        stood still before that turn answers nothing; one that stands still after it has answered a
+        report that was sent before). The worker's lease counts from when that report was *sent*, so
+        it is over at L + staleness + lease at the latest, however long the answer was under way.
+        Direct commands renew nothing, and one that is executed late starts nothing that outlives
+        the lease. Clocks drift by 0.05% and a worker looks at its lease now and then: a hundredth
+        of the lease, a tenth of the rest and a second are left for that. So the task is gone within
         `cancel_s` of L, and the user was told later than that.
         """
         w = self.facts.workers
@@ -190,9 +190,9 @@
 
     @property
     def session_lease_us(self) -> int:
-        """How long a session lease lasts. A third of a worker's lease: when an owner is lost, its
-        workers give it up after 4 to 6 s, and find the next owner in place before their leases
-        run out."""
+        """How long a session lease lasts. A third of a worker's lease: when a shard leader is lost,
+        its workers give it up after 4 to 6 s, and find the next shard leader in place before their
+        leases run out."""
         wished = self.operator.right_s
         if wished is None:
             wished = self.facts.workers.lease_s * 0.3
@@ -203,9 +203,9 @@
     return now if later is None else min(now, later)
 
 
-def _convert(data: Any, kind: Any, where: str) -> Any:
+def _convert(data: Any, target: Any, where: str) -> Any:
     try:
-        return msgspec.convert(data, kind, strict=kind is not Operator)
+        return msgspec.convert(data, target, strict=target is not Operator)
     except msgspec.ValidationError as fault:
         text = str(fault)
         what, _, path = text.partition(" - at `$")
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -11,15 +11,15 @@
 from basaltlead.api.users import UserApi, refusal
 from basaltlead.clients.base import encode
 from basaltlead.clients.cloud import Cloud
-from basaltlead.cluster.election import Leading
+from basaltlead.cluster.election import LeaderElection
 from basaltlead.cluster.membership import Membership
 from basaltlead.cluster.peers import Peers
 from basaltlead.config.settings import Settings
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.cluster_view import Grant, block_key
+from basaltlead.core.cluster_view import Grant, shard_key
+from basaltlead.core.entities import US, MachineType
 from basaltlead.core.fleet_sizing import OfferBook
-from basaltlead.core.market import Market, Promises, Terms
-from basaltlead.core.model import US, Kind
+from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
 from basaltlead.duties.reports import DutyReports
@@ -27,64 +27,81 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.scaling.autoscaler import Autoscaler
-from basaltlead.scaling.machine_type_catalog import MachineTypes
-from basaltlead.shard.assignment import Leasing
+from basaltlead.scaling.machine_type_catalog import MachineTypeCatalog
+from basaltlead.shard.assignment import ShardAssigner
 from basaltlead.shard.dispatcher import LEAST_SOCKETS
-from basaltlead.shard.leader import Owner, limits_of
-from basaltlead.storage.client import State
-from basaltlead.storage.records import HIRE, LEASE, MACHINE, OPEN
-from basaltlead.wire.workers import Elsewhere, Report
+from basaltlead.shard.leader import ShardLeader, team_quotas
+from basaltlead.storage.client import KeyValueStore
+from basaltlead.storage.records import ASSIGNMENT, MACHINE, OPEN, SCALE_OUT
+from basaltlead.wire.workers import Heartbeat, Redirect
 
 if TYPE_CHECKING:
     from basaltlead.scaling.quiet_times import QuietTimes
 
 BID_BYTES = 40  # what a bid takes of a stored record at most
 RECORD_BYTES = 64  # and the rest of the record
-# For our own calls to state service, cloud and peers, the least that go to workers, and what the
+# For our own calls to key-value store, cloud and peers, the least that go to workers, and what the
 # process itself has open.
 RESERVED_SOCKETS = 80 + LEAST_SOCKETS
 
-report_decoder = msgspec.json.Decoder(Report)
+heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
-class Node:
+class Controller:
     """One controller process."""
 
-    owner_class = Owner
+    shard_leader_class = ShardLeader
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         facts = settings.facts
-        spread = min(facts.nodes, settings.operator.blocks)  # nodes that own something
+        spread = min(facts.nodes, settings.operator.shards)  # nodes that own something
         limits = settings.store_limits
-        self.state = State(settings.services.state, limits, facts.nodes, spread)
+        self.store = KeyValueStore(settings.services.state, limits, facts.nodes, spread)
         self.cloud = Cloud(settings.services.cloud, facts.cloud.rps / spread)
-        self.member = Membership(
-            settings.member, [peer.member for peer in settings.known], self.state,
-            settings.session_lease_us, settings.operator.blocks,
+        self.membership = Membership(
+            settings.member,
+            [peer.member for peer in settings.known],
+            self.store,
+            settings.session_lease_us,
+            settings.operator.shards,
             DUTY_KEYS if settings.operator.duties else (),
-        )  # fmt: skip
-        self.member.changed = self._changed
-        self.leading = Leading(self.member)
+        )
+        self.membership.changed = self._changed
+        self.election = LeaderElection(self.membership)
         self.cancellations = Cancellations(now_us())
         self.peers = Peers(
-            self.member, settings.internal_addr, settings.known, self.cancellations,
-            DutyReports(self.state, self.member).answer,
-        )  # fmt: skip
-        self.peers.cancellations_read_at = self._cancellations_read_at
+            self.membership,
+            settings.internal_addr,
+            settings.known,
+            self.cancellations,
+            DutyReports(self.store, self.membership).answer,
+        )
+        self.peers.cancellations_as_of = self._cancellations_as_of
         self.peers.over = self._over
-        self.peers.covered = self._covered
-        blocks = settings.operator.blocks
-        self.leasing = Leasing(self.member, self.state, limits_of(settings), blocks)
+        self.peers.confirm_cancellations = self._confirm_cancellations
+        shards = settings.operator.shards
+        self.shard_assigner = ShardAssigner(
+            self.membership, self.store, team_quotas(settings), shards
+        )
         self.user_api = UserApi(
-            self.state, self.member, limits_of(settings), limits, blocks, self.cancellations,
-        )  # fmt: skip
+            self.store,
+            self.membership,
+            team_quotas(settings),
+            limits,
+            shards,
+            self.cancellations,
+        )
         self.user_api.cancelled = self._cancelled
-        self.kinds: dict[str, Kind] = self.user_api.kinds
-        self.owners: dict[int, Owner] = {}
-        self.duties = HeldDuties(settings, self.member, self.state, self.cloud, spread)
-        self.types = MachineTypes(
-            self.cloud, self.state, self.member, self.kinds, lambda: bool(self.owners)
+        self.machine_types: dict[str, MachineType] = self.user_api.machine_types
+        self.shard_leaders: dict[int, ShardLeader] = {}
+        self.duties = HeldDuties(settings, self.membership, self.store, self.cloud, spread)
+        self.types = MachineTypeCatalog(
+            self.cloud,
+            self.store,
+            self.membership,
+            self.machine_types,
+            lambda: bool(self.shard_leaders),
         )
         self.offer_book = OfferBook()
         self.quiet_times = quiet_times_of(settings)
@@ -95,38 +112,42 @@
 
     async def run(self) -> None:
         limit = max(50, self.settings.facts.quota.fd_limit - RESERVED_SOCKETS)
-        server = self.server = Server(self.handle, limit, self._direct_sockets, self._let_go)
+        server = self.server = Server(
+            self.handle, limit, self._direct_sockets, self._close_idle_connection
+        )
         await server.start(self.settings.front)
         await self.peers.serve()
         log.info("%s listens on %s", self.settings.member, self.settings.front)
-        for name, work in (
-            ("keep", self.member.keep), ("watch", self.member.watch),
-            ("lead", self.leading.run), ("types", self.types.follow), ("mind", self._mind),
-            ("ask", self.peers.ask),
-        ):  # fmt: skip
-            self._spawn(work, name)
-        if self.settings.operator.blocks > 1:
-            self._spawn(self.leasing.lease, "lease")
-            for prefix in (OPEN, LEASE, MACHINE, HIRE):
-                self._spawn(partial(self.leasing.follow, prefix), f"follow {prefix}")
+        for name, loop in (
+            ("keep", self.membership.keep),
+            ("watch", self.membership.watch),
+            ("lead", self.election.run),
+            ("types", self.types.follow),
+            ("supervise", self._supervise),
+            ("ask", self.peers.request_deferrals),
+        ):
+            self._spawn(loop, name)
+        if self.settings.operator.shards > 1:
+            self._spawn(self.shard_assigner.assign_jobs, "assign jobs")
+            for prefix in (OPEN, ASSIGNMENT, MACHINE, SCALE_OUT):
+                self._spawn(partial(self.shard_assigner.follow, prefix), f"follow {prefix}")
         await asyncio.Event().wait()
 
     def every_task(self) -> list[asyncio.Task[None]]:
         """All that runs in this process: a crash ends it without a word."""
-        background = [owner.background for owner in self.owners.values()]
+        background = [shard_leader.background for shard_leader in self.shard_leaders.values()]
         background += [holder.background for holder in self.duties.holders.values()]
         return [*self.tasks, *(task for one in background for task in one.running)]
 
-    def _spawn(self, work: Any, name: str) -> None:
+    def _spawn(self, loop: Any, name: str) -> None:
         """A loop that is started again, and logged, should it ever fail."""
-        task = asyncio.get_running_loop().create_task(self._forever(work, name), name=name)
+        task = asyncio.get_running_loop().create_task(self._forever(loop, name), name=name)
         self.tasks.add(task)
 
-    async def _forever(self, work: Any, name: str) -> None:
+    async def _forever(self, loop: Any, name: str) -> None:
         while True:
             try:
-                loop: Coroutine[Any, Any, None] = work()
-                await loop
+                await loop()
             except Exception:
                 log.exception("loop %s failed", name)
             await asyncio.sleep(0.5)
@@ -134,112 +155,144 @@
     # What we own
 
     def _changed(self) -> None:
-        """The cluster has changed: take up blocks that are ours, let go those that are not."""
+        """The cluster has changed: take up shards that are ours, let go those that are not."""
         self.duties.changed()
-        for number in range(self.settings.operator.blocks):
-            held = self.member.owned(block_key(number)) if self.member.version else None
-            owner = self.owners.get(number)
-            if owner is not None and (held is None or held[1] != owner.version):
+        for number in range(self.settings.operator.shards):
+            held = (
+                self.membership.held_grant(shard_key(number)) if self.membership.version else None
+            )
+            shard_leader = self.shard_leaders.get(number)
+            if shard_leader is not None and (held is None or held[1] != shard_leader.version):
                 log.info("block %d let go", number)
-                owner.stop()
-                owner = self.owners.pop(number) and None
-            if owner is None and held is not None:
-                self._take_up(number, held[0], held[1])
+                shard_leader.stop()
+                shard_leader = self.shard_leaders.pop(number) and None
+            if shard_leader is None and held is not None:
+                self._acquire_shard(number, held[0], held[1])
 
-    def _take_up(self, number: int, grant: Grant, version: int) -> None:
+    def _acquire_shard(self, number: int, grant: Grant, version: int) -> None:
         op = self.settings.operator
         facts = self.settings.facts
         terms = Terms(
-            int(op.round_s * US), int(op.refill_s * US), op.budget / op.blocks,
-            op.reserve_price, op.threshold, most_bids(self.settings.store_limits.value_bytes),
-        )  # fmt: skip
-        market = Market(terms, [t.name for t in facts.teams], Promises.of(facts.objectives))
-        owner = self.owner_class(
-            self.settings, self.member, self.state, number, grant, version, market, self.kinds
+            int(op.round_s * US),
+            int(op.refill_s * US),
+            op.budget / op.shards,
+            op.reserve_price,
+            op.threshold,
+            most_bids(self.settings.store_limits.value_bytes),
+        )
+        market = Market(
+            terms, [t.name for t in facts.teams], ServiceLevelObjectives.of(facts.objectives)
         )
-        owner.foreign = lambda name: self.leasing.block_of(name) not in (None, number)
-        owner.sockets_left = self._sockets_left
-        owner.quiet_times = self.quiet_times
-        owner.is_over = self.cancellations.__contains__
-        autoscaler = Autoscaler(self.settings, self.cloud, owner, market, self.offer_book)
-        owner.on_loaded = autoscaler.start
-        self.owners[number] = owner
-        owner.start()
+        shard_leader = self.shard_leader_class(
+            self.settings,
+            self.membership,
+            self.store,
+            number,
+            grant,
+            version,
+            market,
+            self.machine_types,
+        )
+        shard_leader.belongs_to_other_shard = lambda name: (
+            self.shard_assigner.shard_of(name) not in (None, number)
+        )
+        shard_leader.sockets_left = self._sockets_left
+        shard_leader.quiet_times = self.quiet_times
+        shard_leader.is_cancelled = self.cancellations.__contains__
+        autoscaler = Autoscaler(self.settings, self.cloud, shard_leader, market, self.offer_book)
+        shard_leader.on_loaded = autoscaler.start
+        self.shard_leaders[number] = shard_leader
+        shard_leader.start()
 
     # Sockets: those who come to us and direct orders share one limit
 
     def _direct_sockets(self) -> int:
-        return sum(len(owner.dispatcher.workers.pools) for owner in self.owners.values())
+        return sum(
+            len(shard_leader.dispatcher.workers.pools)
+            for shard_leader in self.shard_leaders.values()
+        )
 
-    def _let_go(self) -> bool:
-        return any(owner.dispatcher.workers.let_go() for owner in self.owners.values())
+    def _close_idle_connection(self) -> bool:
+        return any(
+            shard_leader.dispatcher.workers.close_idle()
+            for shard_leader in self.shard_leaders.values()
+        )
 
     def _sockets_left(self) -> int:
-        """How many may go to the workers of one owner now."""
+        """How many may go to the workers of one shard leader now."""
         if self.server is None:
             return LEAST_SOCKETS
         left = self.server.limit - len(self.server.connections)
-        return max(LEAST_SOCKETS, left // max(1, len(self.owners)))
+        return max(LEAST_SOCKETS, left // max(1, len(self.shard_leaders)))
 
     def _cancelled(self, ref: str) -> None:
         """Our own front desk is about to tell a user so."""
         self._over(ref)
-        self.peers.tell(ref)
+        self.peers.announce_cancellation(ref)
 
     def _over(self, ref: str) -> None:
-        for owner in self.owners.values():
-            owner.close(ref)
+        for shard_leader in self.shard_leaders.values():
+            shard_leader.close(ref)
 
-    def _cancellations_read_at(self) -> int | None:
-        looks = [owner.cancellations_read_at for owner in self.owners.values()]
+    def _cancellations_as_of(self) -> int | None:
+        looks = [shard_leader.cancellations_as_of for shard_leader in self.shard_leaders.values()]
         return min((look for look in looks if look is not None), default=None)
 
-    def _covered(self, since: int, until: int) -> None:
-        for owner in self.owners.values():
-            owner.covered(since, until)
+    def _confirm_cancellations(self, since: int, until: int) -> None:
+        for shard_leader in self.shard_leaders.values():
+            shard_leader.confirm_cancellations(since, until)
 
-    async def _mind(self) -> None:
+    async def _supervise(self) -> None:
         """Notice when others would serve our machines better than we do, or have nothing to do."""
         while True:
             await asyncio.sleep(0.3)
-            for number, owner in list(self.owners.items()):
-                if not owner.resigned and self._unreachable(owner):
+            for number, shard_leader in list(self.shard_leaders.items()):
+                if not shard_leader.stepped_down and self._unreachable(shard_leader):
                     log.info("block %d: no report for too long, stepping down", number)
-                    owner.resigned = True
-                if owner.resigned:
-                    await self._hand_back(number, owner, leader_too=True)
-            await self.duties.hand_back()
-            surplus = self.member.cluster.surplus(self.member.name)
-            if surplus is not None:
-                await self._give_away(surplus)
-
-    async def _give_away(self, key: str) -> None:
+                    shard_leader.stepped_down = True
+                if shard_leader.stepped_down:
+                    await self._release(number, shard_leader, leader_too=True)
+            await self.duties.release_stepped_down()
+            grant_to_hand_over = self.membership.cluster.grant_to_hand_over(self.membership.name)
+            if grant_to_hand_over is not None:
+                await self._hand_over(grant_to_hand_over)
+
+    async def _hand_over(self, key: str) -> None:
         """Hand back what a member without any of its kind should have."""
-        if await self.duties.give_away(key):
+        if await self.duties.hand_over(key):
             return
-        for number, owner in list(self.owners.items()):
-            if block_key(number) == key and owner.acts:
-                owner.resigned = True
-                await self._hand_back(number, owner, leader_too=False)
-
-    async def _hand_back(self, number: int, owner: Owner, leader_too: bool) -> None:
-        if await self.member.step_down(block_key(number), leader_too):
-            owner.stop()
-            if self.owners.get(number) is owner:  # else it was granted to us anew meanwhile
-                del self.owners[number]
-
-    def _unreachable(self, owner: Owner) -> bool:
+        for number, shard_leader in list(self.shard_leaders.items()):
+            if shard_key(number) == key and shard_leader.holds_valid_lease:
+                shard_leader.stepped_down = True
+                await self._release(number, shard_leader, leader_too=False)
+
+    async def _release(self, number: int, shard_leader: ShardLeader, leader_too: bool) -> None:
+        if await self.membership.release(shard_key(number), leader_too):
+            shard_leader.stop()
+            if (
+                self.shard_leaders.get(number) is shard_leader
+            ):  # else it was granted to us anew meanwhile
+                del self.shard_leaders[number]
+
+    def _unreachable(self, shard_leader: ShardLeader) -> bool:
         """All machines silent at once while other members live: more likely our own links."""
-        if not owner.loaded or len(self.member.cluster.members) < 2 or not owner.acts:
+        if (
+            not shard_leader.loaded
+            or len(self.membership.cluster.members) < 2
+            or not shard_leader.holds_valid_lease
+        ):
             return False
         now = now_us()
-        report_us = owner.block.timing.report_us
-        patience = max(3 * US, int(report_us * 2.5))
-        machines = owner.block.machines.values()
-        if owner.dispatcher.heard_at:
-            known = sum(1 for m in machines if m.synced and not m.lost and not m.deleting)
-            return known > 1 and now - owner.dispatcher.heard_at > patience
-        return len(owner.block.unsynced) > 1 and now - owner.block.took_at > 9 * US + report_us
+        heartbeat_interval_us = shard_leader.shard.timing.heartbeat_interval_us
+        patience = max(3 * US, int(heartbeat_interval_us * 2.5))
+        machines = shard_leader.shard.machines.values()
+        if shard_leader.dispatcher.heard_at:
+            known = sum(1 for m in machines if m.synced and not m.lost and not m.terminating)
+            return known > 1 and now - shard_leader.dispatcher.heard_at > patience
+        return (
+            len(shard_leader.shard.unsynced) > 1
+            and now - shard_leader.shard.took_at > 9 * US + heartbeat_interval_us
+        )
 
     # Requests
 
@@ -248,37 +301,37 @@
         if path == "/agent/beat":
             if request.method != "POST":
                 return refusal(405, "use POST")
-            return self.beat(request.body)
+            return self.heartbeat(request.body)
         if path == "/healthz":
             if request.method != "GET":
                 return refusal(405, "use GET")
-            # While the state service is away for all, a controller that calls itself unhealthy
+            # While the key-value store is away for all, a controller that calls itself unhealthy
             # helps nobody, and the load balancer would be slow to trust it again.
-            healthy = self.member.acts or self.peers.nobody_better()
-            if healthy and self.kinds:
+            healthy = self.membership.holds_valid_lease or self.peers.all_peers_partitioned()
+            if healthy and self.machine_types:
                 return Response(200, b"{}")
             return refusal(503, "not ready")
         if path == "/api/jobs" or path.startswith("/api/jobs/"):
             return self.user_api.handle(request)
         return refusal(404, "no such path")
 
-    def beat(self, body: bytes) -> Response:
+    def heartbeat(self, body: bytes) -> Response:
         try:
-            report = report_decoder.decode(body)
+            heartbeat = heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
             if self.log_limiter.ok(now_us()):
                 log.info("malformed report: %s", fault)
             return refusal(400, "malformed report")
-        number = self.leasing.block_of(report.machine) or 0
-        owner = self.owners.get(number)
-        if owner is not None:
-            answer = owner.beat(report)
+        number = self.shard_assigner.shard_of(heartbeat.machine) or 0
+        shard_leader = self.shard_leaders.get(number)
+        if shard_leader is not None:
+            answer = shard_leader.heartbeat(heartbeat)
             if answer is not None:
                 return answer
-        elsewhere = self.member.owner(number)
-        if elsewhere is None or elsewhere == self.member.name:
+        elsewhere = self.membership.shard_leader(number)
+        if elsewhere is None or elsewhere == self.membership.name:
             return refusal(503, "no owner known")
-        return Response(421, encode(Elsewhere(elsewhere)))
+        return Response(421, encode(Redirect(elsewhere)))
 
 
 def quiet_times_of(settings: Settings) -> "QuietTimes | None":
@@ -299,7 +352,7 @@
     """Run until killed."""
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     try:
-        asyncio.run(Node(settings).run())
+        asyncio.run(Controller(settings).run())
     except KeyboardInterrupt:
         return 130
     except OSError as fault:
--- a/basaltlead/core/auction.py
+++ b/basaltlead/core/auction.py
@@ -19,7 +19,7 @@
     most: int  # slots it can use
 
 
-def clear(bids: Sequence[Bid[K]], capacity: float) -> dict[K, int]:
+def allocate(bids: Sequence[Bid[K]], capacity: float) -> dict[K, int]:
     """Slots for every bidder."""
     slots = {bid.key: 0 for bid in bids}
     open_bids = [bid for bid in bids if bid.most > 0 and bid.amount > 0 and bid.size > 0]
--- a/basaltlead/core/bidding.py
+++ b/basaltlead/core/bidding.py
@@ -29,9 +29,14 @@
 
 
 def vertical(
-    bid: float, value: float, wanted: float, trend: BidDirection,
-    low: float, high: float, threshold: float = 0.05,
-) -> float:  # fmt: skip
+    bid: float,
+    value: float,
+    wanted: float,
+    trend: BidDirection,
+    low: float,
+    high: float,
+    threshold: float = 0.05,
+) -> float:
     """The next bid: up while the measured value is below the wanted one, else down.
 
     The factor is 1+T for the relative gap T, and 2 from the second round the same way or once T
--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -1,4 +1,4 @@
-"""Who leads, who owns which block and who holds which duty, read off the records in the state
+"""Who leads, who owns which shard and who holds which duty, read off the records in the state
 service.
 
 A lease belongs to one incarnation of one member. It has provably ended once the member's key is
@@ -23,18 +23,18 @@
     return f"{MEMBER_PREFIX}{name}"
 
 
-def load_key(block: int) -> str:
-    """The key under which a block's owner tells its load."""
-    return f"{LOAD_PREFIX}{block}"
+def load_key(shard: int) -> str:
+    """The key under which a shard leader tells its load."""
+    return f"{LOAD_PREFIX}{shard}"
 
 
-BLOCK_PREFIX = "c/block/"
+SHARD_PREFIX = "c/block/"
 DUTY_PREFIX = "c/duty/"
 
 
-def block_key(block: int) -> str:
-    """The key that says who owns a block."""
-    return f"{BLOCK_PREFIX}{block}"
+def shard_key(shard: int) -> str:
+    """The key that says who owns a shard."""
+    return f"{SHARD_PREFIX}{shard}"
 
 
 def duty_key(duty: str) -> str:
@@ -44,16 +44,16 @@
 
 def is_grant_key(key: str) -> bool:
     """Is it the key of something that the leader grants?"""
-    return key.startswith((BLOCK_PREFIX, DUTY_PREFIX))
+    return key.startswith((SHARD_PREFIX, DUTY_PREFIX))
 
 
 def spoken(key: str) -> str:
-    """What a grant's key stands for, in the log: "block 0", "duty rent"."""
-    _, kind, name = key.split("/")
-    return f"{kind} {name}"
+    """What a grant's key stands for, in the log: "shard 0", "duty rent"."""
+    _, grant_kind, name = key.split("/")
+    return f"{grant_kind} {name}"
 
 
-def _kind_of(key: str) -> str:
+def _grant_kind(key: str) -> str:
     """Blocks and duties are spread over the members each for themselves."""
     return key.rpartition("/")[0]
 
@@ -67,7 +67,7 @@
 
 
 class Grant(Struct, rename={"incarnation": "life", "fencing_token": "baton", "granted_at": "at"}):
-    """The value of the key of a block or a duty. One that was handed back names nobody, and whom
+    """The value of the key of a shard or a duty. One that was handed back names nobody, and whom
     to avoid."""
 
     name: str
@@ -78,7 +78,7 @@
 
 
 class Load(Struct):
-    """What a block's owner tells the others each round, in CPUs: tasks that wait, free room."""
+    """What a shard leader tells the others each round, in CPUs: tasks that wait, free room."""
 
     waiting: float
     free: float
@@ -90,13 +90,13 @@
     last: int
 
 
-class Cluster:
+class ClusterView:
     """The picture: values and versions of the keys under PREFIX."""
 
     def __init__(self) -> None:
         self.members: dict[str, tuple[Claim, int]] = {}
         self.leader: tuple[Claim, int] | None = None
-        self.grants: dict[str, tuple[Grant, int]] = {}  # by the keys of blocks and duties
+        self.grants: dict[str, tuple[Grant, int]] = {}  # by the keys of shards and duties
         self.fencing_token: tuple[Counter, int] | None = None
         self.loads: dict[int, Load] = {}
 
@@ -111,8 +111,8 @@
             if self.member_version(name) <= version:
                 self.members[name] = (msgspec.json.decode(raw, type=Claim), version)
         elif key.startswith(LOAD_PREFIX):
-            block = int(key.removeprefix(LOAD_PREFIX))
-            self.loads[block] = msgspec.json.decode(raw, type=Load)
+            shard = int(key.removeprefix(LOAD_PREFIX))
+            self.loads[shard] = msgspec.json.decode(raw, type=Load)
         elif is_grant_key(key):
             self.note_grant(key, msgspec.json.decode(raw, type=Grant), version)
 
@@ -122,7 +122,7 @@
         if known is None or known[1] <= version:
             self.grants[key] = (grant, version)
 
-    def lives(self, name: str, incarnation: str) -> bool:
+    def is_alive(self, name: str, incarnation: str) -> bool:
         member = self.members.get(name)
         return member is not None and member[0].incarnation == incarnation
 
@@ -131,20 +131,20 @@
         return member[1] if member is not None else 0
 
     @property
-    def leader_lives(self) -> bool:
-        return self.leader is not None and self.lives(
+    def leader_alive(self) -> bool:
+        return self.leader is not None and self.is_alive(
             self.leader[0].name, self.leader[0].incarnation
         )
 
     def holder(self, key: str) -> str | None:
-        """The living member that a block or duty is granted to."""
+        """The living member that a shard or duty is granted to."""
         held = self.grants.get(key)
-        if held is None or not self.lives(held[0].name, held[0].incarnation):
+        if held is None or not self.is_alive(held[0].name, held[0].incarnation):
             return None
         return held[0].name
 
-    def taker(self, key: str, me: str) -> str | None:
-        """Whom to grant a block or duty to: the living member with fewest of its kind, then with
+    def next_holder(self, key: str, me: str) -> str | None:
+        """Whom to grant a shard or duty to: the living member with fewest of its kind, then with
         fewest grants at all, the leader itself among equals, and not whoever has just handed it
         back if there is anybody else."""
         alike = dict.fromkeys(self.members, 0)
@@ -153,7 +153,7 @@
             name = self.holder(other)
             if name is not None:
                 count[name] += 1
-                alike[name] += _kind_of(other) == _kind_of(key)
+                alike[name] += _grant_kind(other) == _grant_kind(key)
         held = self.grants.get(key)
         avoid = held[0].avoid if held is not None else ""
         return min(
@@ -162,48 +162,48 @@
             default=None,
         )
 
-    def surplus(self, me: str) -> str | None:
+    def grant_to_hand_over(self, me: str) -> str | None:
         """The key of a grant of ours that a member without any of its kind should have."""
         mine: dict[str, list[str]] = {}
         holders: dict[str, set[str]] = {}
         for key in self.grants:
             name = self.holder(key)
             if name is not None:
-                holders.setdefault(_kind_of(key), set()).add(name)
+                holders.setdefault(_grant_kind(key), set()).add(name)
             if name == me:
-                mine.setdefault(_kind_of(key), []).append(key)
-        for kind, keys in mine.items():
-            if len(keys) > 1 and self.members.keys() - holders[kind]:
+                mine.setdefault(_grant_kind(key), []).append(key)
+        for grant_kind, keys in mine.items():
+            if len(keys) > 1 and self.members.keys() - holders[grant_kind]:
                 # Of duties the first by name is clean-up, which also a member can do that does
-                # not reach the cloud. The first block is what machines of no block fall to.
+                # not reach the cloud. The first shard is what machines of no shard fall to.
                 return min(keys) if keys[0].startswith(DUTY_PREFIX) else max(keys)
         return None
 
     @property
-    def predecessor(self) -> str:
-        """Who owned the first block last, whether it was lost or handed back."""
-        held = self.grants.get(block_key(0))
+    def previous_leader(self) -> str:
+        """Who owned the first shard last, whether it was lost or handed back."""
+        held = self.grants.get(shard_key(0))
         if held is None:
             return ""
         return held[0].name or held[0].avoid
 
-    def succession(self) -> list[str]:
-        """The members in the order in which they should replace the last owner: those listed
+    def failover_order(self) -> list[str]:
+        """The members in the order in which they should replace the last shard leader: those listed
         after it first.
 
         A worker whose node falls silent tries the next one in its list. If that one is the new
-        owner, the worker loses no time there; if it is a node that has been away for longer, the
-        worker waits for another 4 s, and a short lease is over before it has tried a third.
-        Taking turns in the order of the list keeps nodes that are away behind the owner, not
-        before it. The order of the workers' lists is not specified: numbered names are taken to
-        be listed by number. Nothing but the time that a takeover takes depends on it.
+        shard leader, the worker loses no time there; if it is a node that has been away for longer,
+        the worker waits for another 4 s, and a short lease is over before it has tried a third.
+        Taking turns in the order of the list keeps nodes that are away behind the shard leader, not
+        before it. The order of the workers' lists is not specified: numbered names are taken to be
+        listed by number. Nothing but the time that a failover takes depends on it.
         """
         names = sorted(self.members, key=list_order)
-        last = list_order(self.predecessor)
+        last = list_order(self.previous_leader)
         return sorted(names, key=lambda name: (list_order(name) <= last, list_order(name)))
 
     def orphans(self, keys: Iterable[str]) -> list[str]:
-        """Those of the blocks and duties that have no living holder."""
+        """Those of the shards and duties that have no living holder."""
         return [key for key in keys if self.holder(key) is None]
 
 
@@ -214,5 +214,5 @@
 
 def session_validity_end(sent_us: int, ttl_us: int) -> int:
     """Until when a renewal sent at `sent_us` provably keeps a session lease: less the drift of our
-    clock against the state service's, and less the resolution of timers."""
+    clock against the key-value store's, and less the resolution of timers."""
     return sent_us + ttl_us - ttl_us // 500 - 20_000
--- a/basaltlead/core/model.py
+++ b/basaltlead/core/entities.py
@@ -6,7 +6,7 @@
 
 US = 1_000_000
 EPS = 1e-6
-MOST_TASKS = 400  # on one machine
+MAX_TASKS_PER_MACHINE = 400  # on one machine
 
 # A replica that has run for so long shows that its service can run.
 LASTING_US = 30 * US
@@ -45,8 +45,8 @@
     apart: bool
     spot: bool
     guess_us: int
-    mark_every_us: int
-    mark_s: float
+    checkpoint_interval_us: int
+    checkpoint_duration_s: float
     due_us: int | None  # from its submission
 
     @property
@@ -64,7 +64,7 @@
 
     @property
     def whole(self) -> bool:
-        """Must all of its tasks be placed by one owner, who sees them together?"""
+        """Must all of its tasks be placed by one shard leader, who sees them together?"""
         return self.gang or self.one_zone or self.apart
 
     @property
@@ -90,7 +90,7 @@
     return max(0, int(most))
 
 
-class Kind(Struct, frozen=True):
+class MachineType(Struct, frozen=True):
     """A machine type."""
 
     name: str
@@ -113,16 +113,16 @@
         return fitting(job, self.cpus, self.gpus, self.memory_gb)
 
 
-def allowed(job: Job, kind: str, zone: str, spot: bool) -> bool:
+def allowed(job: Job, machine_type: str, zone: str, spot: bool) -> bool:
     """May a task of the job be on such a machine at all?"""
     return (
-        (job.types is None or kind in job.types)
+        (job.types is None or machine_type in job.types)
         and (job.zone is None or job.zone == zone)
         and (job.spot or not spot)
     )
 
 
-class Room:
+class Resources:
     """Amounts of the three resources."""
 
     __slots__ = ("cpus", "gpus", "memory_gb")
@@ -148,182 +148,207 @@
         self.gpus -= job.gpus * times
         self.memory_gb -= job.memory_gb * times
 
-    def copy(self) -> "Room":
-        return Room(self.cpus, self.gpus, self.memory_gb)
+    def copy(self) -> "Resources":
+        return Resources(self.cpus, self.gpus, self.memory_gb)
 
     @staticmethod
-    def of(kind: Kind) -> "Room":
-        return Room(kind.cpus, kind.gpus, kind.memory_gb)
+    def of(machine_type: MachineType) -> "Resources":
+        return Resources(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
 class Attempt:
     """One start of one task on one machine, from the decision until it is provably gone."""
 
     __slots__ = (
-        "adopted", "bid", "flying", "grace", "index", "loose", "machine", "ran_at", "sent_tick",
-        "since", "stage", "token", "told", "work",
-    )  # fmt: skip
+        "adopted",
+        "attempt_number",
+        "bid",
+        "index",
+        "job_state",
+        "machine",
+        "pushed_grace_s",
+        "running_since",
+        "sent_sequence",
+        "created_at",
+        "stage",
+        "start_in_flight",
+        "start_unacknowledged",
+        "stop_grace_s",
+    )
 
-    def __init__(self, work: "Work", index: int, machine: "Machine", token: int, now: int) -> None:
-        self.work = work
+    def __init__(
+        self, job_state: "JobState", index: int, machine: "Machine", attempt_number: int, now: int
+    ) -> None:
+        self.job_state = job_state
         self.index = index
         self.machine = machine
-        self.token = token
+        self.attempt_number = attempt_number
         self.stage = "planned"  # planned, sent, then what the worker reports
-        self.grace: float | None = None  # not None: it is to stop
-        self.told: float | None = None  # the grace it was told directly
+        self.stop_grace_s: float | None = None  # not None: it is to stop
+        self.pushed_grace_s: float | None = None  # the grace it was told directly
         # Reports up to this one say nothing about it: the answer to this one carried the order,
         # or this one is the worker's answer to a direct order.
-        self.sent_tick = 0
-        self.flying = False  # a direct order is unanswered so far
-        self.loose = False  # a direct order was never answered: a copy may still arrive
-        self.since = now
-        self.ran_at = 0
-        # It was running when this owner first heard of it: since when is not known, and its run
-        # time teaches nothing.
+        self.sent_sequence = 0
+        self.start_in_flight = False  # a direct order is unanswered so far
+        self.start_unacknowledged = (
+            False  # a direct order was never answered: a copy may still arrive
+        )
+        self.created_at = now
+        self.running_since = 0
+        # It was running when this shard leader first heard of it: since when is not known, and its
+        # run time teaches nothing.
         self.adopted = False
         self.bid = 0.0  # what is booked for it on its machine
 
     @property
     def key(self) -> tuple[str, int]:
-        return (self.work.job.ref, self.index)
+        return (self.job_state.job.ref, self.index)
 
     @property
-    def there(self) -> bool:
+    def may_be_on_machine(self) -> bool:
         """May it be on its machine?"""
         return self.stage != "planned"
 
 
-class ListedAttempt:
+class OrphanedAttempt:
     """An attempt that is over, or that nobody wants, still listed by its worker."""
 
-    __slots__ = ("forgettable", "loose", "over")
+    __slots__ = ("ended", "forgettable", "start_unacknowledged")
 
-    def __init__(self, over: bool, forgettable: bool, loose: bool = False) -> None:
-        self.over = over
+    def __init__(self, ended: bool, forgettable: bool, start_unacknowledged: bool = False) -> None:
+        self.ended = ended
         self.forgettable = forgettable
-        self.loose = loose
+        self.start_unacknowledged = start_unacknowledged
 
 
 class Machine:
-    """A rented machine as its block's owner sees it."""
+    """A rented machine as its shard leader sees it."""
 
-    def __init__(self, name: str, kind: Kind, zone: str, spot: bool, now: int) -> None:
+    def __init__(
+        self, name: str, machine_type: MachineType, zone: str, spot: bool, now: int
+    ) -> None:
         self.name = name
-        self.kind = kind
+        self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
         self.address = ""
-        self.session = 0
-        self.tick = 0  # of the newest message
-        self.beat_tick = 0  # of the newest report
-        self.min_session = 0  # older sessions are over
+        self.epoch = 0
+        self.sequence = 0  # of the newest message
+        self.heartbeat_sequence = 0  # of the newest report
+        self.min_epoch = 0  # older sessions are over
         self.synced = False  # has shown that it knows our fencing token
-        self.asked_at = 0  # since when we have answered it without its showing our fencing token
-        self.session_at = 0  # the first report of its session
+        self.unsynced_since = (
+            0  # since when we have answered it without its showing our fencing token
+        )
+        self.epoch_started_at = 0  # the first report of its session
         self.unreachable_since = 0  # since when there is doubt whether our orders reach it; 0: none
         self.back_at = 0  # when it was last heard again after it had been lost
-        self.recorded = False  # stands in the state service: tasks may be started
+        self.recorded = False  # stands in the key-value store: tasks may be started
         self.up = False
         self.lost = False
         self.draining = False
-        self.deleting = False
+        self.terminating = False
         self.made_at = now
         self.heard_at = 0
         self.answered_at = now
-        self.recall_at: int | None = None
+        self.preemption_at: int | None = None
         self.idle_since = now
-        self.avoid_until = 0
-        self.quiet_until = 0  # no direct orders until then
+        self.cordoned_until = 0
+        self.push_backoff_until = 0  # no direct orders until then
         self.up_at = 0
         self.useful = 0.0  # share-seconds of tasks that completed here, and of those that did not
         self.wasted = 0.0
         self.fetched = 0.0  # the same for tasks between their start and their first run
-        self.faults: set[str] = set()  # jobs that failed here since the last success
-        self.slow: set[str] = set()  # jobs of which a task took far too long here
+        self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
+        self.straggler_jobs: set[str] = set()  # jobs of which a task took far too long here
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.listed_attempts: dict[tuple[str, int, int], ListedAttempt] = {}
+        self.orphaned_attempts: dict[tuple[str, int, int], OrphanedAttempt] = {}
         self.images: dict[str, float] = {}
-        self.wanted = True  # the fleet needs it: one it does not need is left to empty
+        self.needed = True  # the fleet needs it: one it does not need is left to empty
         # Kept up to date with each attempt, since plans ask for them for hundreds of machines:
         # what is free beside the attempts that stay, and the sum of the bids of those.
-        self.free = Room.of(kind)
+        self.free = Resources.of(machine_type)
         self.booked = 0.0
 
     def usable(self, now: int) -> bool:
         return (
-            self.synced and self.recorded and not self.lost and not self.draining
-            and not self.deleting and not self.unreachable_since
-            and self.recall_at is None and now >= self.avoid_until
-        )  # fmt: skip
+            self.synced
+            and self.recorded
+            and not self.lost
+            and not self.draining
+            and not self.terminating
+            and not self.unreachable_since
+            and self.preemption_at is None
+            and now >= self.cordoned_until
+        )
 
     def book(self, attempt: Attempt) -> None:
         """Give an attempt its place."""
-        attempt.bid = attempt.work.bid
-        self.free.take(attempt.work.job)
+        attempt.bid = attempt.job_state.bid
+        self.free.take(attempt.job_state.job)
         self.booked += attempt.bid
 
     def unbook(self, attempt: Attempt) -> None:
         """It is to stop, or gone."""
-        self.free.take(attempt.work.job, -1)
+        self.free.take(attempt.job_state.job, -1)
         self.booked -= attempt.bid
 
     def rebook(self) -> None:
         """Book anew, after bids have moved. Also takes out what rounding has left behind."""
-        self.free = Room.of(self.kind)
+        self.free = Resources.of(self.machine_type)
         self.booked = 0.0
         for attempt in self.attempts.values():
-            if attempt.grace is None:
+            if attempt.stop_grace_s is None:
                 self.book(attempt)
 
-    def room(self) -> Room:
+    def room(self) -> Resources:
         """What is free beside all that may be there, commands apart."""
-        room = Room.of(self.kind)
+        room = Resources.of(self.machine_type)
         for attempt in self.attempts.values():
-            if attempt.there:
-                room.take(attempt.work.job)
+            if attempt.may_be_on_machine:
+                room.take(attempt.job_state.job)
         return room
 
     def share(self, job: Job) -> float:
         """The part of the machine that a task takes."""
-        kind = self.kind
+        machine_type = self.machine_type
         return max(
-            job.cpus / kind.cpus if kind.cpus else 0.0,
-            job.memory_gb / kind.memory_gb if kind.memory_gb else 0.0,
-            job.gpus / kind.gpus if kind.gpus else 0.0,
+            job.cpus / machine_type.cpus if machine_type.cpus else 0.0,
+            job.memory_gb / machine_type.memory_gb if machine_type.memory_gb else 0.0,
+            job.gpus / machine_type.gpus if machine_type.gpus else 0.0,
         )
 
     @property
-    def crowded(self) -> bool:
+    def is_full(self) -> bool:
         """A worker's report must fit into 64 KiB, and so must the tasks that it lists."""
-        return len(self.attempts) + len(self.listed_attempts) >= MOST_TASKS
+        return len(self.attempts) + len(self.orphaned_attempts) >= MAX_TASKS_PER_MACHINE
 
     def busy_with(self, key: tuple[str, int]) -> bool:
         """Is another attempt of the task still there? One that has ended does not count, not
         even one whose order may arrive again: the worker knows its number while it lists it."""
         return any(
-            known[:2] == key and not rest.over for known, rest in self.listed_attempts.items()
+            known[:2] == key and not rest.ended for known, rest in self.orphaned_attempts.items()
         )
 
     def keep_image(self, image: str, size_gb: float) -> None:
         """Note an image as the most recently used, as the worker's cache does."""
         self.images.pop(image, None)
         self.images[image] = size_gb
-        while sum(self.images.values()) > self.kind.cache_gb and len(self.images) > 1:
+        while sum(self.images.values()) > self.machine_type.cache_gb and len(self.images) > 1:
             del self.images[next(iter(self.images))]
 
 
-class Work:
-    """An open job as its owner sees it."""
+class JobState:
+    """An open job as its shard leader sees it."""
 
     def __init__(self, job: Job, version: int, now: int, age_us: int) -> None:
         self.job = job
         self.version = version
-        self.asked_at = now - age_us
+        self.submitted_at = now - age_us
         self.done = bytearray((job.tasks + 7) // 8)
         self.done_count = 0
-        self.own = bytearray(len(self.done))  # of these, results that this block recorded
-        # The tasks that are leased to this block, as ranges; all of them if there is but one.
+        self.own = bytearray(len(self.done))  # of these, results that this shard recorded
+        # The tasks that are leased to this shard, as ranges; all of them if there is but one.
         self.ranges: list[tuple[int, int]] = [(0, job.tasks)]
         self.size = job.tasks
         self.part_done = 0  # how many of them are done
@@ -344,7 +369,7 @@
         self.slots: int | None = None  # what the auction gave it; None before its first round
         self.need: int | None = None  # what must run now for it to be done in time
         # Has it a deadline or a promise of its class, even if it is late by now? Arrays only.
-        self.promised = True
+        self.has_objective = True
         self.finished_recent = 0
         self.ran_us = 0  # run time of its tasks that completed, and how many those were
         self.ran_count = 0
@@ -357,7 +382,7 @@
         return any(low <= index < high for low, high in self.ranges)
 
     def note(self, index: int, own: bool) -> bool:
-        """Take in a result, ours or one that another block recorded; True if it is news."""
+        """Take in a result, ours or one that another shard recorded; True if it is news."""
         if index >= self.job.tasks:
             return False
         bit = 1 << (index & 7)
@@ -377,8 +402,8 @@
             self.finished_recent += 1
             self.unstored.add(index)
 
-    def lease(self, ranges: list[tuple[int, int]]) -> None:
-        """From now on these tasks are this block's to start."""
+    def assign(self, ranges: list[tuple[int, int]]) -> None:
+        """From now on these tasks are this shard's to start."""
         self.ranges = ranges
         self.size = sum(high - low for low, high in ranges)
         self.part_done = sum(
@@ -414,7 +439,7 @@
 
     @property
     def remaining(self) -> int:
-        """Tasks of this block's ranges that are not done."""
+        """Tasks of this shard's ranges that are not done."""
         return self.size - self.part_done
 
     @property
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Sequence
 
-from basaltlead.core.model import Machine, Work
+from basaltlead.core.entities import JobState, Machine
 from basaltlead.core.placement import Ranking, zones_open
 
 
-def place(work: Work, machines: Sequence[Machine]) -> list[Machine] | None:
+def place(job_state: JobState, machines: Sequence[Machine]) -> list[Machine] | None:
     """A machine for each task of the gang, or None."""
-    job = work.job
+    job = job_state.job
     zones = {machine.zone for machine in machines}
-    open_zones = sorted(zones_open(work, zones))
+    open_zones = sorted(zones_open(job_state, zones))
     # A gang in one zone tries them one by one; otherwise all zones together.
     for tried in [{zone} for zone in open_zones] if job.one_zone else [set(open_zones)]:
         usable = [m for m in machines if m.zone in tried]
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -4,18 +4,20 @@
 from collections.abc import Callable, Iterable
 from heapq import heapify, heappop, heappush
 
-from basaltlead.core.model import Attempt, Job, Machine, Room, Work
+from basaltlead.core.entities import Attempt, Job, JobState, Machine, Resources
 
 REPLICA_LOSS_S = 30.0  # what stopping a replica of lower rank is reckoned to cost
 
 
-def zones_open(work: Work, zones: Iterable[str], leaving: Attempt | None = None) -> set[str]:
+def zones_open(
+    job_state: JobState, zones: Iterable[str], leaving: Attempt | None = None
+) -> set[str]:
     """Zones in which one more task of the job may start, given the tasks it has anywhere, but for
     one that is to leave its place first."""
-    job = work.job
+    job = job_state.job
     if not (job.one_zone or job.apart):
         return set(zones)
-    held = Counter(a.machine.zone for a in work.live.values() if a is not leaving)
+    held = Counter(a.machine.zone for a in job_state.live.values() if a is not leaving)
     if job.one_zone and held:  # a job may ask for both: then half of it at a time, in one zone
         zones = set(held) if len(held) == 1 else set()
     return {zone for zone in zones if held[zone] < job.zone_cap}
@@ -27,7 +29,7 @@
     that has the image starts the task at once; one that has work stays rented anyway. A gang
     fills machines and waits as a whole for the slowest fetch: for it the image comes first."""
     image = 0 if job.image in machine.images else 1
-    wanted = 0 if machine.wanted else 1
+    wanted = 0 if machine.needed else 1
     dear = 0 if machine.spot else 1
     busy = 0 if machine.attempts else 1
     return (image, wanted, dear, busy) if job.gang else (wanted, dear, image, busy)
@@ -37,7 +39,7 @@
     """CPU seconds that a task would stand idle for its image."""
     if job.image in machine.images:
         return 0.0
-    return machine.kind.fetch_s(job) * job.size
+    return machine.machine_type.fetch_s(job) * job.size
 
 
 class Ranking:
@@ -45,7 +47,7 @@
     paper's worst fit). Made in one pass; each task then costs no more than a step in a heap."""
 
     def __init__(
-        self, job: Job, machines: Iterable[Machine], trial: dict[str, Room] | None = None
+        self, job: Job, machines: Iterable[Machine], trial: dict[str, Resources] | None = None
     ) -> None:
         """`trial` holds rooms to reckon with instead of what is free."""
         self.job = job
@@ -53,11 +55,11 @@
         self.heap = [
             (tier(job, m), m.booked, m.name, m)
             for m in machines
-            if self._room(m).fits(job) and not m.crowded
+            if self._room(m).fits(job) and not m.is_full
         ]
         heapify(self.heap)
 
-    def _room(self, machine: Machine) -> Room:
+    def _room(self, machine: Machine) -> Resources:
         return machine.free if self.trial is None else self.trial[machine.name]
 
     def best(self, zones: set[str]) -> Machine | None:
@@ -71,23 +73,27 @@
         """A task was bound to it: rank it anew while it holds another."""
         if self.heap and self.heap[0][3] is machine:
             heappop(self.heap)
-        if self._room(machine).fits(self.job) and not machine.crowded:
+        if self._room(machine).fits(self.job) and not machine.is_full:
             heappush(self.heap, (tier(self.job, machine), machine.booked, machine.name, machine))
 
 
 def loss(attempt: Attempt, now: int) -> float:
     """What stopping an attempt would waste, in CPU seconds."""
-    job = attempt.work.job
+    job = attempt.job_state.job
     if attempt.stage in ("planned", "sent", "fetching", "gathering"):
         return 0.0
     if job.service:  # it only stands still until it runs elsewhere
         return REPLICA_LOSS_S * job.size
-    lost_us = now - attempt.ran_at if not job.mark_every_us else int(job.mark_s * 1e6)
+    lost_us = (
+        now - attempt.running_since
+        if not job.checkpoint_interval_us
+        else int(job.checkpoint_duration_s * 1e6)
+    )
     return max(0, lost_us) / 1e6 * job.size
 
 
-def victims(
-    job: Job, machine: Machine, now: int, may_stop: Callable[[Work], bool]
+def preemption_candidates(
+    job: Job, machine: Machine, now: int, may_stop: Callable[[JobState], bool]
 ) -> tuple[float, list[Attempt]] | None:
     """The attempts to stop so that a task of the job fits on the machine, and the loss."""
     if machine.free.fits(job):
@@ -95,12 +101,14 @@
     room = machine.free.copy()
     chosen: list[Attempt] = []
     total = 0.0
-    lower = [a for a in machine.attempts.values() if a.grace is None and may_stop(a.work)]
-    lower.sort(key=lambda a: (a.work.job.rank, loss(a, now)))
+    lower = [
+        a for a in machine.attempts.values() if a.stop_grace_s is None and may_stop(a.job_state)
+    ]
+    lower.sort(key=lambda a: (a.job_state.job.rank, loss(a, now)))
     for attempt in lower:
         if room.fits(job):
             break
-        room.take(attempt.work.job, -1)
+        room.take(attempt.job_state.job, -1)
         chosen.append(attempt)
         total += loss(attempt, now)
     return (total, chosen) if room.fits(job) else None
--- a/basaltlead/core/planning.py
+++ b/basaltlead/core/planning.py
@@ -8,10 +8,10 @@
 from functools import cached_property
 
 from basaltlead.core import gang_placement, placement
-from basaltlead.core.model import RANKS, US, Attempt, Job, Machine, Shape, Work, allowed
+from basaltlead.core.entities import RANKS, US, Attempt, Job, JobState, Machine, Shape, allowed
 from basaltlead.core.replica_placement import ReplicaChoice
-from basaltlead.core.shard import Block
-from basaltlead.core.shard_state import TRIALS_OF_ITS_OWN, Limits
+from basaltlead.core.shard import Shard
+from basaltlead.core.shard_state import TRIALS_OF_ITS_OWN, TeamQuota
 
 MOST_STARTS = 2000  # of one job in one plan
 GATHER_US = 20 * US  # a gang that has waited for so long has room kept free for it
@@ -22,244 +22,278 @@
 Opening = tuple[float, str, Machine, int, list[Attempt]]
 Taken = tuple[Machine, int, list[Attempt]]
 # By type, zone, spot or not, and size: a type that was not known when a machine was met has none.
-Lots = dict[tuple[str, str, bool, float], list[Machine]]
+MachineGroups = dict[tuple[str, str, bool, float], list[Machine]]
 
 
-def guaranteed(block: Block, work: Work) -> bool:
+def fits_guarantee(shard: Shard, job_state: JobState) -> bool:
     """Does the job fit into its team's guarantee beside what the team uses?"""
-    team = block.teams.get(work.job.team, Limits())
+    team = shard.teams.get(job_state.job.team, TeamQuota())
     if not team.cpus and not team.gpus:
         return False
-    used = block.used(work.job.team)
-    count = work.job.together
+    used = shard.used(job_state.job.team)
+    count = job_state.job.together
     return (
-        used[0] + work.job.cpus * count <= team.cpus + 1e-6
-        and used[1] + work.job.gpus * count <= team.gpus + 1e-6
+        used[0] + job_state.job.cpus * count <= team.cpus + 1e-6
+        and used[1] + job_state.job.gpus * count <= team.gpus + 1e-6
     )
 
 
-def displaceable(work: Work) -> bool:
+def is_preemptible(job_state: JobState) -> bool:
     """May ordinary work of a higher rank take its place? Nobody was promised when it is done,
     and what it has done so far is saved."""
-    return not work.promised and work.job.mark_every_us > 0
+    return not job_state.has_objective and job_state.job.checkpoint_interval_us > 0
 
 
-def order(block: Block, now: int) -> list[Work]:
+def order(shard: Shard, now: int) -> list[JobState]:
     """Open jobs with waiting tasks, in the order in which they are started: guarantees, rank,
     gangs (whole, before arrays take the room), jobs with a promise to keep, the team furthest
     below its share, the higher bid, the older."""
     shares: dict[str, float] = {}
-    for work in block.works.values():
-        if not work.closed:
-            shares[work.job.team] = shares.get(work.job.team, 0.0) + work.bid
+    for job_state in shard.job_states.values():
+        if not job_state.closed:
+            shares[job_state.job.team] = shares.get(job_state.job.team, 0.0) + job_state.bid
     total = sum(shares.values()) or 1.0
-    in_use = sum(used[0] for used in block.team_used.values()) or 1.0
+    in_use = sum(used[0] for used in shard.team_used.values()) or 1.0
 
     def excess(team: str) -> float:
-        return block.used(team)[0] / in_use - shares.get(team, 0.0) / total
+        return shard.used(team)[0] / in_use - shares.get(team, 0.0) / total
 
-    ready = [w for w in block.works.values() if not block.blocked(w, now) and w.waiting > 0]
+    ready = [w for w in shard.job_states.values() if not shard.blocked(w, now) and w.waiting > 0]
     return sorted(
         ready,
         key=lambda w: (
-            not guaranteed(block, w), -w.job.rank, not w.job.gang, not w.promised,
-            excess(w.job.team), -w.bid, w.asked_at,
+            not fits_guarantee(shard, w),
+            -w.job.rank,
+            not w.job.gang,
+            not w.has_objective,
+            excess(w.job.team),
+            -w.bid,
+            w.submitted_at,
         ),
-    )  # fmt: skip
+    )
 
 
 class Plan:
     """One round of binding waiting tasks to machines, in start order."""
 
-    def __init__(self, block: Block, now: int) -> None:
-        self.block = block
+    def __init__(self, shard: Shard, now: int) -> None:
+        self.shard = shard
         self.now = now
         # One that has been silent for half a lease would probably take a new task along with
         # the others: direct orders may reach it, but they don't renew its lease.
-        since = now - block.timing.lease_us // 2
+        since = now - shard.timing.lease_us // 2
         self.usable = [
-            m for m in block.machines.values() if m.usable(now) and m.answered_at >= since
+            m for m in shard.machines.values() if m.usable(now) and m.answered_at >= since
         ]
         self.zones = {machine.zone for machine in self.usable}
-        self.lots: Lots = {}  # machines that are alike
-        self.roomy: Lots = {}  # those of them on which anything that waits may fit
+        self.machine_groups: MachineGroups = {}  # machines that are alike
+        self.with_room: MachineGroups = {}  # those of them on which anything that waits may fit
         self.kept: set[str] = set()  # machines that are kept free for a gang
-        self.hopeless: set[tuple[object, ...]] = set()  # what found no room in this plan
+        self.unplaceable: set[tuple[object, ...]] = set()  # what found no room in this plan
 
     @cached_property
     def unsure(self) -> bool:
         """May tasks run that nobody accounts for? Asked only for teams with a limit: it takes a
         look at every machine."""
-        return self.block.strangers
+        return self.shard.has_unaccounted_tasks
 
     def run(self) -> None:
         if not self.usable:
             return
-        works = order(self.block, self.now)
-        least = min((work.job.cpus for work in works), default=0.0) - 1e-6
+        job_states = order(self.shard, self.now)
+        least = min((job_state.job.cpus for job_state in job_states), default=0.0) - 1e-6
         for machine in self.usable:
-            lot = (machine.kind.name, machine.zone, machine.spot, machine.kind.cpus)
-            self.lots.setdefault(lot, []).append(machine)
+            lot = (machine.machine_type.name, machine.zone, machine.spot, machine.machine_type.cpus)
+            self.machine_groups.setdefault(lot, []).append(machine)
             if machine.free.cpus >= least:
-                self.roomy.setdefault(lot, []).append(machine)
-        for work in works:
-            if work.job.gang:
-                self._gang(work)
-            elif work.job.service:
-                self._replicas(work)
-            elif work.slots is None or len(work.live) < work.slots:
-                limit = work.waiting if work.slots is None else work.slots - len(work.live)
-                self._tasks(work, limit)
-        for work in works:  # nothing stays idle while somebody waits
-            if work.job.shape is Shape.ARRAY and work.slots is not None:
-                self._tasks(work, work.waiting)
+                self.with_room.setdefault(lot, []).append(machine)
+        for job_state in job_states:
+            if job_state.job.gang:
+                self._gang(job_state)
+            elif job_state.job.service:
+                self._replicas(job_state)
+            elif job_state.slots is None or len(job_state.live) < job_state.slots:
+                limit = (
+                    job_state.waiting
+                    if job_state.slots is None
+                    else job_state.slots - len(job_state.live)
+                )
+                self._tasks(job_state, limit)
+        for job_state in job_states:  # nothing stays idle while somebody waits
+            if job_state.job.shape is Shape.ARRAY and job_state.slots is not None:
+                self._tasks(job_state, job_state.waiting)
         self._move_replicas()
 
-    def _suited(self, work: Work, lots: Lots) -> list[Machine]:
+    def _suited(self, job_state: JobState, machine_groups: MachineGroups) -> list[Machine]:
         """The machines of some lots that a job may use. What makes machines alike is asked once
         a lot, not once a machine."""
         suited: list[Machine] = []
-        for lot, machines in lots.items():
-            if allowed(work.job, *lot[:3]) and machines[0].kind.holds(work.job):
+        for lot, machines in machine_groups.items():
+            if allowed(job_state.job, *lot[:3]) and machines[0].machine_type.holds(job_state.job):
                 suited += machines
-        if self.kept or work.failed_on:
+        if self.kept or job_state.failed_on:
             return [
-                m for m in suited
-                if m.name not in self.kept and work.failed_on.get(m.name, 0) <= self.now
-            ]  # fmt: skip
+                m
+                for m in suited
+                if m.name not in self.kept and job_state.failed_on.get(m.name, 0) <= self.now
+            ]
         return suited
 
-    def _asks(self, work: Work) -> tuple[object, ...] | None:
+    def _asks(self, job_state: JobState) -> tuple[object, ...] | None:
         """What decides whether a job finds room. A job that failed somewhere is a case of its
         own, and so is one whose tasks must be seen together."""
-        job = work.job
-        if work.failed_on or (job.whole and work.live):
+        job = job_state.job
+        if job_state.failed_on or (job.whole and job_state.live):
             return None
         return (
-            job.shape, job.tasks if job.gang else 1, job.rank, job.team, job.cpus, job.gpus,
-            job.memory_gb, job.types, job.zone, job.one_zone, job.apart, job.spot,
-        )  # fmt: skip
+            job.shape,
+            job.tasks if job.gang else 1,
+            job.rank,
+            job.team,
+            job.cpus,
+            job.gpus,
+            job.memory_gb,
+            job.types,
+            job.zone,
+            job.one_zone,
+            job.apart,
+            job.spot,
+        )
 
     def _within_limit(self, job: Job, count: int = 1) -> bool:
         """May the team have that many more tasks of the job, counting all that may be there?"""
-        team = self.block.teams.get(job.team, Limits())
+        team = self.shard.teams.get(job.team, TeamQuota())
         if not team.cpus_max and not team.gpus_max:
             return True
         if self.unsure:
             return False
-        used = self.block.used(job.team)
+        used = self.shard.used(job.team)
         return not (
             (team.cpus_max and used[0] + job.cpus * count > team.cpus_max + 1e-6)
             or (team.gpus_max and used[1] + job.gpus * count > team.gpus_max + 1e-6)
         )
 
-    def _tasks(self, work: Work, limit: int) -> None:
+    def _tasks(self, job_state: JobState, limit: int) -> None:
         """Start up to so many tasks of an array, each on the best machine that has room, or on
         one where others give way."""
-        job = work.job
-        asks = self._asks(work)
-        if limit <= 0 or asks in self.hopeless:
+        job = job_state.job
+        asks = self._asks(job_state)
+        if limit <= 0 or asks in self.unplaceable:
             return
-        open_zones = placement.zones_open(work, self.zones)
-        ranking = placement.Ranking(job, self._suited(work, self.roomy))
+        open_zones = placement.zones_open(job_state, self.zones)
+        ranking = placement.Ranking(job, self._suited(job_state, self.with_room))
         cleared = 0
         for _ in range(min(limit, MOST_STARTS)):
             if not self._within_limit(job):
                 return
             if job.whole:
-                open_zones = placement.zones_open(work, self.zones)
+                open_zones = placement.zones_open(job_state, self.zones)
             machine = ranking.best(open_zones)
-            if machine is not None and not machine.wanted and len(work.live) >= (work.need or 0):
+            if (
+                machine is not None
+                and not machine.needed
+                and len(job_state.live) >= (job_state.need or 0)
+            ):
                 return  # it can wait for room that stays
             stops: list[Attempt] = []
             if machine is None:
                 if cleared == MOST_CLEARED:
                     return
-                found = self._make_room(work, open_zones)
+                found = self._preempt_for_task(job_state, open_zones)
                 if found is None:
                     self._give_up(asks)
                     return
                 cleared += 1
                 machine, stops = found
-            if not self._start_next(work, machine, stops):
+            if not self._start_next(job_state, machine, stops):
                 return
             ranking.again(machine)
 
     def _give_up(self, asks: tuple[object, ...] | None) -> None:
         """Nothing that asks for the same is looked at again in this plan."""
         if asks is not None:
-            self.hopeless.add(asks)
+            self.unplaceable.add(asks)
 
-    def _start_next(self, work: Work, machine: Machine, stops: list[Attempt]) -> bool:
+    def _start_next(self, job_state: JobState, machine: Machine, stops: list[Attempt]) -> bool:
         """Start the next task there, once others give way to it; False if none is left."""
-        index = work.next_index()
+        index = job_state.next_index()
         if index is None:
             return False
         for attempt in stops:
-            self.block.stop_softly(attempt)
-        self.block.start(work, index, machine, self.block.token(), self.now)
+            self.shard.stop_gracefully(attempt)
+        self.shard.start(job_state, index, machine, self.shard.next_attempt_number(), self.now)
         return True
 
     # Gangs
 
-    def _gang(self, work: Work) -> None:
-        job = work.job
-        if work.live:
-            self._complete(work)
+    def _gang(self, job_state: JobState) -> None:
+        job = job_state.job
+        if job_state.live:
+            self._complete(job_state)
             return
-        asks = self._asks(work)
-        if asks in self.hopeless or not self._within_limit(job, job.tasks):
+        asks = self._asks(job_state)
+        if asks in self.unplaceable or not self._within_limit(job, job.tasks):
             return
-        suited = self._suited(work, self.lots)
+        suited = self._suited(job_state, self.machine_groups)
         if job.tasks == 1:
-            chosen = self._cheapest(work, suited)
+            chosen = self._cheapest(job_state, suited)
         else:
-            roomy = self._suited(work, self.roomy)
-            chosen = gang_placement.place(work, roomy) or self._make_gang_room(work, suited)
+            with_room = self._suited(job_state, self.with_room)
+            chosen = gang_placement.place(job_state, with_room) or self._preempt_for_gang(
+                job_state, suited
+            )
         if chosen is None:
             self._give_up(asks)
-            self._keep_room(work, suited)
+            self._keep_room(job_state, suited)
             return
-        token = self.block.token()
-        work.rewind()
+        attempt_number = self.shard.next_attempt_number()
+        job_state.rewind()
         for index, machine in enumerate(chosen):
-            self.block.start(work, index, machine, token, self.now)
+            self.shard.start(job_state, index, machine, attempt_number, self.now)
 
-    def _complete(self, work: Work) -> None:
+    def _complete(self, job_state: JobState) -> None:
         """Replace lost tasks of a gang that has not started yet, under the same attempt."""
-        live = list(work.live.values())
-        token = live[0].token
+        live = list(job_state.live.values())
+        attempt_number = live[0].attempt_number
         if any(
-            a.grace is not None or a.token != token or a.stage in ("running", "saving")
+            a.stop_grace_s is not None
+            or a.attempt_number != attempt_number
+            or a.stage in ("running", "saving")
             for a in live
         ):
             return  # they exit, then the gang is placed anew
-        suited = self._suited(work, self.roomy)
-        for index in range(work.job.tasks):
-            if index in work.live:
+        suited = self._suited(job_state, self.with_room)
+        for index in range(job_state.job.tasks):
+            if index in job_state.live:
                 continue
-            if not self._within_limit(work.job):
+            if not self._within_limit(job_state.job):
                 return
-            open_zones = placement.zones_open(work, self.zones)
-            machine = placement.Ranking(work.job, suited).best(open_zones)
+            open_zones = placement.zones_open(job_state, self.zones)
+            machine = placement.Ranking(job_state.job, suited).best(open_zones)
             if machine is None:
                 return
-            self.block.start(work, index, machine, token, self.now)
+            self.shard.start(job_state, index, machine, attempt_number, self.now)
 
-    def _keep_room(self, work: Work, suited: list[Machine]) -> None:
+    def _keep_room(self, job_state: JobState, suited: list[Machine]) -> None:
         """Gather room for a gang that waits: on the machines that will be empty soonest nothing
         more is started in this plan by jobs that come after it. Work that comes one task at a
         time would else take each place as it falls free, and a large gang would wait for ever.
         One gang at a time, the first in start order."""
-        if self.kept or self.now - work.asked_at < GATHER_US:
+        if self.kept or self.now - job_state.submitted_at < GATHER_US:
             return
-        job = work.job
+        job = job_state.job
         offers: list[Opening] = [
-            (float(self._busy_us(machine)), machine.name, machine, machine.kind.holds(job), [])
+            (
+                float(self._busy_us(machine)),
+                machine.name,
+                machine,
+                machine.machine_type.holds(job),
+                [],
+            )
             for machine in suited
         ]
         offers.sort(key=lambda offer: offer[:2])
-        found = self._best_gather(job, placement.zones_open(work, self.zones), offers)
+        found = self._best_gather(job, placement.zones_open(job_state, self.zones), offers)
         if found is not None:
             self.kept.update(machine.name for machine, _, _ in found[1])
 
@@ -268,105 +302,116 @@
         return max((self._left_us(a) for a in machine.attempts.values()), default=0)
 
     def _left_us(self, attempt: Attempt) -> int:
-        guess = self.block.guess_us(attempt.work)
-        if attempt.work.job.service:
+        guess = self.shard.guess_us(attempt.job_state)
+        if attempt.job_state.job.service:
             return guess
-        return max(guess - (self.now - (attempt.ran_at or self.now)), US)
+        return max(guess - (self.now - (attempt.running_since or self.now)), US)
 
     # Services
 
-    def _replicas(self, work: Work) -> None:
+    def _replicas(self, job_state: JobState) -> None:
         """Start replicas where they run soonest; among equals where it wastes least."""
-        asks = self._asks(work)
-        if asks in self.hopeless or not self._within_limit(work.job):
+        asks = self._asks(job_state)
+        if asks in self.unplaceable or not self._within_limit(job_state.job):
             return
-        choice = ReplicaChoice(work, self._suited(work, self.lots), self._stoppable(work), self.now)
-        for _ in range(work.waiting):
-            if not self._within_limit(work.job):
+        choice = ReplicaChoice(
+            job_state,
+            self._suited(job_state, self.machine_groups),
+            self._stoppable(job_state),
+            self.now,
+        )
+        for _ in range(job_state.waiting):
+            if not self._within_limit(job_state.job):
                 return
-            found = choice.best(placement.zones_open(work, self.zones))
+            found = choice.best(placement.zones_open(job_state, self.zones))
             if found is None:
                 self._give_up(asks)
                 return
-            if not self._start_next(work, found.machine, found.stops):
+            if not self._start_next(job_state, found.machine, found.stops):
                 return
 
     def _move_replicas(self) -> None:
         """Stop replicas on machines that are about to go, each once there is a place for it: it is
         started there as soon as it is provably gone."""
-        for machine in self.block.machines.values():
-            if machine.recall_at is None and not machine.draining:
+        for machine in self.shard.machines.values():
+            if machine.preemption_at is None and not machine.draining:
                 continue
             for attempt in list(machine.attempts.values()):
-                if attempt.work.job.service and attempt.grace is None:
+                if attempt.job_state.job.service and attempt.stop_grace_s is None:
                     self._move_replica(attempt)
 
     def _move_replica(self, attempt: Attempt) -> None:
-        work = attempt.work
-        suited = self._suited(work, self.lots)
-        choice = ReplicaChoice(work, suited, self._stoppable(work), self.now)
-        found = choice.best(placement.zones_open(work, self.zones, leaving=attempt))
+        job_state = attempt.job_state
+        suited = self._suited(job_state, self.machine_groups)
+        choice = ReplicaChoice(job_state, suited, self._stoppable(job_state), self.now)
+        found = choice.best(placement.zones_open(job_state, self.zones, leaving=attempt))
         if found is None:
             return
-        self.block.stop(attempt, 0.0)
+        self.shard.stop(attempt, 0.0)
         for victim in found.stops:
-            self.block.stop_softly(victim)
+            self.shard.stop_gracefully(victim)
 
     # Preemption
 
-    def _stoppable(self, work: Work) -> Callable[[Work], bool]:
+    def _stoppable(self, job_state: JobState) -> Callable[[JobState], bool]:
         """Which other jobs' tasks may be stopped to make room for a replica. For a service that
         only fails nobody has to give way: it would stop others' work with each of its tries."""
-        within = guaranteed(self.block, work)
-        may = work.trials < TRIALS_OF_ITS_OWN and (work.job.rank >= HIGH_RANK or within)
-        return lambda other: may and self._may_stop(work.job, within, other)
+        within = fits_guarantee(self.shard, job_state)
+        may = job_state.trials < TRIALS_OF_ITS_OWN and (job_state.job.rank >= HIGH_RANK or within)
+        return lambda other: may and self._may_stop(job_state.job, within, other)
 
-    def _may_stop(self, job: Job, within: bool, victim: Work) -> bool:
+    def _may_stop(self, job: Job, within: bool, victim: JobState) -> bool:
         if victim.job.rank < job.rank:
             return True
         if not within or victim.job.team == job.team:
             return False
-        team = self.block.teams.get(victim.job.team, Limits())
-        used = self.block.used(victim.job.team)
+        team = self.shard.teams.get(victim.job.team, TeamQuota())
+        used = self.shard.used(victim.job.team)
         return used[0] > team.cpus + 1e-6 or used[1] > team.gpus + 1e-6
 
     def _openings(
-        self, work: Work, suited: list[Machine]
+        self, job_state: JobState, suited: list[Machine]
     ) -> Iterator[tuple[float, Machine, list[Attempt]]]:
         """Machines on which one task fits once others are stopped, those, and the loss."""
-        within = guaranteed(self.block, work)
-        gently = not work.job.gang and work.job.rank < HIGH_RANK and not within
+        within = fits_guarantee(self.shard, job_state)
+        gently = not job_state.job.gang and job_state.job.rank < HIGH_RANK and not within
 
-        def may_stop(other: Work) -> bool:
-            return self._may_stop(work.job, within, other) and (not gently or displaceable(other))
+        def may_stop(other: JobState) -> bool:
+            return self._may_stop(job_state.job, within, other) and (
+                not gently or is_preemptible(other)
+            )
 
         for machine in suited:
-            found = placement.victims(work.job, machine, self.now, may_stop)
+            found = placement.preemption_candidates(job_state.job, machine, self.now, may_stop)
             if found is not None:
                 yield found[0], machine, found[1]
 
-    def _make_room(self, work: Work, zones: set[str]) -> tuple[Machine, list[Attempt]] | None:
+    def _preempt_for_task(
+        self, job_state: JobState, zones: set[str]
+    ) -> tuple[Machine, list[Attempt]] | None:
         """The machine on which stopping others of lower rank wastes least. Ordinary work waits
         for what is rented for it, unless its promise depends on a share that others hold."""
-        below_share = work.slots is not None and len(work.live) < work.slots
+        below_share = job_state.slots is not None and len(job_state.live) < job_state.slots
         if (
-            work.job.rank < HIGH_RANK
-            and not (work.promised and below_share)
-            and not guaranteed(self.block, work)
+            job_state.job.rank < HIGH_RANK
+            and not (job_state.has_objective and below_share)
+            and not fits_guarantee(self.shard, job_state)
         ):
             return None
         best: tuple[float, str, Machine, list[Attempt]] | None = None
-        for loss, machine, stops in self._openings(work, self._suited(work, self.lots)):
+        for loss, machine, stops in self._openings(
+            job_state, self._suited(job_state, self.machine_groups)
+        ):
             if machine.zone in zones and (best is None or (loss, machine.name) < best[:2]):
                 best = (loss, machine.name, machine, stops)
         return None if best is None else (best[2], best[3])
 
-    def _cheapest(self, work: Work, suited: list[Machine]) -> list[Machine] | None:
+    def _cheapest(self, job_state: JobState, suited: list[Machine]) -> list[Machine] | None:
         """For one task that fills a machine: where stopping others and fetching waste least."""
-        job = work.job
+        job = job_state.job
         best: tuple[float, tuple[int, ...], float, str] | None = None
         chosen: tuple[Machine, list[Attempt]] | None = None
-        for loss, machine, stops in self._openings(work, suited):
+        for loss, machine, stops in self._openings(job_state, suited):
             cost = loss + placement.fetch_cost(job, machine)
             key = (cost, placement.tier(job, machine), machine.booked, machine.name)
             if best is None or key < best:
@@ -374,35 +419,36 @@
         if chosen is None:
             return None
         for attempt in chosen[1]:
-            self.block.stop_softly(attempt)
+            self.shard.stop_gracefully(attempt)
         return [chosen[0]]
 
-    def _make_gang_room(self, work: Work, suited: list[Machine]) -> list[Machine] | None:
+    def _preempt_for_gang(self, job_state: JobState, suited: list[Machine]) -> list[Machine] | None:
         """Room for a whole gang by stopping work of lower rank: only if all of it fits, and in
         the zone where that wastes least."""
-        job = work.job
-        within = guaranteed(self.block, work)
+        job = job_state.job
+        within = fits_guarantee(self.shard, job_state)
         offers: list[Opening] = []
         for machine in suited:
             stops = [
-                a for a in machine.attempts.values()
-                if a.grace is None and self._may_stop(job, within, a.work)
-            ]  # fmt: skip
+                a
+                for a in machine.attempts.values()
+                if a.stop_grace_s is None and self._may_stop(job, within, a.job_state)
+            ]
             room = machine.free.copy()
             for attempt in stops:
-                room.take(attempt.work.job, -1)
+                room.take(attempt.job_state.job, -1)
             count = room.holds(job)
             if count:
                 loss = sum(placement.loss(a, self.now) for a in stops)
                 cost = (loss + placement.fetch_cost(job, machine)) / count
                 offers.append((cost, machine.name, machine, count, stops))
         offers.sort(key=lambda offer: offer[:2])
-        best = self._best_gather(job, placement.zones_open(work, self.zones), offers)
+        best = self._best_gather(job, placement.zones_open(job_state, self.zones), offers)
         if best is None:
             return None
         chosen = []
         for machine, count, stops in best[1]:
-            self._clear(machine, job, count, stops)
+            self._preempt(machine, job, count, stops)
             chosen += [machine] * count
         return chosen
 
@@ -436,15 +482,17 @@
                     taken.append((machine, count, stops))
         return (cost, taken) if left == 0 else None
 
-    def _clear(self, machine: Machine, job: Job, count: int, stops: list[Attempt]) -> None:
-        for attempt in sorted(stops, key=lambda a: (a.work.job.rank, placement.loss(a, self.now))):
+    def _preempt(self, machine: Machine, job: Job, count: int, stops: list[Attempt]) -> None:
+        for attempt in sorted(
+            stops, key=lambda a: (a.job_state.job.rank, placement.loss(a, self.now))
+        ):
             if machine.free.holds(job) >= count:
                 return
-            if attempt.grace is None:
-                self.block.stop_softly(attempt)
+            if attempt.stop_grace_s is None:
+                self.shard.stop_gracefully(attempt)
 
 
-def plan(block: Block, now: int) -> None:
+def plan(shard: Shard, now: int) -> None:
     """Bind waiting tasks to machines, in start order."""
-    block.dirty = False
-    Plan(block, now).run()
+    shard.dirty = False
+    Plan(shard, now).run()
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from basaltlead.core import placement
-from basaltlead.core.model import Attempt, Job, Machine, Work
+from basaltlead.core.entities import Attempt, Job, JobState, Machine
 
 # A second without the replica weighs as much as so many seconds of other work of its size.
 DELAY_WEIGHT = 20.0
@@ -34,8 +34,15 @@
 
 def delay_s(job: Job, machine: Machine, stops: Iterable[Attempt]) -> float:
     """How long a replica waits on a machine until it runs: for its image, and for its room."""
-    fetch = 0.0 if job.image in machine.images else machine.kind.fetch_s(job)
-    saving = max((a.work.job.mark_s for a in stops if a.work.job.mark_every_us), default=0.0)
+    fetch = 0.0 if job.image in machine.images else machine.machine_type.fetch_s(job)
+    saving = max(
+        (
+            a.job_state.job.checkpoint_duration_s
+            for a in stops
+            if a.job_state.job.checkpoint_interval_us
+        ),
+        default=0.0,
+    )
     return fetch + saving
 
 
@@ -43,26 +50,30 @@
     """The machines that suit a service, best first, looked at anew as replicas are bound."""
 
     def __init__(
-        self, work: Work, machines: Iterable[Machine], may_stop: Callable[[Work], bool], now: int
+        self,
+        job_state: JobState,
+        machines: Iterable[Machine],
+        may_stop: Callable[[JobState], bool],
+        now: int,
     ) -> None:
-        self.work = work
+        self.job_state = job_state
         self.may_stop = may_stop
         self.now = now
         ranked = (self._ranked(machine) for machine in machines)
         self.heap = [one for one in ranked if one is not None]
         heapify(self.heap)
 
-    def _victims(self, machine: Machine) -> tuple[float, list[Attempt]] | None:
-        if machine.crowded:
+    def _preemption_candidates(self, machine: Machine) -> tuple[float, list[Attempt]] | None:
+        if machine.is_full:
             return None
-        return placement.victims(self.work.job, machine, self.now, self.may_stop)
+        return placement.preemption_candidates(self.job_state.job, machine, self.now, self.may_stop)
 
     def _ranked(self, machine: Machine) -> Ranked | None:
-        found = self._victims(machine)
+        found = self._preemption_candidates(machine)
         if found is None:
             return None
         loss, stops = found
-        job = self.work.job
+        job = self.job_state.job
         cost = loss + DELAY_WEIGHT * delay_s(job, machine, stops) * job.size
         tier = placement.tier(job, machine)
         return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine)
@@ -80,7 +91,7 @@
             if self.heap and again[:4] > self.heap[0][:4]:
                 heappush(self.heap, again)
                 continue
-            found = self._victims(first.machine)
+            found = self._preemption_candidates(first.machine)
             assert found is not None  # it was ranked just now
             heappush(self.heap, again)
             return Place(first.machine, found[1])
--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable, Mapping
 
+from basaltlead.core.entities import US, MachineType
 from basaltlead.core.fleet_sizing import Offer, unit_price
-from basaltlead.core.model import US, Kind
 
 SILENT_COUNT = 3  # machines that must be silent before their zone is in doubt
 PAUSE_US = 45 * US  # for how long nothing is hired there after the last of them was returned
@@ -39,7 +39,7 @@
     def admitted(
         self,
         offers: Mapping[Offer, int | None],
-        kinds: Mapping[str, Kind],
+        machine_types: Mapping[str, MachineType],
         tried: Iterable[str],
         now: int,
     ) -> dict[Offer, int | None]:
@@ -54,10 +54,10 @@
                 out[offer] = most
             elif now >= until and offer.zone not in unheard:
                 best = trials.get(offer.zone)
-                if best is None or _price(offer, kinds) < _price(best, kinds):
+                if best is None or _price(offer, machine_types) < _price(best, machine_types):
                     trials[offer.zone] = offer
         return out | dict.fromkeys(trials.values(), 1)
 
 
-def _price(offer: Offer, kinds: Mapping[str, Kind]) -> float:
-    return unit_price(kinds[offer.kind], offer.spot)
+def _price(offer: Offer, machine_types: Mapping[str, MachineType]) -> float:
+    return unit_price(machine_types[offer.type_name], offer.spot)
--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -8,27 +8,27 @@
 
 import msgspec
 
-from basaltlead.core.model import US
+from basaltlead.core.entities import US
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import Duty
+from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import age_us
 from basaltlead.runtime.logs import log
-from basaltlead.storage.client import TROUBLE
-from basaltlead.storage.records import HIRE, MACHINE, OPEN, StoredHire
+from basaltlead.storage.records import MACHINE, OPEN, SCALE_OUT, StoredScaleOut
 from basaltlead.storage.result_rows import split_open
-from basaltlead.wire.state import Drop, Guard, Row
+from basaltlead.wire.store import Drop, Precondition, Row
 
 PAUSE_S = 30.0  # between two passes
 # A request whose machines were not all seen recorded is kept for so long: some never come up.
 KEEP_US = 1800 * US
 
 
-def spent(hire: StoredHire, recorded: set[str]) -> bool:
+def spent(scale_out: StoredScaleOut, recorded: set[str]) -> bool:
     """Has each of the machines that a request brought stood recorded since, or is it old?"""
-    if hire.names is None:
+    if scale_out.names is None:
         return False
-    return recorded.issuperset(hire.names) or age_us(hire.at) > KEEP_US
+    return recorded.issuperset(scale_out.names) or age_us(scale_out.at) > KEEP_US
 
 
 def orphaned(rows: Iterable[Row]) -> dict[str, list[str]]:
@@ -54,34 +54,36 @@
         while True:
             await asyncio.sleep(PAUSE_S)
             quiet = self.quiet_times is not None and self.quiet_times.current() is not None
-            if quiet or not self.acts:
+            if quiet or not self.holds_valid_lease:
                 continue
             try:
                 await self._drop_spent()
                 await self._drop_orphans()
-            except TROUBLE as fault:
+            except ServiceError as fault:
                 log.info("clean-up: %s", fault)
 
     async def _drop_spent(self) -> None:
-        rows, _ = await self.state.rows(HIRE)
+        rows, _ = await self.store.rows(SCALE_OUT)
         if not rows:
             return
-        machines, _ = await self.state.rows(MACHINE)
+        machines, _ = await self.store.rows(MACHINE)
         self.recorded |= {row.key[len(MACHINE) :] for row in machines}
-        hires = {row.key: msgspec.json.decode(row.value, type=StoredHire) for row in rows}
-        gone = [key for key, hire in hires.items() if spent(hire, self.recorded)]
-        kept = [hire for key, hire in hires.items() if key not in gone]
-        self.recorded &= {name for hire in kept for name in hire.names or ()}
+        scale_outs = {row.key: msgspec.json.decode(row.value, type=StoredScaleOut) for row in rows}
+        gone = [key for key, scale_out in scale_outs.items() if spent(scale_out, self.recorded)]
+        kept = [scale_out for key, scale_out in scale_outs.items() if key not in gone]
+        self.recorded &= {name for scale_out in kept for name in scale_out.names or ()}
         await self._drop("spent requests", gone, [])
 
     async def _drop_orphans(self) -> None:
-        rows, _ = await self.state.rows(OPEN)
+        rows, _ = await self.store.rows(OPEN)
         for ref, keys in orphaned(rows).items():
             # What was listed page by page may show rows of a job that is open after all.
-            await self._drop(f"results of {ref}", keys, [Guard(OPEN + ref, 0)])
-
-    async def _drop(self, what: str, keys: list[str], guards: list[Guard]) -> None:
-        for some in self.state.limits.drops(keys, beside=1):  # the page of history
-            told = event(what)
-            told.count = len(some)
-            await self.history.commit(guards, list(map(Drop, some)), told, can_wait=True)
+            await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
+
+    async def _drop(self, what: str, keys: list[str], preconditions: list[Precondition]) -> None:
+        for some in self.store.limits.drops(keys, beside=1):  # the page of history
+            history_event = event(what)
+            history_event.count = len(some)
+            await self.history.commit(
+                preconditions, list(map(Drop, some)), history_event, low_priority=True
+            )
--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -1,4 +1,4 @@
-"""What the holders of a duty did, kept in the state service in a ring of pages of bounded size.
+"""What the holders of a duty did, kept in the key-value store in a ring of pages of bounded size.
 
 An event is written in the transaction that records what was done, so the history shows neither
 more nor less than that. The oldest page is overwritten; the numbers of the pages that are left
@@ -11,13 +11,13 @@
 import msgspec
 from msgspec import Struct
 
-from basaltlead.clients.base import Unavailable, encode
+from basaltlead.clients.base import encode
 from basaltlead.duties.model import Duty, GrantHolder
-from basaltlead.net.http import Failed
+from basaltlead.errors import PreconditionFailed, RequestFailed, Unavailable
 from basaltlead.runtime.clock import wall_us
-from basaltlead.storage.client import Conflict, State
+from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.records import HISTORY
-from basaltlead.wire.state import Drop, Guard, Put
+from basaltlead.wire.store import Drop, Precondition, Put
 
 PAGES = 64  # of each duty's ring
 MOST_NAMES = 8  # of machines that an event lists; the others are counted
@@ -55,9 +55,9 @@
     """The history of one duty, as its holder writes it."""
 
     def __init__(
-        self, state: State, holder: GrantHolder, duty: Duty, name: str, token: int
+        self, store: KeyValueStore, holder: GrantHolder, duty: Duty, name: str, token: int
     ) -> None:
-        self.state = state
+        self.store = store
         self.holder = holder
         self.duty = duty
         self.name = name
@@ -68,42 +68,51 @@
 
     async def load(self) -> None:
         """Go on where the last holder stopped."""
-        rows, _ = await self.state.rows(f"{HISTORY}{self.duty}/")
+        rows, _ = await self.store.rows(f"{HISTORY}{self.duty}/")
         self.versions = {row.key: row.version for row in rows}
         pages = [msgspec.json.decode(row.value, type=HistoryPage) for row in rows]
         self.page = max(pages, key=lambda page: page.number, default=HistoryPage(0, 0, []))
 
     async def commit(
-        self, guards: list[Guard], changes: Sequence[Put | Drop], event: Event,
-        can_wait: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        preconditions: list[Precondition],
+        changes: Sequence[Put | Drop],
+        event: Event,
+        low_priority: bool = False,
+    ) -> None:
         """One transaction under the holder's grant, with the event that tells of it."""
         event.at, event.token, event.holder = wall_us(), self.token, self.name
         event.names = event.names[:MOST_NAMES]
         async with self.line:
             for _ in range(MOST_TRIES):
-                if await self._try(guards, changes, event, can_wait):
+                if await self._try(preconditions, changes, event, low_priority):
                     return
         raise Unavailable("history changed under us")
 
     async def _try(
-        self, guards: list[Guard], changes: Sequence[Put | Drop], event: Event, can_wait: bool
+        self,
+        preconditions: list[Precondition],
+        changes: Sequence[Put | Drop],
+        event: Event,
+        low_priority: bool,
     ) -> bool:
         """False if only our picture of the page was old."""
         page = self._with(event)
         key = page_key(self.duty, page.number)
-        known = Guard(key, self.versions.get(key, 0))
+        known = Precondition(key, self.versions.get(key, 0))
         try:
-            version = await self.state.multi(
-                [*self.holder.guards(), *guards, known], [*changes, Put(key, page)], can_wait
+            version = await self.store.compare_and_swap(
+                [*self.holder.preconditions(), *preconditions, known],
+                [*changes, Put(key, page)],
+                low_priority,
             )
-        except Conflict as conflict:
+        except PreconditionFailed as conflict:
             if key in conflict.failed:
                 await self.load()
             if conflict.failed != [key]:
                 raise
             return False
-        except Failed as fault:
+        except RequestFailed as fault:
             if fault.sent:  # it may have been executed
                 await self.load()
             raise
@@ -113,7 +122,7 @@
     def _with(self, event: Event) -> HistoryPage:
         """The page with one more event, or the next page."""
         page = HistoryPage(self.page.number, self.page.first, [*self.page.events, event])
-        if len(encode(page)) + PAGE_ENVELOPE <= self.state.limits.value_bytes:
+        if len(encode(page)) + PAGE_ENVELOPE <= self.store.limits.value_bytes:
             return page
         return HistoryPage(page.number + 1, page.first + len(self.page.events), [event])
 
--- a/basaltlead/duties/machine_deletion.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -1,14 +1,15 @@
 """Deleting machines in the cloud, so that one that it refuses holds up no other."""
 
-from basaltlead.clients.cloud import Cloud, Refused
+from basaltlead.clients.cloud import Cloud
 from basaltlead.duties.model import GrantHolder
+from basaltlead.errors import RequestRejected
 from basaltlead.runtime.logs import log
 
 MOST_NAMES = 100  # the cloud deletes that many at once
 REFUSED_PAUSE_US = 60_000_000  # before a machine that the cloud won't delete is tried again
 
 
-class Returning:
+class MachineDeletion:
     """Sends deletions under a grant. Deleting twice does nothing the second time."""
 
     def __init__(self, cloud: Cloud, holder: GrantHolder) -> None:
@@ -16,8 +17,8 @@
         self.holder = holder
         self.refused: dict[str, tuple[int, str]] = {}  # when tried again, and the cloud's reason
 
-    def _acts(self) -> bool:
-        return self.holder.acts
+    def _holds_valid_lease(self) -> bool:
+        return self.holder.holds_valid_lease
 
     def due(self, names: list[str], now: int) -> list[str]:
         """Those that may be sent now."""
@@ -29,8 +30,8 @@
         A batch that the cloud refuses for good is halved until the names that it refuses stand
         alone."""
         try:
-            await self.cloud.delete(names, self._acts)
-        except Refused as fault:
+            await self.cloud.delete(names, self._holds_valid_lease)
+        except RequestRejected as fault:
             if len(names) > 1:
                 middle = len(names) // 2
                 gone = await self.delete(names[:middle], now)
--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -13,7 +13,7 @@
 from basaltlead.duties.return_duty import ReturnDuty
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
-from basaltlead.storage.client import State
+from basaltlead.storage.client import KeyValueStore
 
 if TYPE_CHECKING:
     from basaltlead.scaling.quiet_times import QuietTimes
@@ -27,11 +27,16 @@
     """Keeps one holder for each duty that is granted to this very incarnation."""
 
     def __init__(
-        self, settings: Settings, member: Membership, state: State, cloud: Cloud, callers: int
+        self,
+        settings: Settings,
+        membership: Membership,
+        store: KeyValueStore,
+        cloud: Cloud,
+        callers: int,
     ) -> None:
         self.settings = settings
-        self.member = member
-        self.state = state
+        self.membership = membership
+        self.store = store
         self.cloud = cloud
         self.callers = callers  # controllers that call the cloud while duties are not granted
         self.cloud_rate = 0.0
@@ -40,10 +45,10 @@
 
     def changed(self) -> None:
         """The cluster has changed."""
-        if not self.member.duty_keys:
+        if not self.membership.duty_keys:
             return
         for duty in Duty:
-            held = self.member.owned(duty.key) if self.member.version else None
+            held = self.membership.held_grant(duty.key) if self.membership.version else None
             holder = self.holders.get(duty)
             if holder is not None and (held is None or held[1] != holder.version):
                 log.info("duty %s let go", duty)
@@ -51,7 +56,7 @@
                 holder = None
             if holder is None and held is not None:
                 self.holders[duty] = HOLDERS[duty](
-                    self.settings, self.member, self.state, self.cloud, *held
+                    self.settings, self.membership, self.store, self.cloud, *held
                 )
                 self.holders[duty].quiet_times = self.quiet_times
                 self.cloud.unanswered_since = 0  # it has its own time to find out
@@ -61,44 +66,44 @@
     def _share_cloud(self) -> None:
         """The cloud counts all controllers' calls together: each duty has its part of them."""
         share = 1 / self.callers
-        if self.member.duties_granted:
+        if self.membership.duties_granted:
             share = LEAST_CLOUD_SHARE + sum(CLOUD_SHARES.get(duty, 0.0) for duty in self.holders)
         rate = self.settings.facts.cloud.rps * share
         if rate != self.cloud_rate:
             self.cloud_rate = rate
             self.cloud.use_rate(rate)
 
-    async def hand_back(self) -> None:
+    async def release_stepped_down(self) -> None:
         """Give up duties of ours whose work has failed, for others to take."""
-        self._resign_without_cloud()
+        self._step_down_without_cloud()
         for duty, holder in list(self.holders.items()):
-            if holder.resigned and await self.member.step_down(duty.key, leader_too=False):
+            if holder.stepped_down and await self.membership.release(duty.key, leader_too=False):
                 holder.stop()
                 if self.holders.get(duty) is holder:  # else it was granted to us anew meanwhile
                     del self.holders[duty]
                 self._share_cloud()
 
-    def _resign_without_cloud(self) -> None:
+    def _step_down_without_cloud(self) -> None:
         """While the cloud gives us no answer at all, others may reach it. Its outages are
         answered (503), and no reason to change the holder."""
         since = self.cloud.unanswered_since
         if (
             not since
             or now_us() - since < CLOUD_PATIENCE_US
-            or len(self.member.cluster.members) < 2
+            or len(self.membership.cluster.members) < 2
         ):
             return
         for duty in CLOUD_SHARES:
             holder = self.holders.get(duty)
-            if holder is not None and not holder.resigned:
+            if holder is not None and not holder.stepped_down:
                 log.info("duty %s: the cloud gives no answer, handing it back", duty)
-                holder.resign()
+                holder.step_down()
 
-    async def give_away(self, key: str) -> bool:
+    async def hand_over(self, key: str) -> bool:
         """Hand back a duty that a member without any should have. False: it is none of ours."""
         for duty, holder in self.holders.items():
-            if duty.key == key and holder.acts:
-                holder.resign()
-                await self.hand_back()
+            if duty.key == key and holder.holds_valid_lease:
+                holder.step_down()
+                await self.release_stepped_down()
                 return True
         return False
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -1,4 +1,4 @@
-"""What a controller tells operators of the duties. It reads the state service for each answer, so
+"""What a controller tells operators of the duties. It reads the key-value store for each answer, so
 every controller gives the same one, or says that it does not know."""
 
 from collections.abc import Iterable
@@ -7,10 +7,11 @@
 
 from basaltlead.cluster.membership import Membership
 from basaltlead.cluster.versions import duties_allowed
-from basaltlead.core.cluster_view import PREFIX, Cluster
+from basaltlead.core.cluster_view import PREFIX, ClusterView
 from basaltlead.duties.model import Duty
-from basaltlead.storage.client import TROUBLE, State
-from basaltlead.storage.records import HIRE, HISTORY, RETURN, StoredHire, StoredReturn
+from basaltlead.errors import ServiceError
+from basaltlead.storage.client import KeyValueStore
+from basaltlead.storage.records import HISTORY, SCALE_IN, SCALE_OUT, StoredScaleIn, StoredScaleOut
 from basaltlead.wire.peers import (
     Answer,
     DutiesAnswer,
@@ -20,7 +21,7 @@
     OpenIntent,
     Question,
 )
-from basaltlead.wire.state import Row
+from basaltlead.wire.store import Row
 
 MOST_INTENTS = 500  # in one answer, the oldest
 
@@ -28,29 +29,31 @@
 class DutyReports:
     """Answers the questions of operators."""
 
-    def __init__(self, state: State, member: Membership) -> None:
-        self.state = state
-        self.member = member
+    def __init__(self, store: KeyValueStore, membership: Membership) -> None:
+        self.store = store
+        self.membership = membership
 
     async def answer(self, question: Question) -> Answer:
         """The answer to any question."""
         blank = DutiesAnswer if isinstance(question, DutiesQuestion) else HistoryAnswer
-        if self.member.cut_off:
+        if self.membership.cut_off:
             return blank("the state service does not answer")
         try:
             if isinstance(question, DutiesQuestion):
                 return await self._duties()
             return await self._page(question.after)
-        except TROUBLE as fault:
+        except ServiceError as fault:
             return blank(str(fault))
 
     async def _duties(self) -> DutiesAnswer:
-        cluster = Cluster()
-        for row in (await self.state.rows(PREFIX))[0]:
+        cluster = ClusterView()
+        for row in (await self.store.rows(PREFIX))[0]:
             cluster.put(row.key, row.value, row.version)
-        hires, _ = await self.state.rows(HIRE)
-        returns, _ = await self.state.rows(RETURN)
-        intents = sorted([*_open_hires(hires), *_open_returns(returns)], key=lambda one: one.since)
+        scale_outs, _ = await self.store.rows(SCALE_OUT)
+        scale_ins, _ = await self.store.rows(SCALE_IN)
+        intents = sorted(
+            [*_open_scale_outs(scale_outs), *_open_scale_ins(scale_ins)], key=lambda one: one.since
+        )
         return DutiesAnswer(
             granted=duties_allowed(cluster),
             duties=[_held(cluster, duty) for duty in Duty],
@@ -59,13 +62,13 @@
         )
 
     async def _page(self, after: str) -> HistoryAnswer:
-        page = await self.state.page(HISTORY, since=after, most=1)
+        page = await self.store.page(HISTORY, since=after, most=1)
         if not page.rows:
             return HistoryAnswer()
         return HistoryAnswer(key=page.rows[0].key, page=page.rows[0].value)
 
 
-def _held(cluster: Cluster, duty: Duty) -> HeldDuty:
+def _held(cluster: ClusterView, duty: Duty) -> HeldDuty:
     held = cluster.grants.get(duty.key)
     if held is None:
         return HeldDuty(duty, "", 0, 0)
@@ -77,16 +80,18 @@
     return HeldDuty(duty, holder, grant.fencing_token, since)
 
 
-def _open_hires(rows: Iterable[Row]) -> Iterable[OpenIntent]:
+def _open_scale_outs(rows: Iterable[Row]) -> Iterable[OpenIntent]:
     for row in rows:
-        hire = msgspec.json.decode(row.value, type=StoredHire)
-        if hire.names is None:
-            refused = hire.refused if isinstance(hire.refused, str) else ""
-            yield OpenIntent("rent", row.key[len(HIRE) :], hire.number, hire.at, refused)
+        scale_out = msgspec.json.decode(row.value, type=StoredScaleOut)
+        if scale_out.names is None:
+            refused = scale_out.refused if isinstance(scale_out.refused, str) else ""
+            yield OpenIntent(
+                "rent", row.key[len(SCALE_OUT) :], scale_out.number, scale_out.at, refused
+            )
 
 
-def _open_returns(rows: Iterable[Row]) -> Iterable[OpenIntent]:
+def _open_scale_ins(rows: Iterable[Row]) -> Iterable[OpenIntent]:
     for row in rows:
-        one = msgspec.json.decode(row.value, type=StoredReturn)
-        name = row.key[len(RETURN) :]
+        one = msgspec.json.decode(row.value, type=StoredScaleIn)
+        name = row.key[len(SCALE_IN) :]
         yield OpenIntent("return", name, len(one.names), one.at, one.refused)
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -6,18 +6,17 @@
 from msgspec import Struct
 
 from basaltlead.clients.base import Backoff
-from basaltlead.clients.cloud import CLOUD_TROUBLE
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
-from basaltlead.duties.machine_deletion import MOST_NAMES, Returning
+from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
 from basaltlead.duties.model import Duty
+from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.events import wait_for_event
 from basaltlead.runtime.logs import log
-from basaltlead.storage.client import TROUBLE
-from basaltlead.storage.records import MACHINE, RETURN, StoredReturn
+from basaltlead.storage.records import MACHINE, SCALE_IN, StoredScaleIn
 from basaltlead.storage.watch import follow_rows
-from basaltlead.wire.state import Drop, Guard, Put
+from basaltlead.wire.store import Drop, Precondition, Put
 
 PAUSE_S = 0.5  # between two looks, should nothing have changed
 
@@ -25,7 +24,7 @@
 class OpenReturn(Struct):
     """A recorded return, and the machines of it that are still to be deleted."""
 
-    stored: StoredReturn
+    stored: StoredScaleIn
     version: int
     left: list[str]
 
@@ -34,37 +33,37 @@
     """Follows the recorded returns, and carries out each that is open. No other machine is ever
     named to the cloud."""
 
-    duty = Duty.RETURN
+    duty = Duty.SCALE_IN
 
     async def run(self) -> None:
-        self.returning = Returning(self.cloud, self)
+        self.returning = MachineDeletion(self.cloud, self)
         self.open: dict[str, OpenReturn] = {}
         self.wake = asyncio.Event()
-        self.background.spawn(self._work(), "loop return")
-        await follow_rows(self.state, RETURN, self.member.watch_ms, self._put, self._drop)
+        self.background.spawn(self._delete_recorded(), "loop return")
+        await follow_rows(self.store, SCALE_IN, self.membership.watch_ms, self._put, self._drop)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         known = self.open.get(key)
         if known is not None:
             known.version = max(known.version, version)
             return
-        stored = msgspec.json.decode(raw, type=StoredReturn)
+        stored = msgspec.json.decode(raw, type=StoredScaleIn)
         self.open[key] = OpenReturn(stored, version, list(stored.names))
         self.wake.set()
 
     def _drop(self, key: str) -> None:
         self.open.pop(key, None)
 
-    async def _work(self) -> None:
-        backoff = Backoff(500_000, 4_000_000, self.member.chance)
+    async def _delete_recorded(self) -> None:
+        backoff = Backoff(500_000, 4_000_000, self.membership.chance)
         while True:
             await wait_for_event(self.wake, PAUSE_S)
-            if not self.acts:
+            if not self.holds_valid_lease:
                 continue
             try:
                 await self._delete_some()
                 backoff.reset()
-            except CLOUD_TROUBLE as fault:
+            except ServiceError as fault:
                 log.info("deleting machines: %s", fault)
                 await backoff.rest()
                 continue
@@ -91,17 +90,21 @@
         one = self.open.get(key)
         if one is None:
             return
-        guard = Guard(key, one.version)
+        precondition = Precondition(key, one.version)
         records = [MACHINE + name for name in one.stored.names]
         # With the last of them go the return itself and the page of history.
-        *batches, last = list(self.state.limits.drops(records, beside=2)) or [[]]
-        told = event("returned", key[len(RETURN) :], one.stored.at, one.stored.names)
+        *batches, last = list(self.store.limits.drops(records, beside=2)) or [[]]
+        history_event = event("returned", key[len(SCALE_IN) :], one.stored.at, one.stored.names)
         try:
             for some in batches:
                 drops = list(map(Drop, some))
-                await self.state.multi([*self.guards(), guard], drops, can_wait=True)
-            await self.history.commit([guard], [*map(Drop, last), Drop(key)], told, True)
-        except TROUBLE as fault:
+                await self.store.compare_and_swap(
+                    [*self.preconditions(), precondition], drops, low_priority=True
+                )
+            await self.history.commit(
+                [precondition], [*map(Drop, last), Drop(key)], history_event, True
+            )
+        except ServiceError as fault:
             log.info("return %s not settled: %s", key, fault)
             await asyncio.sleep(0.2)
             return
@@ -116,10 +119,12 @@
             if not reasons or one.stored.refused:
                 continue
             noted = msgspec.structs.replace(one.stored, refused=reasons[0][:200])
-            told = event("refused", key[len(RETURN) :], one.stored.at, one.left)
+            history_event = event("refused", key[len(SCALE_IN) :], one.stored.at, one.left)
             try:
-                await self.history.commit([Guard(key, one.version)], [Put(key, noted)], told, True)
-            except TROUBLE as fault:
+                await self.history.commit(
+                    [Precondition(key, one.version)], [Put(key, noted)], history_event, True
+                )
+            except ServiceError as fault:
                 log.info("refusal of %s not recorded: %s", key, fault)
                 continue
             one.stored = noted
--- a/basaltlead/net/http.py
+++ b/basaltlead/net/http.py
@@ -7,6 +7,7 @@
 
 import httptools
 
+from basaltlead.errors import RequestFailed
 from basaltlead.runtime.logs import log
 
 MAX_BODY = 64 * 1024
@@ -15,11 +16,20 @@
 IDLE_TIME = 75.0  # s that a connection may rest between requests
 
 REASONS = {
-    200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request",
-    422: "Unprocessable Content", 429: "Too Many Requests", 431: "Header Fields Too Large",
-    500: "Internal Server Error", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    413: "Content Too Large",
+    421: "Misdirected Request",
+    422: "Unprocessable Content",
+    429: "Too Many Requests",
+    431: "Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 
 
 class Request:
@@ -246,14 +256,6 @@
         self.loop.call_later(5.0, self._sweep)
 
 
-class Failed(Exception):
-    """A call without an answer. `sent` tells whether the request may have been executed."""
-
-    def __init__(self, text: str, sent: bool) -> None:
-        super().__init__(text)
-        self.sent = sent
-
-
 class ClientProtocol(asyncio.Protocol):
     """One connection to a server of ours: one request at a time."""
 
@@ -276,7 +278,7 @@
 
     def _fail(self, text: str) -> None:
         if self.reply is not None and not self.reply.done():
-            self.reply.set_exception(Failed(text, sent=True))
+            self.reply.set_exception(RequestFailed(text, sent=True))
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -339,7 +341,7 @@
         timeout_us: int = 2_000_000,
         still: Callable[[], bool] = lambda: True,
     ) -> tuple[int, bytes]:
-        """Send one request and await its answer; `Failed` when there is none in time. What a
+        """Send one request and await its answer; `RequestFailed` when there is none in time. What a
         lease is needed for asks `still` at the last moment: it may have waited for a
         connection, or the whole process may have stood still."""
         connection: ClientProtocol | None = None
@@ -349,9 +351,9 @@
             async with asyncio.timeout(timeout_us / 1e6), self.slots:
                 connection = self.resting.pop() if self.resting else await self._connect()
                 if connection.transport is None:
-                    raise Failed("connection lost", sent=False)
+                    raise RequestFailed("connection lost", sent=False)
                 if not still():
-                    raise Failed("the lease has ended", sent=False)
+                    raise RequestFailed("the lease has ended", sent=False)
                 # Only now: a reply that nobody waits for would be reported as a lost exception.
                 connection.reply = asyncio.get_running_loop().create_future()
                 sent = True
@@ -367,9 +369,9 @@
         except TimeoutError:
             if connection is not None:
                 connection.close()
-            raise Failed("no answer in time", sent=sent) from None
+            raise RequestFailed("no answer in time", sent=sent) from None
         except OSError as fault:
-            raise Failed(f"no connection: {fault}", sent=False) from None
+            raise RequestFailed(f"no connection: {fault}", sent=False) from None
         except BaseException:
             if connection is not None:
                 connection.close()
--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -16,9 +16,9 @@
         self.running: set[asyncio.Task[None]] = set()
         self.failed = failed
 
-    def spawn(self, work: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
+    def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
         """Run something beside the others."""
-        task = asyncio.get_running_loop().create_task(work, name=name)
+        task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.running.add(task)
         task.add_done_callback(self._ended)
         return task
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -1,30 +1,31 @@
-"""How many machines a block needs, and the comparison with the cloud's list."""
+"""How many machines a shard needs, and the comparison with the cloud's list."""
 
 import asyncio
 
-from basaltlead.clients.cloud import CLOUD_TROUBLE, Cloud
+from basaltlead.clients.cloud import Cloud
 from basaltlead.config.settings import Settings
 from basaltlead.core import demand, fleet_sizing
+from basaltlead.core.entities import US, Machine, Shape
 from basaltlead.core.fleet_sizing import Demand, Offer, OfferBook, WarmSpare
 from basaltlead.core.market import Market
-from basaltlead.core.model import US, Machine, Shape
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.duties.unknown_machines import FAILED
+from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.reachability import Reachability
-from basaltlead.scaling.scale_in import MachineReturns, overdue
-from basaltlead.scaling.scale_out import RentalRequests
-from basaltlead.shard.leader import Owner, placeholder_kind
-from basaltlead.wire.cloud import Rented
+from basaltlead.scaling.scale_in import ScaleIn, provisioning_overdue
+from basaltlead.scaling.scale_out import ScaleOut
+from basaltlead.shard.leader import ShardLeader, unknown_machine_type
+from basaltlead.wire.cloud import RentedMachine
 
 # Machines that one pass asks for: a few, or a sixteenth of a large fleet, so that a fleet of
-# thousands grows as fast as the cloud hires out.
-FEW_HIRED, HIRED_SHARE = 12, 16
+# thousands grows as fast as the cloud rental requests out.
+MIN_RENTALS_PER_PASS, RENTALS_FLEET_DIVISOR = 12, 16
 # Beyond those few, no more than can be recorded while they boot, and for so long after: a machine
 # that is not recorded gets no task, and others' writes would wait behind its record.
 RECORD_S = 4.0
-MOST_HIRING = 6  # hires in progress
+MAX_OPEN_REQUESTS = 6  # rental requests in progress
 SIZING_SHARE = 15  # sizing the fleet leaves that many times what it takes to everything else
 ARRIVALS_US = 200 * US  # jobs that came in this time tell how many will come
 
@@ -33,56 +34,68 @@
     """Runs beside an Owner and ends with it."""
 
     def __init__(
-        self, settings: Settings, cloud: Cloud, owner: Owner, market: Market, offer_book: OfferBook
+        self,
+        settings: Settings,
+        cloud: Cloud,
+        shard_leader: ShardLeader,
+        market: Market,
+        offer_book: OfferBook,
     ) -> None:
         self.settings = settings
         self.cloud = cloud
-        self.owner = owner
+        self.shard_leader = shard_leader
         self.market = market
         self.offer_book = offer_book
-        self.reachability = Reachability(owner)
-        self.requests = RentalRequests(cloud, owner, offer_book)
-        self.returns = MachineReturns(cloud, owner, self.reachability)
+        self.reachability = Reachability(shard_leader)
+        self.scale_out = ScaleOut(cloud, shard_leader, offer_book)
+        self.scale_in = ScaleIn(cloud, shard_leader, self.reachability)
         self.silent_zones = SilentZones()
 
     def start(self) -> None:
-        self.requests.start()
-        self.returns.start()
-        self.owner.spawn(self._size(), "loop size")
-        self.owner.spawn(self._list(), "loop list")
+        self.scale_out.start()
+        self.scale_in.start()
+        self.shard_leader.spawn(self._size(), "loop size")
+        self.shard_leader.spawn(self._list(), "loop list")
 
     # What is wanted
 
     def needs(self, now: int) -> list[Demand]:
-        block = self.owner.block
-        works = [
-            w for w in block.works.values() if not w.closed and not w.complete and now >= w.retry_at
+        shard = self.shard_leader.shard
+        job_states = [
+            w
+            for w in shard.job_states.values()
+            if not w.closed and not w.complete and now >= w.retry_at
         ]
-        loads = demand.loads_of(works, now, block.guess_us)
-        wanted = demand.counts(works, now, self.market.due, block.guess_us, self._lead_us(), loads)
-        rented = demand.Rented(self.expected(now))
+        loads = demand.loads_of(job_states, now, shard.guess_us)
+        wanted = demand.counts(
+            job_states, now, self.market.due, shard.guess_us, self._lead_us(), loads
+        )
+        rented = demand.RentedCapacity(self.expected(now))
         backlog = sum(loads.values())
         out = []
-        for work in sorted(works, key=lambda w: (-w.job.rank, w.asked_at)):
-            work.need = wanted[work.job.ref]
-            need = Demand(work, work.need)
-            if work.job.shape is Shape.ARRAY:
-                need.drain_us = rented.drain_us(work.job, backlog)
+        for job_state in sorted(job_states, key=lambda w: (-w.job.rank, w.submitted_at)):
+            job_state.need = wanted[job_state.job.ref]
+            need = Demand(job_state, job_state.need)
+            if job_state.job.shape is Shape.ARRAY:
+                need.drain_us = rented.drain_us(job_state.job, backlog)
             out.append(need)
         return out
 
     def _lead_us(self) -> int:
-        return min((kind.boot_us for kind in self.owner.kinds.values()), default=0)
+        return min(
+            (machine_type.boot_us for machine_type in self.shard_leader.machine_types.values()),
+            default=0,
+        )
 
     def spares(self, now: int) -> list[WarmSpare]:
         """Room for jobs whose class is promised a start sooner than a machine boots."""
         out = []
-        for job_class, (within, *_) in self.market.promises.starts.items():
-            seen = self.owner.job_classes.get(job_class)
+        for job_class, (within, *_) in self.market.objectives.starts.items():
+            seen = self.shard_leader.job_classes.get(job_class)
             if seen is None:
                 continue
             job = seen.last
-            suited = [k for k in self.owner.kinds.values() if k.holds(job)]
+            suited = [k for k in self.shard_leader.machine_types.values() if k.holds(job)]
             if not suited:
                 continue
             boot = min(k.boot_us for k in suited)
@@ -98,57 +111,64 @@
 
     def expected(self, now: int) -> list[Machine]:
         """Machines to reckon with: those that are up, and those that should be soon."""
-        out = [m for batch in self.requests.pending.values() for m in batch]
+        out = [m for batch in self.scale_out.pending.values() for m in batch]
         return out + [
             m
-            for m in self.owner.block.machines.values()
-            if not m.lost and not overdue(m, now) and not self.reachability.unreachable(m, now)
+            for m in self.shard_leader.shard.machines.values()
+            if not m.lost
+            and not provisioning_overdue(m, now)
+            and not self.reachability.unreachable(m, now)
         ]
 
     @staticmethod
     def _may_come_up(machine: Machine, now: int) -> bool:
         """Is it within the time that most machines take to come up?"""
-        return now - machine.made_at < machine.kind.boot_us * 3 // 2 + 10 * US
+        return now - machine.made_at < machine.machine_type.boot_us * 3 // 2 + 10 * US
 
     async def _size(self) -> None:
         took = 0
         while True:
             # The more there is to look at, the rarer: reports come first.
             await asyncio.sleep(max(0.5, SIZING_SHARE * took / US))
-            if not self.owner.acts or not self.owner.kinds:
+            if not self.shard_leader.holds_valid_lease or not self.shard_leader.machine_types:
                 continue
             now = now_us()
-            block = self.owner.block
+            shard = self.shard_leader.shard
             needs = self.needs(now)
-            run_us = {n.work.job.ref: block.guess_us(n.work) for n in needs}
-            room = MOST_HIRING - len(self.requests.pending)
-            self._look_for_silent_zones(now)
+            run_us = {n.job_state.job.ref: shard.guess_us(n.job_state) for n in needs}
+            room = MAX_OPEN_REQUESTS - len(self.scale_out.pending)
+            self._update_silent_zones(now)
             expected = self.expected(now)
             plan = fleet_sizing.size(
-                needs, self.spares(now), expected, self.owner.kinds, self._offers(expected, now),
-                run_us, self._most_hires(),
-            )  # fmt: skip
+                needs,
+                self.spares(now),
+                expected,
+                self.shard_leader.machine_types,
+                self._offers(expected, now),
+                run_us,
+                self._max_rentals(),
+            )
             grouped: dict[Offer, int] = {}
-            for offer in plan.hires:
+            for offer in plan.rentals:
                 grouped[offer] = grouped.get(offer, 0) + 1
             for offer, count in list(grouped.items())[: max(0, room)]:
-                self.requests.request(offer, count)
-            for machine in block.machines.values():
-                machine.wanted = machine.name in plan.needed
-            self.market.share(block, now)
-            self.owner.wake.set()
-            self.returns.decide(plan.needed, now)
+                self.scale_out.request(offer, count)
+            for machine in shard.machines.values():
+                machine.needed = machine.name in plan.needed
+            self.market.share(shard, now)
+            self.shard_leader.wake.set()
+            self.scale_in.decide(plan.needed, now)
             took = now_us() - now
 
-    def _most_hires(self) -> int:
-        """How many machines one pass may hire."""
-        machines = self.owner.block.machines
+    def _max_rentals(self) -> int:
+        """How many machines one pass may rental request."""
+        machines = self.shard_leader.shard.machines
         unrecorded = sum(not machine.recorded for machine in machines.values())
         span_s = self._lead_us() / US + RECORD_S
-        recordable = int(span_s * self.owner.state.writes.rate) - unrecorded
-        return max(FEW_HIRED, min(len(machines) // HIRED_SHARE, recordable))
+        recordable = int(span_s * self.shard_leader.store.writes.rate) - unrecorded
+        return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
-    def _look_for_silent_zones(self, now: int) -> None:
+    def _update_silent_zones(self, now: int) -> None:
         for zone in self.silent_zones.look(self.reachability.heard_by_zone(now), now):
             log.info("nothing is heard from %s, no hires there", zone)
 
@@ -156,12 +176,12 @@
         """What may be asked of the cloud."""
         if self.reachability.blind(now):
             return {}
-        kinds = self.owner.kinds
-        offers = self.offer_book.offers(kinds.values(), self.requests.held(), now)
-        for offer in self.requests.hanging:
+        machine_types = self.shard_leader.machine_types
+        offers = self.offer_book.offers(machine_types.values(), self.scale_out.held(), now)
+        for offer in self.scale_out.hanging:
             offers.pop(offer, None)
         tried = {m.zone for m in expected if not m.heard_at and self._may_come_up(m, now)}
-        return self.silent_zones.admitted(offers, kinds, tried, now)
+        return self.silent_zones.admitted(offers, machine_types, tried, now)
 
     # Listing
 
@@ -170,35 +190,43 @@
         pause = max(4.0, self.settings.facts.cloud.list_lag_s)
         while True:
             await asyncio.sleep(pause)
-            if not self.owner.acts or not self.owner.kinds or self.owner.member.duties_granted:
+            if (
+                not self.shard_leader.holds_valid_lease
+                or not self.shard_leader.machine_types
+                or self.shard_leader.membership.duties_granted
+            ):
                 continue
             try:
                 rented = await self.cloud.machines()
-            except CLOUD_TROUBLE as fault:
+            except ServiceError as fault:
                 log.info("machine list: %s", fault)
                 continue
             self._compare(rented, now_us())
-            await self.requests.tidy()
+            await self.scale_out.tidy()
 
-    def _compare(self, rented: list[Rented], now: int) -> None:
-        block = self.owner.block
+    def _compare(self, rented: list[RentedMachine], now: int) -> None:
+        shard = self.shard_leader.shard
         for one in rented:
-            if one.name in block.gone:
+            if one.name in shard.gone:
                 continue
-            machine = block.machines.get(one.name)
-            if machine is None and (self.owner.foreign(one.name) or self._not_yet(one)):
+            machine = shard.machines.get(one.name)
+            if machine is None and (
+                self.shard_leader.belongs_to_other_shard(one.name) or self._not_yet(one)
+            ):
                 continue
             if machine is None:
-                kind = self.owner.kinds.get(one.type) or placeholder_kind(one.type)
-                machine = Machine(one.name, kind, one.zone, one.spot, now)
+                machine_type = self.shard_leader.machine_types.get(
+                    one.type
+                ) or unknown_machine_type(one.type)
+                machine = Machine(one.name, machine_type, one.zone, one.spot, now)
                 machine.made_at = now - int(one.age_s * US)
-                block.add_machine(machine)
+                shard.add_machine(machine)
                 log.info("unexpected machine %s (%s)", one.name, one.stage)
-            if one.stage == FAILED and not machine.deleting:
+            if one.stage == FAILED and not machine.terminating:
                 log.info("machine %s has failed", one.name)
-                machine.deleting = True
+                machine.terminating = True
 
-    def _not_yet(self, one: Rented) -> bool:
-        """With several blocks, an unexpected machine may just not be written down yet by the
-        block that hired it; later it is the first block's to take in."""
-        return self.owner.shared and (self.owner.number != 0 or one.age_s < 30)
+    def _not_yet(self, one: RentedMachine) -> bool:
+        """With several shards, an unexpected machine may just not be written down yet by the
+        shard that hired it; later it is the first shard's to take in."""
+        return self.shard_leader.shared and (self.shard_leader.number != 0 or one.age_s < 30)
--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -1,22 +1,22 @@
-"""The machine types of the cloud, and their copy in the state service."""
+"""The machine types of the cloud, and their copy in the key-value store."""
 
 import asyncio
 from collections.abc import Callable
 
 import msgspec
 
-from basaltlead.clients.base import Backoff, Unavailable, encode
-from basaltlead.clients.cloud import CLOUD_TROUBLE, Cloud
+from basaltlead.clients.base import Backoff, encode
+from basaltlead.clients.cloud import Cloud
 from basaltlead.cluster.membership import Membership
-from basaltlead.core.model import Kind
-from basaltlead.net.http import Failed
+from basaltlead.core.entities import MachineType
+from basaltlead.errors import RequestFailed, ServiceError, Unavailable
 from basaltlead.runtime.logs import log
-from basaltlead.storage.client import TROUBLE, State
-from basaltlead.storage.records import TYPES, kind_of
-from basaltlead.wire.cloud import MachineType, Types
-from basaltlead.wire.state import Put
+from basaltlead.storage.client import KeyValueStore
+from basaltlead.storage.records import TYPES, machine_type_of
+from basaltlead.wire.cloud import MachineTypeInfo, MachineTypeList
+from basaltlead.wire.store import Put
 
-OWNER_PAUSE_S = 30.0  # between two questions to the cloud; prices move
+LEADER_PAUSE_S = 30.0  # between two questions to the cloud; prices move
 STANDBY_PAUSE_S = 180.0
 PAGE_PREFIX = TYPES + "/"
 PAGE_ENVELOPE = 64  # bytes of a page beside its types
@@ -25,13 +25,13 @@
 class TypesPage(msgspec.Struct, rename={"types": "Grades"}):
     """Some of the types, where one value can't hold them all."""
 
-    types: list[MachineType]
+    types: list[MachineTypeInfo]
     pages: int
 
 
-def pages_of(types: list[MachineType], value_bytes: int) -> list[list[MachineType]]:
+def pages_of(types: list[MachineTypeInfo], value_bytes: int) -> list[list[MachineTypeInfo]]:
     """Divide the types so that each page fits into a value."""
-    pages: list[list[MachineType]] = [[]]
+    pages: list[list[MachineTypeInfo]] = [[]]
     used = PAGE_ENVELOPE
     for one in types:
         size = len(encode(one)) + 1
@@ -43,71 +43,76 @@
     return pages
 
 
-class MachineTypes:
-    """Keeps `kinds` up to date from the cloud, or from the state service while the cloud fails."""
+class MachineTypeCatalog:
+    """Keeps `machine_types` up to date from the cloud, or from the key-value store while the cloud
+    fails."""
 
     def __init__(
-        self, cloud: Cloud, state: State, member: Membership, kinds: dict[str, Kind],
-        owns: Callable[[], bool],
-    ) -> None:  # fmt: skip
+        self,
+        cloud: Cloud,
+        store: KeyValueStore,
+        membership: Membership,
+        machine_types: dict[str, MachineType],
+        leads_shard: Callable[[], bool],
+    ) -> None:
         self.cloud = cloud
-        self.state = state
-        self.member = member
-        self.kinds = kinds
-        self.owns = owns
+        self.store = store
+        self.membership = membership
+        self.machine_types = machine_types
+        self.leads_shard = leads_shard
         self.stored: set[str] = set()  # names of the types that we have written
 
     async def follow(self) -> None:
         """Ask the cloud for its types and their present prices, for ever."""
-        backoff = Backoff(200_000, 2_000_000, self.member.chance)
+        backoff = Backoff(200_000, 2_000_000, self.membership.chance)
         while True:
             try:
                 types = await self.cloud.types()
-                for kind in map(kind_of, types):
-                    self.kinds[kind.name] = kind
+                for machine_type in map(machine_type_of, types):
+                    self.machine_types[machine_type.name] = machine_type
                 backoff.reset()
                 await self._store(types)
-                await asyncio.sleep(OWNER_PAUSE_S if self.owns() else STANDBY_PAUSE_S)
-            except CLOUD_TROUBLE as fault:
+                await asyncio.sleep(LEADER_PAUSE_S if self.leads_shard() else STANDBY_PAUSE_S)
+            except ServiceError as fault:
                 log.info("machine types: %s", fault)
                 await self._load()
                 await backoff.rest()
 
-    async def _store(self, types: list[MachineType]) -> None:
-        """Whoever starts while the cloud is in trouble finds the types in the state service."""
+    async def _store(self, types: list[MachineTypeInfo]) -> None:
+        """Whoever starts while the cloud is in trouble finds the types in the key-value store."""
         names = {one.name for one in types}
-        if not self.owns() or names == self.stored:
+        if not self.leads_shard() or names == self.stored:
             return
-        pages = pages_of(types, self.state.limits.value_bytes)
+        pages = pages_of(types, self.store.limits.value_bytes)
         try:
             if len(pages) == 1:
-                await self._put(TYPES, Types(types))
+                await self._put(TYPES, MachineTypeList(types))
             else:
                 for number, page in enumerate(pages):
                     await self._put(f"{PAGE_PREFIX}{number}", TypesPage(page, len(pages)))
             self.stored = names
-        except TROUBLE as fault:
+        except ServiceError as fault:
             log.debug("storing types: %s", fault)
 
-    async def _put(self, key: str, value: Types | TypesPage) -> None:
-        await self.state.multi([self.member.guard()], [Put(key, value)])
+    async def _put(self, key: str, value: MachineTypeList | TypesPage) -> None:
+        await self.store.compare_and_swap([self.membership.precondition()], [Put(key, value)])
 
     async def _load(self) -> None:
         """Read what is stored. Some of several pages are not enough: a job that fits only a type
         on another page would be refused for good."""
-        if self.kinds:
+        if self.machine_types:
             return
         try:
-            row = await self.state.get(TYPES)
+            row = await self.store.get(TYPES)
             if row is not None:
-                types = msgspec.json.decode(row.value, type=Types).types
+                types = msgspec.json.decode(row.value, type=MachineTypeList).types
             else:
-                rows, _ = await self.state.rows(PAGE_PREFIX)
+                rows, _ = await self.store.rows(PAGE_PREFIX)
                 pages = [msgspec.json.decode(one.value, type=TypesPage) for one in rows]
                 if not pages or len(pages) < max(page.pages for page in pages):
                     return
                 types = [one for page in pages for one in page.types]
-        except (Failed, Unavailable):
+        except (RequestFailed, Unavailable):
             return
-        for kind in map(kind_of, types):
-            self.kinds.setdefault(kind.name, kind)
+        for machine_type in map(machine_type_of, types):
+            self.machine_types.setdefault(machine_type.name, machine_type)
--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -1,7 +1,8 @@
 """What may be spent on idle machines that are kept for a quiet time.
 
-Money is reserved in the state service before it is spent, a part at a time, so that the bound holds
-however often the block changes its owner: a new one counts all that was reserved as spent.
+Money is reserved in the key-value store before it is spent, a part at a time, so that the bound
+holds however often the shard changes its shard leader: a new one counts all that was reserved as
+spent.
 """
 
 from collections.abc import Awaitable, Callable
@@ -9,7 +10,7 @@
 
 from msgspec import Struct
 
-from basaltlead.core.model import US
+from basaltlead.core.entities import US
 
 if TYPE_CHECKING:
     from basaltlead.scaling.quiet_times import QuietTime
@@ -26,8 +27,8 @@
     reserved: float
 
 
-class QuietAllowance:
-    """The money of one block for the present quiet time."""
+class QuietBudget:
+    """The money of one shard for the present quiet time."""
 
     def __init__(self, most: float, reserve: Callable[[StoredQuiet], Awaitable[bool]]) -> None:
         self.most = most
@@ -39,7 +40,7 @@
         self.step_us = 0
 
     def load(self, stored: StoredQuiet) -> None:
-        """Go on after another owner."""
+        """Go on after another shard leader."""
         self.start, self.reserved, self.spent = stored.start, stored.reserved, stored.reserved
 
     def begin(self, quiet: "QuietTime | None", now: int) -> bool:
--- a/basaltlead/scaling/quiet_times.py
+++ b/basaltlead/scaling/quiet_times.py
@@ -14,7 +14,7 @@
 from icalendar.parser import Contentline
 
 from basaltlead.config.settings import SettingsError
-from basaltlead.core.model import US
+from basaltlead.core.entities import US
 from basaltlead.runtime.clock import wall_us
 from basaltlead.runtime.logs import log
 
@@ -128,12 +128,12 @@
         """The quiet time that is now; of several the one that began first."""
         now = self.clock()
         if not 0 <= now - self.checked_at < CHECK_US:
-            self._look_again(now)
+            self._refresh(now)
         if not self.until - 2 * HORIZON // timedelta(microseconds=1) <= now < self.until:
             self._expand(now)
         return min((one for one in self.known if one.start <= now < one.end), default=None)
 
-    def _look_again(self, now: int) -> None:
+    def _refresh(self, now: int) -> None:
         self.checked_at = now
         changed_at = self._changed_at()
         if changed_at == self.changed_at:
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -1,18 +1,26 @@
-"""The state service: a small consistent key-value store."""
+"""The key-value store: a small consistent key-value store."""
 
 from collections.abc import Sequence
 from urllib.parse import quote
 
 import msgspec
 
-from basaltlead.clients.base import Budget, Unavailable, decode, encode
-from basaltlead.net.http import Failed, Pool
+from basaltlead.clients.base import Budget, decode, encode
+from basaltlead.errors import (
+    PreconditionFailed,
+    RequestFailed,
+    RevisionCompacted,
+    SessionLeaseExpired,
+    TransactionTooLarge,
+    Unavailable,
+)
+from basaltlead.net.http import Pool
 from basaltlead.storage.limits import StoreLimits
-from basaltlead.wire.state import (
+from basaltlead.wire.store import (
     Changes,
     Drop,
-    Guard,
     Outcome,
+    Precondition,
     Put,
     Row,
     Rows,
@@ -23,48 +31,20 @@
 PAGE = 500
 
 
-class Conflict(Exception):
-    """A guard did not hold; `failed` names the keys."""
-
-    def __init__(self, failed: Sequence[str]) -> None:
-        super().__init__(", ".join(failed))
-        self.failed = list(failed)
-
-
-class SessionLeaseExpired(Exception):
-    """The session lease has ended."""
-
-
-class TooLarge(Failed):
-    """A transaction that the state service would refuse for its size, so it was not sent: the
-    same request can never succeed, and must not be tried again."""
-
-    def __init__(self, text: str) -> None:
-        super().__init__(f"too large: {text}", sent=False)
-
-
-class TooOld(Exception):
-    """The changes asked for are no longer kept."""
-
-
-# What a call may end in, short of an answer.
-TROUBLE = (Failed, Unavailable, Conflict, SessionLeaseExpired)
-
-
-class State:
+class KeyValueStore:
     """Calls with a deadline each, inside this node's part of the limits.
 
     Renewals of the session lease pass the budget by: they must never wait behind other requests.
     """
 
-    def __init__(self, address: str, limits: StoreLimits, nodes: int, owners: int) -> None:
+    def __init__(self, address: str, limits: StoreLimits, nodes: int, writers: int) -> None:
         self.limits = limits
         self.pool = Pool(address, limit=24)
         self.watches = Pool(address, limit=8)
         self.renewals = Pool(address, limit=4)
         self.requests = Budget(max(1.0, limits.rps * 0.8 / nodes))
         # Owners store results; all others only what users ask for now and then.
-        rate = limits.write_rps * 0.85 * (0.6 if owners == 1 else 1 / owners)
+        rate = limits.write_rps * 0.85 * (0.6 if writers == 1 else 1 / writers)
         self.writes = Budget(max(0.5, rate), burst=max(1.0, rate))
 
     def behind_s(self, writing: bool) -> float:
@@ -90,7 +70,7 @@
             decode(body, _Missing)
             return None
         if status != 200:
-            raise Failed(f"get: {status}", sent=True)
+            raise RequestFailed(f"get: {status}", sent=True)
         return decode(body, Row)
 
     async def page(self, prefix: str, since: str = "", most: int = PAGE) -> Rows:
@@ -99,7 +79,7 @@
             path += f"&Since={quote(since, safe='/')}"
         status, body = await self._call("GET", path, timeout_us=2_500_000)
         if status != 200:
-            raise Failed(f"list: {status}", sent=True)
+            raise RequestFailed(f"list: {status}", sent=True)
         return decode(body, Rows)
 
     async def rows(self, prefix: str) -> tuple[list[Row], int]:
@@ -111,27 +91,30 @@
             rows += page.rows
         return rows, first.revision
 
-    async def multi(
-        self, guards: list[Guard], apply: Sequence[Put | Drop], can_wait: bool = False
+    async def compare_and_swap(
+        self,
+        preconditions: list[Precondition],
+        apply: Sequence[Put | Drop],
+        low_priority: bool = False,
     ) -> int:
         """One transaction; its revision. Raises Conflict, SessionLeaseExpired or Unavailable, and
         Failed if it may have been executed.
 
         Bookkeeping can wait: with hundreds of machines it alone would fill the limit on writes,
         and users' submissions and cancellations go first."""
-        raw = self._encoded(guards, apply)
-        turn = self.writes.spare if can_wait else self.writes.take
+        raw = self._encoded(preconditions, apply)
+        turn = self.writes.spare if low_priority else self.writes.take
         await turn(max(1, len(apply)))
         status, body = await self._call("POST", "/multi", raw)
         if status == 200:
             return decode(body, Outcome).revision
         if status == 409:
-            raise Conflict(decode(body, Outcome).failed)
+            raise PreconditionFailed(decode(body, Outcome).failed)
         if status == 400 and b"no such lease" in body:
             raise SessionLeaseExpired
-        raise Failed(f"multi: {status} {body[:200]!r}", sent=True)
+        raise RequestFailed(f"multi: {status} {body[:200]!r}", sent=True)
 
-    def _encoded(self, guards: list[Guard], apply: Sequence[Put | Drop]) -> bytes:
+    def _encoded(self, preconditions: list[Precondition], apply: Sequence[Put | Drop]) -> bytes:
         """The transaction's body. Raises TooLarge if it breaks a limit."""
         values: list[int] = []
         changes: list[Put | Drop] = []
@@ -141,10 +124,10 @@
                 values.append(len(value))
                 change = Put(change.key, msgspec.Raw(value), change.session_lease)
             changes.append(change)
-        raw = encode(Transaction(guards, changes))
-        excess = self.limits.excess(len(guards), len(apply), values, len(raw))
+        raw = encode(Transaction(preconditions, changes))
+        excess = self.limits.excess(len(preconditions), len(apply), values, len(raw))
         if excess:
-            raise TooLarge(excess)
+            raise TransactionTooLarge(excess)
         return raw
 
     async def changes(self, prefix: str, since: int, hold_ms: int) -> Changes:
@@ -157,9 +140,9 @@
             )
         )
         if status == 410:
-            raise TooOld
+            raise RevisionCompacted
         if status != 200:
-            raise Failed(f"changes: {status}", sent=True)
+            raise RequestFailed(f"changes: {status}", sent=True)
         return decode(body, Changes)
 
     async def create_lease(self, ttl_us: int) -> int:
@@ -167,7 +150,7 @@
             await self.renewals.request("POST", "/holds", encode({"TtlMs": ttl_us // 1000}))
         )
         if status not in (200, 201):
-            raise Failed(f"session lease: {status}", sent=True)
+            raise RequestFailed(f"session lease: {status}", sent=True)
         return decode(body, SessionLease).session_lease
 
     async def renew_lease(self, session_lease: int, timeout_us: int) -> None:
@@ -177,10 +160,10 @@
         if status == 404:
             raise SessionLeaseExpired
         if status != 200:
-            raise Failed(f"touch: {status}", sent=True)
+            raise RequestFailed(f"touch: {status}", sent=True)
 
 
 class _Missing(msgspec.Struct, rename={"revision": "Ledger"}):
-    """The body of the state service's own 404: only that proves that a key is not there."""
+    """The body of the key-value store's own 404: only that proves that a key is not there."""
 
     revision: int
--- a/basaltlead/storage/limits.py
+++ b/basaltlead/storage/limits.py
@@ -1,17 +1,17 @@
-"""What the state service takes, and how rows are divided into transactions that it accepts."""
+"""What the key-value store takes, and how rows are divided into transactions that it accepts."""
 
 from collections.abc import Iterable, Iterator, Mapping
 
 from msgspec import Struct
 
 TRANSACTION_BYTES = 64 * 1024
-GUARDS_PER_OPERATION = 4
+PRECONDITIONS_PER_OPERATION = 4
 # Of a transaction's bytes, what guards, keys and punctuation may take beside the values.
 ENVELOPE_BYTES = 8 * 1024
 
 
 class StoreLimits(Struct, frozen=True):
-    """Limits of the state service that every request of ours keeps to."""
+    """Limits of the key-value store that every request of ours keeps to."""
 
     rps: float
     write_rps: float
@@ -19,16 +19,16 @@
     operations: int  # puts and deletes in one transaction
 
     @property
-    def guards(self) -> int:
+    def preconditions(self) -> int:
         """Conditions in one transaction."""
-        return self.operations * GUARDS_PER_OPERATION
+        return self.operations * PRECONDITIONS_PER_OPERATION
 
-    def excess(self, guards: int, operations: int, values: list[int], total: int) -> str:
+    def excess(self, preconditions: int, operations: int, values: list[int], total: int) -> str:
         """Which limit a transaction of these sizes would break; empty if none."""
         if operations > self.operations:
             return f"{operations} operations, {self.operations} are allowed"
-        if guards > self.guards:
-            return f"{guards} guards, {self.guards} are allowed"
+        if preconditions > self.preconditions:
+            return f"{preconditions} guards, {self.preconditions} are allowed"
         if max(values, default=0) > self.value_bytes:
             return f"a value of {max(values)} bytes, {self.value_bytes} are allowed"
         if total > TRANSACTION_BYTES:
