--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -1,12 +1,12 @@
 """The rows under an open job that hold which of its tasks are done, in values of bounded size.
 
-There are two layouts. A *stretch* row, ``open/<job>/<block>.<n>``, holds the results of 24,576
-tasks from a fixed place on. Where such a value might be larger than the state service takes, a job
-has *chunk* rows instead, ``open/<job>/<1000 + block>.<n>``, which hold fewer tasks and say from
-which one on. Controllers that know stretch rows only read of a chunk row how many results it
-holds, and that the list of those is empty: they start its tasks once more, and the workers, which
-keep results, let them end at once. Stretch rows that were stored larger stay readable and are
-never written again; chunk rows hold only what those do not.
+There are two layouts. A *stretch* row, ``open/<job>/<shard>.<n>``, holds the results of 24,576
+tasks from a fixed place on. Where such a value might be larger than the key-value store takes, a
+job has *chunk* rows instead, ``open/<job>/<1000 + shard>.<n>``, which hold fewer tasks and say from
+which one on. Controllers that know stretch rows only read of a chunk row how many results it holds,
+and that the list of those is empty: they start its tasks once more, and the workers, which keep
+results, let them end at once. Stretch rows that were stored larger stay readable and are never
+written again; chunk rows hold only what those do not.
 """
 
 from collections.abc import Iterable
@@ -14,11 +14,11 @@
 import msgspec
 from msgspec import Struct
 
-from basaltlead.core.model import Shape, Work
+from basaltlead.core.entities import JobState, Shape
 from basaltlead.storage.records import OPEN
 
 STRETCH = 24_576  # tasks whose results share a stretch row: 4 KiB of text
-CHUNK_BLOCKS = 1000  # block numbers from this one on stand for chunk rows
+CHUNK_SHARDS = 1000  # shard numbers from this one on stand for chunk rows
 CHUNK_OVERHEAD = 128  # bytes of a chunk row beside its results
 LEAST_CHUNK = 64  # tasks in a chunk row, however small the limit
 
@@ -54,9 +54,9 @@
     return max(LEAST_CHUNK, (value_bytes - CHUNK_OVERHEAD) // 4 * 3 * 8)
 
 
-def progress_key(ref: str, block: int, number: int) -> str:
+def progress_key(ref: str, shard: int, number: int) -> str:
     """The key of a row of results."""
-    return f"{OPEN}{ref}/{block}.{number}"
+    return f"{OPEN}{ref}/{shard}.{number}"
 
 
 def count_of(tasks: int, size: int) -> int:
@@ -74,53 +74,53 @@
         """Are the results of a job of so many tasks kept in chunk rows?"""
         return min(tasks, STRETCH) > self.chunk
 
-    def keys(self, ref: str, tasks: int, blocks: Iterable[int]) -> list[str]:
+    def keys(self, ref: str, tasks: int, shards: Iterable[int]) -> list[str]:
         """Every row that may hold results of a job."""
         out: list[str] = []
-        for block in blocks:
-            out += [progress_key(ref, block, n) for n in range(count_of(tasks, STRETCH))]
+        for shard in shards:
+            out += [progress_key(ref, shard, n) for n in range(count_of(tasks, STRETCH))]
             if self.chunked(tasks):
                 chunks = range(count_of(tasks, self.chunk))
-                out += [progress_key(ref, CHUNK_BLOCKS + block, n) for n in chunks]
+                out += [progress_key(ref, CHUNK_SHARDS + shard, n) for n in chunks]
         return out
 
-    def most_rows(self, tasks: int, blocks: int) -> int:
+    def most_rows(self, tasks: int, shards: int) -> int:
         """How many rows a job of so many tasks may have."""
-        return blocks * (count_of(tasks, STRETCH) + count_of(tasks, self.chunk))
+        return shards * (count_of(tasks, STRETCH) + count_of(tasks, self.chunk))
 
-    def unstored(self, work: Work, block: int) -> list[ResultRow]:
+    def unstored(self, job_state: JobState, shard: int) -> list[ResultRow]:
         """The rows to be written so that no result of ours is unstored. The first row shows how
         many tasks run; it is there also if there is no result."""
-        chunked = self.chunked(work.job.tasks)
+        chunked = self.chunked(job_state.job.tasks)
         size = self.chunk if chunked else STRETCH
         parts: dict[int, list[int]] = {}
-        for index in work.unstored:
+        for index in job_state.unstored:
             parts.setdefault(index // size, []).append(index)
         rows: list[ResultRow] = []
         for number, tasks in (parts or {0: []}).items():
             if chunked:
-                key = progress_key(work.job.ref, CHUNK_BLOCKS + block, number)
-                rows.append(ResultRow(key, self._chunk_row(work, number), tasks))
+                key = progress_key(job_state.job.ref, CHUNK_SHARDS + shard, number)
+                rows.append(ResultRow(key, self._chunk_row(job_state, number), tasks))
             else:
-                key = progress_key(work.job.ref, block, number)
-                rows.append(ResultRow(key, stretch_row(work, number), tasks))
+                key = progress_key(job_state.job.ref, shard, number)
+                rows.append(ResultRow(key, stretch_row(job_state, number), tasks))
         return rows
 
-    def _chunk_row(self, work: Work, number: int) -> ProgressChunk:
+    def _chunk_row(self, job_state: JobState, number: int) -> ProgressChunk:
         first = number * self.chunk
-        bits = bytes(work.own[first // 8 : (first + self.chunk) // 8])
-        return ProgressChunk(b"", count_bits(bits), shown_running(work, number), first, bits)
+        bits = bytes(job_state.own[first // 8 : (first + self.chunk) // 8])
+        return ProgressChunk(b"", count_bits(bits), shown_running(job_state, number), first, bits)
 
 
-def stretch_row(work: Work, number: int) -> Progress:
-    """The row of one stretch: what this block recorded of it."""
-    done = bytes(work.own[number * STRETCH // 8 : (number + 1) * STRETCH // 8])
-    return Progress(done, count_bits(done), shown_running(work, number))
+def stretch_row(job_state: JobState, number: int) -> Progress:
+    """The row of one stretch: what this shard recorded of it."""
+    done = bytes(job_state.own[number * STRETCH // 8 : (number + 1) * STRETCH // 8])
+    return Progress(done, count_bits(done), shown_running(job_state, number))
 
 
-def shown_running(work: Work, number: int) -> int:
+def shown_running(job_state: JobState, number: int) -> int:
     """The first row of a job says how many of its tasks run."""
-    return work.running if number == 0 else 0
+    return job_state.running if number == 0 else 0
 
 
 def count_bits(bits: bytes) -> int:
@@ -129,32 +129,37 @@
 
 
 def load_results(
-    work: Work, block: int, row_block: int, number: int, raw: msgspec.Raw, layout: ResultLayout
+    job_state: JobState,
+    shard: int,
+    row_shard: int,
+    number: int,
+    raw: msgspec.Raw,
+    layout: ResultLayout,
 ) -> None:
-    """Take in a row that was recorded by `row_block`. Results of a service mean nothing, whoever
+    """Take in a row that was recorded by `row_shard`. Results of a service mean nothing, whoever
     wrote them. Stretch rows of a job that has chunk rows now are not ours to write again."""
-    if work.job.shape is Shape.SERVICE:
+    if job_state.job.shape is Shape.SERVICE:
         return
-    if row_block >= CHUNK_BLOCKS:
+    if row_shard >= CHUNK_SHARDS:
         chunk = msgspec.json.decode(raw, type=ProgressChunk)
-        note_bits(work, chunk.first, chunk.bits, own=row_block - CHUNK_BLOCKS == block)
+        note_bits(job_state, chunk.first, chunk.bits, own=row_shard - CHUNK_SHARDS == shard)
         return
     row = msgspec.json.decode(raw, type=Progress)
-    own = row_block == block and not layout.chunked(work.job.tasks)
-    note_bits(work, number * STRETCH, row.done, own)
+    own = row_shard == shard and not layout.chunked(job_state.job.tasks)
+    note_bits(job_state, number * STRETCH, row.done, own)
 
 
-def note_bits(work: Work, first: int, bits: bytes, own: bool) -> None:
+def note_bits(job_state: JobState, first: int, bits: bytes, own: bool) -> None:
     """Note the tasks from `first` on whose bits are set as done."""
     for offset, byte in enumerate(bits):
         if byte:
             for bit in range(8):
                 if byte >> bit & 1:
-                    work.note(first + offset * 8 + bit, own)
+                    job_state.note(first + offset * 8 + bit, own)
 
 
 def split_open(key: str) -> tuple[str, tuple[int, int] | None]:
-    """The job, and the block and number (None: the job itself), of a key under `open/`."""
+    """The job, and the shard and number (None: the job itself), of a key under `open/`."""
     ref, _, tail = key[len(OPEN) :].partition("/")
-    block, _, number = tail.partition(".")
-    return ref, (int(block), int(number)) if block.isdigit() and number.isdigit() else None
+    shard, _, number = tail.partition(".")
+    return ref, (int(shard), int(number)) if shard.isdigit() and number.isdigit() else None
--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -1,18 +1,19 @@
-"""Keeping a picture of the keys under a prefix like the state service has them."""
+"""Keeping a picture of the keys under a prefix like the key-value store has them."""
 
 from collections.abc import Callable, Iterable
 
 import msgspec
 
 from basaltlead.clients.base import Backoff
+from basaltlead.errors import RevisionCompacted, ServiceError
 from basaltlead.runtime.clock import chance, now_us
 from basaltlead.runtime.logs import log
-from basaltlead.storage.client import TROUBLE, State, TooOld
-from basaltlead.wire.state import Change, Row
+from basaltlead.storage.client import KeyValueStore
+from basaltlead.wire.store import Change, Row
 
 
 async def follow(
-    state: State,
+    store: KeyValueStore,
     prefix: str,
     hold_ms: int,
     load: Callable[[list[Row]], None],
@@ -27,25 +28,25 @@
         try:
             asked = now_us()
             if since is None:
-                rows, since = await state.rows(prefix)
+                rows, since = await store.rows(prefix)
                 load(rows)
                 seen(asked, True)
                 asked = now_us()
-            changes = await state.changes(prefix, since, hold_ms)
+            changes = await store.changes(prefix, since, hold_ms)
             for change in changes.log:
                 take(change)
             since = max(since, changes.revision)
             seen(asked, bool(changes.log))
             backoff.reset()
-        except TooOld:
+        except RevisionCompacted:
             since = None
-        except TROUBLE as fault:
+        except ServiceError as fault:
             log.debug("following %s: %s", prefix, fault)
             await backoff.rest()
 
 
 async def follow_rows(
-    state: State,
+    store: KeyValueStore,
     prefix: str,
     hold_ms: int,
     put: Callable[[str, msgspec.Raw, int], None],
@@ -72,4 +73,4 @@
             keys.discard(change.drop)
             drop(change.drop)
 
-    await follow(state, prefix, hold_ms, load, take)
+    await follow(store, prefix, hold_ms, load, take)
--- a/basaltlead/wire/cloud.py
+++ b/basaltlead/wire/cloud.py
@@ -3,11 +3,21 @@
 from msgspec import Struct
 
 
-class MachineType(Struct, rename={"name": "Label", "cpus": "Cores", "gpus": "Gpus",
-                                  "memory_gb": "MemoryGb", "cache_gb": "LocalGb",
-                                  "pull_gb_per_s": "PullGbPerS", "price": "Rate",
-                                  "spot_price": "MarketPrice", "boot_s": "ReadyS",
-                                  "zones": "Yards"}):  # fmt: skip
+class MachineTypeInfo(
+    Struct,
+    rename={
+        "name": "Label",
+        "cpus": "Cores",
+        "gpus": "Gpus",
+        "memory_gb": "MemoryGb",
+        "cache_gb": "LocalGb",
+        "pull_gb_per_s": "PullGbPerS",
+        "price": "Rate",
+        "spot_price": "MarketPrice",
+        "boot_s": "ReadyS",
+        "zones": "Yards",
+    },
+):
     """A type that the cloud rents out, with its present prices."""
 
     name: str
@@ -22,31 +32,49 @@
     spot_price: float | None = None
 
 
-class Types(Struct, rename={"types": "Grades"}):
+class MachineTypeList(Struct, rename={"types": "Grades"}):
     """All types."""
 
-    types: list[MachineType]
+    types: list[MachineTypeInfo]
 
 
-class Hire(Struct, rename={"hire": "Hire", "type": "Grade", "zone": "Yard", "spot": "Loaners",
-                           "number": "Number"}):  # fmt: skip
+class RentRequest(
+    Struct,
+    rename={
+        "request_id": "Hire",
+        "type": "Grade",
+        "zone": "Yard",
+        "spot": "Loaners",
+        "number": "Number",
+    },
+):
     """A rental request."""
 
-    hire: str
+    request_id: str
     type: str
     zone: str
     spot: bool
     number: int
 
 
-class Names(Struct, rename={"machines": "Anvils"}):
-    """Names of machines."""
+class MachineNames(Struct, rename={"machines": "Anvils"}):
+    """MachineNames of machines."""
 
     machines: list[str]
 
 
-class Rented(Struct, rename={"name": "Ref", "address": "Addr", "type": "Grade", "zone": "Yard",
-                             "spot": "Loaners", "stage": "Stage", "age_s": "HeldS"}):  # fmt: skip
+class RentedMachine(
+    Struct,
+    rename={
+        "name": "Ref",
+        "address": "Addr",
+        "type": "Grade",
+        "zone": "Yard",
+        "spot": "Loaners",
+        "stage": "Stage",
+        "age_s": "HeldS",
+    },
+):
     """A machine in the list of rented ones."""
 
     name: str
@@ -58,8 +86,8 @@
     age_s: float = 0.0
 
 
-class Page(Struct, rename={"machines": "Anvils", "more": "HasNext"}):
+class MachinePage(Struct, rename={"machines": "Anvils", "more": "HasNext"}):
     """A part of that list."""
 
-    machines: list[Rented]
+    machines: list[RentedMachine]
     more: bool = False
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -3,18 +3,23 @@
 from msgspec import Raw, Struct
 
 
-class Ask(Struct, tag="ask", tag_field="is", rename={"incarnation": "life"}):
-    """An owner without the state service asks not to be replaced for a while."""
+class DeferralRequest(
+    Struct,
+    tag="ask",
+    tag_field="is",
+    rename={"incarnation": "life", "unconfirmed_us": "blind_us"},
+):
+    """A shard leader without the key-value store asks not to be replaced for a while."""
 
     seq: int
     name: str
     incarnation: str
     span_us: int
     # How long ago it last knew of all confirmed cancellations; None if it doesn't ask for them.
-    blind_us: int | None = None
+    unconfirmed_us: int | None = None
 
 
-class TakeoverDeferral(
+class FailoverDeferral(
     Struct, tag="promise", tag_field="is", rename={"partitioned": "lonely", "incarnation": "life"}
 ):
     """The answer; a span of 0 is a refusal."""
@@ -23,12 +28,12 @@
     name: str
     incarnation: str
     span_us: int
-    partitioned: bool = False  # has the answering controller lost the state service too?
+    partitioned: bool = False  # has the answering controller lost the key-value store too?
     # Every cancellation that it has confirmed to anybody since then; None if it can't say.
     cancelled: list[str] | None = None
 
 
-class Cancelled(Struct, tag="cancelled", tag_field="is"):
+class CancellationNotice(Struct, tag="cancelled", tag_field="is"):
     """Jobs of which the sender is about to tell a user that they are cancelled."""
 
     refs: list[str]
@@ -61,7 +66,7 @@
     """`unknown` tells why there is no answer; empty if there is one."""
 
     unknown: str = ""
-    granted: bool = False  # on their own; else the blocks' owners carry them out
+    granted: bool = False  # on their own; else the shard leaders carry them out
     duties: list[HeldDuty] = []
     intents: list[OpenIntent] = []  # the oldest, if there are many
     open_count: int = 0
@@ -83,4 +88,4 @@
 
 Question = DutiesQuestion | HistoryQuestion
 Answer = DutiesAnswer | HistoryAnswer
-Message = Ask | TakeoverDeferral | Cancelled | Question | Answer
+Message = DeferralRequest | FailoverDeferral | CancellationNotice | Question | Answer
--- a/basaltlead/wire/state.py
+++ b/basaltlead/wire/store.py
@@ -1,4 +1,4 @@
-"""Controllers -> state service."""
+"""Controllers -> key-value store."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
     more: bool = False
 
 
-class Guard(Struct, rename={"key": "Path", "version": "Stamp"}):
+class Precondition(Struct, rename={"key": "Path", "version": "Stamp"}):
     """A condition: the key must have this version; 0: not exist."""
 
     key: str
@@ -45,10 +45,10 @@
     key: str
 
 
-class Transaction(Struct, rename={"guards": "Guards", "apply": "Apply"}):
+class Transaction(Struct, rename={"preconditions": "Guards", "apply": "Apply"}):
     """Changes that are made together if all conditions hold."""
 
-    guards: list[Guard]
+    preconditions: list[Precondition]
     apply: list[Put | Drop] | list[Any]
 
 
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -11,13 +11,32 @@
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 
 
-class Submission(Struct, frozen=True, rename={
-    "ref": "Ref", "job_class": "Lane", "team": "Crew", "shape": "Shape", "rank": "Rank",
-    "tasks": "Pieces", "cpus": "Cores", "gpus": "Gpus", "memory_gb": "MemoryGb",
-    "image": "Mould", "image_gb": "PullGb", "types": "Grades", "zone": "Yard",
-    "one_zone": "OneZone", "apart": "Apart", "spot": "Loaners", "guess_s": "GuessS",
-    "mark_every_s": "MarkEveryS", "mark_s": "MarkS", "due_s": "DueS",
-}):  # fmt: skip
+class Submission(
+    Struct,
+    frozen=True,
+    rename={
+        "ref": "Ref",
+        "job_class": "Lane",
+        "team": "Crew",
+        "shape": "Shape",
+        "rank": "Rank",
+        "tasks": "Pieces",
+        "cpus": "Cores",
+        "gpus": "Gpus",
+        "memory_gb": "MemoryGb",
+        "image": "Mould",
+        "image_gb": "PullGb",
+        "types": "Grades",
+        "zone": "Yard",
+        "one_zone": "OneZone",
+        "apart": "Apart",
+        "spot": "Loaners",
+        "guess_s": "GuessS",
+        "checkpoint_interval_s": "MarkEveryS",
+        "checkpoint_duration_s": "MarkS",
+        "due_s": "DueS",
+    },
+):
     """A job as its user describes it."""
 
     ref: Annotated[str, Meta(pattern=REF)]
@@ -35,8 +54,8 @@
     apart: bool
     spot: bool
     guess_s: Amount
-    mark_every_s: Amount
-    mark_s: Amount
+    checkpoint_interval_s: Amount
+    checkpoint_duration_s: Amount
     types: list[Text] | None = None
     zone: Text | None = None
     due_s: Amount | None = None
--- a/basaltlead/wire/workers.py
+++ b/basaltlead/wire/workers.py
@@ -7,21 +7,40 @@
 Whole = Annotated[int, Meta(ge=0)]
 
 
-class Listed(Struct, rename={"task": "Piece", "token": "Try", "stage": "Stage", "why": "Cause",
-                             "saved": "Saved"}):  # fmt: skip
+class TaskStatus(
+    Struct,
+    rename={
+        "task": "Piece",
+        "attempt_number": "Try",
+        "stage": "Stage",
+        "why": "Cause",
+        "saved": "Saved",
+    },
+):
     """One task in a worker's report."""
 
     task: Annotated[str, Meta(max_length=60, pattern=r"^req-[0-9]{6,15}/[0-9]{1,6}\Z")]
-    token: Whole
+    attempt_number: Whole
     stage: str
     why: str | None = None
     saved: bool | None = None
 
 
-class Report(Struct, rename={"machine": "Anvil", "address": "Addr", "type": "Grade",
-                             "zone": "Yard", "spot": "Loaners", "session": "Shift",
-                             "tick": "Tick", "fencing_token": "Baton", "recall_s": "RecallS",
-                             "tasks": "Pieces"}):  # fmt: skip
+class Heartbeat(
+    Struct,
+    rename={
+        "machine": "Anvil",
+        "address": "Addr",
+        "type": "Grade",
+        "zone": "Yard",
+        "spot": "Loaners",
+        "epoch": "Shift",
+        "sequence": "Tick",
+        "fencing_token": "Baton",
+        "preemption_notice_s": "RecallS",
+        "tasks": "Pieces",
+    },
+):
     """What is on a machine."""
 
     machine: Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+\Z")]
@@ -29,39 +48,44 @@
     type: str
     zone: str
     spot: bool
-    session: Whole
-    tick: Whole
+    epoch: Whole
+    sequence: Whole
     fencing_token: Whole
-    tasks: list[Listed]
-    recall_s: float | None = None
+    tasks: list[TaskStatus]
+    preemption_notice_s: float | None = None
 
 
-class Order(Struct, omit_defaults=True, rename={"verb": "Verb", "task": "Piece", "token": "Try",
-                                                "grace_s": "WindDownS"}):  # fmt: skip
+class WorkerCommand(
+    Struct,
+    omit_defaults=True,
+    rename={"verb": "Verb", "task": "Piece", "attempt_number": "Try", "grace_s": "WindDownS"},
+):
     """A command for one task."""
 
     verb: str
     task: str
-    token: int
+    attempt_number: int
     grace_s: float | None = None
 
 
-class Orders(Struct, rename={"fencing_token": "Baton", "orders": "Orders"}):
+class HeartbeatResponse(Struct, rename={"fencing_token": "Baton", "commands": "Orders"}):
     """The answer to a report."""
 
     fencing_token: int
-    orders: list[Order]
+    commands: list[WorkerCommand]
 
 
-class Command(Struct, rename={"fencing_token": "Baton", "session": "Shift", "orders": "Orders"}):
+class DirectCommand(
+    Struct, rename={"fencing_token": "Baton", "epoch": "Shift", "commands": "Orders"}
+):
     """The body of /do."""
 
     fencing_token: int
-    session: int
-    orders: list[Order]
+    epoch: int
+    commands: list[WorkerCommand]
 
 
-class Elsewhere(Struct, rename={"owner": "Foreman"}):
+class Redirect(Struct, rename={"controller": "Foreman"}):
     """Names the controller to report to."""
 
-    owner: str
+    controller: str
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -20,22 +20,42 @@
     HOST = "10.2.0.2"
     ADDRESS = "10.2.0.2:8443"
     TYPES = (
-        {"Label": "small", "Cores": 4, "Gpus": 0, "MemoryGb": 16, "LocalGb": 50, "Rate": 0.2,
-         "PullGbPerS": 1.0, "MarketPrice": 0.1, "ReadyS": 5, "Yards": ["a", "b"]},
-        {"Label": "large", "Cores": 16, "Gpus": 2, "MemoryGb": 64, "LocalGb": 50, "Rate": 0.9,
-         "PullGbPerS": 1.0, "MarketPrice": 0.4, "ReadyS": 5, "Yards": ["a", "b"]},
-    )  # fmt: skip
+        {
+            "Label": "small",
+            "Cores": 4,
+            "Gpus": 0,
+            "MemoryGb": 16,
+            "LocalGb": 50,
+            "Rate": 0.2,
+            "PullGbPerS": 1.0,
+            "MarketPrice": 0.1,
+            "ReadyS": 5,
+            "Yards": ["a", "b"],
+        },
+        {
+            "Label": "large",
+            "Cores": 16,
+            "Gpus": 2,
+            "MemoryGb": 64,
+            "LocalGb": 50,
+            "Rate": 0.9,
+            "PullGbPerS": 1.0,
+            "MarketPrice": 0.4,
+            "ReadyS": 5,
+            "Yards": ["a", "b"],
+        },
+    )
 
     def __init__(self, world: "World") -> None:
         self.world = world
-        self.hires: dict[str, list[str]] = {}
+        self.scale_outs: dict[str, list[str]] = {}
         self.machines: dict[str, FakeWorker] = {}
         self.garble: Callable[[Response], Response] | None = None  # what becomes of its answers
         self.count = 0
         self.capacity = 12
         self.page = 500  # rows of a page of the list at most
         self.lag = 2.0  # how old a page of the list is, at least; some are twice that old
-        self.mute = 0  # that many hires will be executed without an answer
+        self.mute = 0  # that many rental requests will be executed without an answer
         self.trouble = 0  # the status that every call gets; 0: none
         self.refusing: set[str] = set()  # types and machines that calls are refused for with 400
         self.slowness = 0.02  # s until it answers
@@ -69,7 +89,7 @@
                     self.past[name] = (worker.born, self.world.loop.time(), worker.listed())
                     worker.stop()
             return reply(200, {})
-        if body["Hire"] not in self.hires:
+        if body["Hire"] not in self.scale_outs:
             free = min(body["Number"], self.capacity - len(self.machines))
             if free <= 0:
                 return reply(503, {"error": "no capacity"})
@@ -77,16 +97,16 @@
             for _ in range(free):
                 name = f"m-{self.count:06d}"
                 self.count += 1
-                kind = next(t for t in self.TYPES if t["Label"] == body["Grade"])
+                machine_type = next(t for t in self.TYPES if t["Label"] == body["Grade"])
                 self.machines[name] = FakeWorker(
-                    self.world, name, kind, body["Yard"], body["Loaners"]
+                    self.world, name, machine_type, body["Yard"], body["Loaners"]
                 )
                 names.append(name)
-            self.hires[body["Hire"]] = names
+            self.scale_outs[body["Hire"]] = names
         if self.mute:
             self.mute -= 1
             await asyncio.sleep(30)
-        return reply(200, {"Anvils": self.hires[body["Hire"]]})
+        return reply(200, {"Anvils": self.scale_outs[body["Hire"]]})
 
     def _list(self, query: dict[str, str]) -> Response:
         """Each page shows the machines of a moment of its own: new ones are missing, and those
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -8,9 +8,9 @@
 from basaltlead.net.http import Pool, Server
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.duty_checker import DutyChecker
-from tests.fakes.old_version import OldNode
+from tests.fakes.old_version import OldController
 from tests.fakes.rule_checker import RuleChecker
-from tests.fakes.state import FakeState
+from tests.fakes.store import FakeState
 from tests.fakes.worker import FakeWorker
 from tests.simulation import Loop, on_host
 
@@ -22,10 +22,16 @@
     NETWORK = "10"  # first part of all addresses
 
     def __init__(
-        self, loop: Loop, seed: int = 1, nodes: int = 3, limits: dict[str, float] | None = None,
-        operator: dict[str, Any] | None = None, lease: float = FakeWorker.LEASE,
-        cancel: float = CANCEL, later: dict[str, float] | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        loop: Loop,
+        seed: int = 1,
+        nodes: int = 3,
+        limits: dict[str, float] | None = None,
+        operator: dict[str, Any] | None = None,
+        lease: float = FakeWorker.LEASE,
+        cancel: float = CANCEL,
+        later: dict[str, float] | None = None,
+    ) -> None:
         self.loop = loop
         self.net = loop.net
         self.lease = lease
@@ -34,14 +40,14 @@
         self.limits = limits or {}
         self.nodes = [f"node-{i}" for i in range(nodes)]
         self.operator = operator or {}
-        self.later = later  # what the state service will limit to from some moment on
+        self.later = later  # what the key-value store will limit to from some moment on
         self.old: set[str] = set()  # controllers that start in the version before services
-        self.write_rps = 200.0  # changes a second that the state service takes
+        self.write_rps = 200.0  # changes a second that the key-value store takes
         self.copies = 0.0  # how many of the workers' reports arrive a second time, late
-        self.state = FakeState(loop)
+        self.store = FakeState(loop)
         self.cloud = FakeCloud(self)
         self.rule_checker = RuleChecker(self)
-        self.duty_checker = DutyChecker(self.state, self.cloud)
+        self.duty_checker = DutyChecker(self.store, self.cloud)
         self.jobs: dict[str, dict[str, Any]] = {}
         self.asked_cancel: dict[str, bool] = {}
         self.running: dict[str, asyncio.Task[Any]] = {}
@@ -55,7 +61,7 @@
         return f"{self.NETWORK}.0.0.{self.nodes.index(name) + 1}"
 
     async def start(self) -> None:
-        await self.state.start()
+        await self.store.start()
         await self.cloud.start()
         for name in self.nodes:
             self.boot(name)
@@ -68,40 +74,48 @@
     def settings_file(self, name: str) -> dict[str, Any]:
         """What the platform tells a controller."""
         host = self.host(name)
-        return (
-            {
-                "member": name, "location": "a",
-                "front": f"{host}:8080", "internal_addr": f"{host}:8081",
-                "known": [
-                    {"member": n, "location": "a", "address": f"{self.host(n)}:8081"}
-                    for n in self.nodes if n != name
+        return {
+            "member": name,
+            "location": "a",
+            "front": f"{host}:8080",
+            "internal_addr": f"{host}:8081",
+            "known": [
+                {"member": n, "location": "a", "address": f"{self.host(n)}:8081"}
+                for n in self.nodes
+                if n != name
+            ],
+            "services": {"state": FakeState.ADDRESS, "cloud": FakeCloud.ADDRESS},
+            "operator": {"idle_share": 3.0} | self.operator,
+            "facts": {
+                "nodes": len(self.nodes),
+                "zones": ["a", "b"],
+                "teams": [
+                    {"name": team, "cpus_max": float(self.limits.get(team, 0))}
+                    for team in ("red", "blue")
                 ],
-                "services": {"state": FakeState.ADDRESS, "cloud": FakeCloud.ADDRESS},
-                "operator": {"idle_share": 3.0} | self.operator,
-                "facts": {
-                    "nodes": len(self.nodes), "zones": ["a", "b"],
-                    "teams": [
-                        {"name": team, "cpus_max": float(self.limits.get(team, 0))}
-                        for team in ("red", "blue")
-                    ],
-                    "workers": {
-                        "report_s": FakeWorker.REPORT, "lease_s": self.lease,
-                        "gang_wait_s": 20.0, "gang_peer_s": 4.0, "cancel_s": self.cancel_s,
-                    },
-                    "state": {
-                        "rps": 500.0, "write_rps": self.write_rps, "value_kb": 8.0, "txn_ops": 8,
-                    }
-                    | ({"next": self.later} if self.later is not None else {}),
-                    "cloud": {"rps": 10.0, "list_lag_s": 2.0},
+                "workers": {
+                    "report_s": FakeWorker.REPORT,
+                    "lease_s": self.lease,
+                    "gang_wait_s": 20.0,
+                    "gang_peer_s": 4.0,
+                    "cancel_s": self.cancel_s,
                 },
-            }
-        )  # fmt: skip
+                "state": {
+                    "rps": 500.0,
+                    "write_rps": self.write_rps,
+                    "value_kb": 8.0,
+                    "txn_ops": 8,
+                }
+                | ({"next": self.later} if self.later is not None else {}),
+                "cloud": {"rps": 10.0, "list_lag_s": 2.0},
+            },
+        }
 
     def boot(self, name: str) -> None:
-        from basaltlead.controller import Node
+        from basaltlead.controller import Controller
 
         async def run() -> None:
-            node = (OldNode if name in self.old else Node)(self.settings(name))
+            node = (OldController if name in self.old else Controller)(self.settings(name))
             self.parts[name] = node
             await node.run()
 
@@ -111,9 +125,9 @@
         """The announced limits hold from now on."""
         assert self.later is not None
         if "value_kb" in self.later:
-            self.state.value_bytes = int(self.later["value_kb"] * 1024)
-        self.state.write_rps = self.later.get("write_rps")
-        self.state.operations = int(self.later.get("txn_ops", self.state.operations))
+            self.store.value_bytes = int(self.later["value_kb"] * 1024)
+        self.store.write_rps = self.later.get("write_rps")
+        self.store.operations = int(self.later.get("txn_ops", self.store.operations))
 
     def crash(self, name: str) -> None:
         """The process ends without a word."""
@@ -140,21 +154,21 @@
                 self.boot(name)
         for machine in self.cloud.machines.values():
             machine.hung = machine.deaf = machine.mute = machine.answers_lost = False
-        self.state.refused.clear()
-        self.state.late_writes = 0.0
-        self.state.garble = self.cloud.garble = None
+        self.store.refused.clear()
+        self.store.late_writes = 0.0
+        self.store.garble = self.cloud.garble = None
         self.cloud.trouble = 0
         self.cloud.slowness = 0.02
-        self.state.slowness = 1.0
+        self.store.slowness = 1.0
         self.net.slow.clear()
         self.net.refusing.clear()
-        if self.state.down:
-            self.state.outage_over()
+        if self.store.down:
+            self.store.outage_over()
         self.rule_checker.calm()
 
-    def isolate(self, name: str, state: bool = True, cloud: bool = True) -> None:
+    def isolate(self, name: str, store: bool = True, cloud: bool = True) -> None:
         """Cut a controller off from everybody, or from all but some."""
-        for host in self._around(name, state, cloud):
+        for host in self._around(name, store, cloud):
             self.net.cut(self.host(name), host)
 
     def rejoin(self, name: str, deliver: bool = True) -> None:
@@ -162,7 +176,7 @@
             self.net.heal(self.host(name), host, deliver)
 
     def estrange(self, name: str) -> None:
-        """Cut a controller off from the state service and the other controllers, but not from
+        """Cut a controller off from the key-value store and the other controllers, but not from
         its workers."""
         for host in self._betters(name):
             self.net.cut(self.host(name), host)
@@ -174,18 +188,18 @@
     def _betters(self, name: str) -> list[str]:
         return [self.host(n) for n in self.nodes if n != name] + [FakeState.HOST]
 
-    def _around(self, name: str, state: bool, cloud: bool) -> list[str]:
+    def _around(self, name: str, store: bool, cloud: bool) -> list[str]:
         out = [self.host(n) for n in self.nodes if n != name]
         out += [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
         out += ["10.9.9.9"]
-        return out + [FakeState.HOST] * state + [FakeCloud.HOST] * cloud
+        return out + [FakeState.HOST] * store + [FakeCloud.HOST] * cloud
 
-    def owner(self, block: int = 0) -> str | None:
-        """The node that acts for a block, if one does; never two."""
+    def shard_leader(self, shard: int = 0) -> str | None:
+        """The node that acts for a shard, if one does; never two."""
         acting = [
             name
             for name, node in self.parts.items()
-            if block in node.owners and node.owners[block].acts
+            if shard in node.shard_leaders and node.shard_leaders[shard].holds_valid_lease
         ]
         assert len(acting) <= 1, acting
         return acting[0] if acting else None
@@ -196,7 +210,7 @@
             name
             for name, node in self.parts.items()
             for one, holder in node.duties.holders.items()
-            if one == duty and holder.acts
+            if one == duty and holder.holds_valid_lease
         ]
         assert len(acting) <= 1, acting
         return acting[0] if acting else None
@@ -206,13 +220,13 @@
         return next(name for name in self.nodes if name not in names)
 
     async def busy(self, pieces: int, run_s: float) -> str:
-        """Start, and have job 1 run with all its tasks; who owns the block."""
+        """Start, and have job 1 run with all its tasks; who owns the shard."""
         await self.start()
         await self.submit(self.job(1, Pieces=pieces, RunS=run_s))
         await self.until(lambda: len(self.on("req-000001")) == pieces)
-        owner = self.owner()
-        assert owner is not None
-        return owner
+        shard_leader = self.shard_leader()
+        assert shard_leader is not None
+        return shard_leader
 
     def gang_complete(self, task: str, token: int) -> bool:
         ref = task.partition("/")[0]
@@ -246,12 +260,28 @@
 
     def job(self, number: int, **fields: Any) -> dict[str, Any]:
         job = {
-            "Ref": f"req-{number:06d}", "Lane": "reports", "Crew": "red", "Shape": "batch",
-            "Rank": "standard", "Pieces": 1, "Cores": 1.0, "Gpus": 0.0, "MemoryGb": 1.0,
-            "Mould": "img", "PullGb": 0.1, "Grades": None, "Yard": None, "OneZone": False,
-            "Apart": False, "Loaners": True, "GuessS": 3.0, "MarkEveryS": 0.0, "MarkS": 0.0,
-            "DueS": None, "RunS": 3.0,
-        }  # fmt: skip
+            "Ref": f"req-{number:06d}",
+            "Lane": "reports",
+            "Crew": "red",
+            "Shape": "batch",
+            "Rank": "standard",
+            "Pieces": 1,
+            "Cores": 1.0,
+            "Gpus": 0.0,
+            "MemoryGb": 1.0,
+            "Mould": "img",
+            "PullGb": 0.1,
+            "Grades": None,
+            "Yard": None,
+            "OneZone": False,
+            "Apart": False,
+            "Loaners": True,
+            "GuessS": 3.0,
+            "MarkEveryS": 0.0,
+            "MarkS": 0.0,
+            "DueS": None,
+            "RunS": 3.0,
+        }
         return job | fields
 
     async def ask(
@@ -272,9 +302,13 @@
     def service(self, number: int, **fields: Any) -> dict[str, Any]:
         """A service of three replicas."""
         values = {
-            "Shape": "service", "Rank": "production", "Pieces": 3, "GuessS": 0.0, "Loaners": False,
+            "Shape": "service",
+            "Rank": "production",
+            "Pieces": 3,
+            "GuessS": 0.0,
+            "Loaners": False,
             "Lane": "desk",
-        }  # fmt: skip
+        }
         return self.job(number, **(values | fields))
 
     async def submit(self, job: dict[str, Any], node: str | None = None) -> int:
@@ -335,6 +369,6 @@
     def verdict(self) -> None:
         self.rule_checker.check()
         assert not self.rule_checker.broken, "; ".join(self.rule_checker.broken)
-        assert not self.state.oversized, self.state.oversized[:3]
+        assert not self.store.oversized, self.store.oversized[:3]
         assert not self.duty_checker.stale, self.duty_checker.stale[:3]
         assert self.rule_checker.starts > 0
--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -8,31 +8,31 @@
 
 if TYPE_CHECKING:
     from tests.fakes.cloud import FakeCloud
-    from tests.fakes.state import FakeState
+    from tests.fakes.store import FakeState
 
 GRANTS = ("c/duty/", "c/block/")
 
 
 class DutyChecker:
-    """Watches the state service's transactions and the cloud's calls."""
+    """Watches the key-value store's transactions and the cloud's calls."""
 
-    def __init__(self, state: "FakeState", cloud: "FakeCloud") -> None:
-        self.state = state
+    def __init__(self, store: "FakeState", cloud: "FakeCloud") -> None:
+        self.store = store
         self.stale: list[str] = []  # what was accepted from a stale holder
         self.requested: dict[str, dict[str, Any]] = {}  # every request that was ever recorded
         self.to_return: set[str] = set()  # every machine that was ever recorded as to go
         self.actions = 0
         self.repeats = 0  # calls for what was carried out already
-        state.accepting = self.written
+        store.accepting = self.written
         cloud.accepting = self.called
 
     def say(self, text: str) -> None:
-        self.stale.append(f"{self.state.loop.time():.2f} {text}")
+        self.stale.append(f"{self.store.loop.time():.2f} {text}")
 
     @property
     def granted(self) -> bool:
-        """Are duties granted on their own? Else the blocks' owners carry them out."""
-        keys = self.state.keys
+        """Are duties granted on their own? Else the shard leaders carry them out."""
+        keys = self.store.keys
         members = [keys[key][0] for key in keys if key.startswith("c/member/")]
         return bool(members) and min(m.get("version", 0) for m in members) >= 2
 
@@ -40,7 +40,7 @@
         """The fencing tokens of all grants that stand."""
         return {
             value["baton"]
-            for key, (value, _, _) in self.state.keys.items()
+            for key, (value, _, _) in self.store.keys.items()
             if key.startswith(prefixes) and value["name"]
         }
 
@@ -66,13 +66,13 @@
     def _event(self, key: str, page: dict[str, Any]) -> None:
         duty = key.split("/")[1]
         last = page["events"][-1]
-        grant = self.state.keys.get(f"c/duty/{duty}", ({}, 0, None))[0]
+        grant = self.store.keys.get(f"c/duty/{duty}", ({}, 0, None))[0]
         held = grant.get("baton") == last["token"] and grant.get("name") == last["holder"]
         self._need(held, f"{duty}: {last['action']} {last.get('about')} under {last['token']}")
 
     def _hire(self, key: str, value: dict[str, Any] | None, told: list[str]) -> None:
         name = key[len("hire/") :]
-        before = self.state.keys.get(key)
+        before = self.store.keys.get(key)
         if value is not None and before is None:
             self.requested[name] = value
             if name.startswith("h-"):
@@ -85,7 +85,7 @@
         if value is None:
             if self.granted:
                 self._need(bool(told), f"settled without a duty: {key}")
-        elif key not in self.state.keys:
+        elif key not in self.store.keys:
             self.to_return.update(value["names"])
             self._need(value["token"] in self.tokens(*GRANTS), f"stale decision: {key}")
 
@@ -100,4 +100,4 @@
         if recorded is not None:
             same = recorded["number"] == body["Number"] and recorded["kind"] == body["Grade"]
             self._need(same, f"rented other than recorded: {body['Hire']}")
-        self.repeats += f"hire/{body['Hire']}" not in self.state.keys
+        self.repeats += f"hire/{body['Hire']}" not in self.store.keys
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from basaltlead.config.settings import Settings
-from basaltlead.controller import Node
+from basaltlead.controller import Controller
 from basaltlead.core.cluster_view import Grant
-from basaltlead.shard.leader import Owner
-from basaltlead.storage.result_rows import CHUNK_BLOCKS, ResultLayout, split_open
+from basaltlead.shard.leader import ShardLeader
+from basaltlead.storage.result_rows import CHUNK_SHARDS, ResultLayout, split_open
 from tests.fakes import old_schemas
 
 
-class OldOwner(Owner):
+class OldShardLeader(ShardLeader):
     """Takes a service for an array, and of a chunk row sees an empty list."""
 
     def _take_open(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
@@ -23,22 +23,22 @@
         if part is None:
             stored = msgspec.json.decode(raw, type=old_schemas.StoredJob)
             raw = msgspec.Raw(msgspec.json.encode(stored))
-        elif part[0] >= CHUNK_BLOCKS:
+        elif part[0] >= CHUNK_SHARDS:
             assert not msgspec.json.decode(raw, type=old_schemas.Progress).done
             return
         super()._take_open(key, raw, version, now)
 
 
-class OldNode(Node):
+class OldController(Controller):
     """A controller of the old version."""
 
-    owner_class = OldOwner
+    shard_leader_class = OldShardLeader
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
-        self.member.record_version = 0
-        self.member.duty_keys = []
+        self.membership.record_version = 0
+        self.membership.duty_keys = []
 
-    def _take_up(self, number: int, grant: Grant, version: int) -> None:
-        super()._take_up(number, grant, version)
-        self.owners[number].layout = ResultLayout(1 << 30)
+    def _acquire_shard(self, number: int, grant: Grant, version: int) -> None:
+        super()._acquire_shard(number, grant, version)
+        self.shard_leaders[number].layout = ResultLayout(1 << 30)
--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -14,9 +14,24 @@
     FORGOTTEN = 75.0  # s without an answered question, once all troubles are over
     WAITED = 90.0  # s beside room on a machine that fits
     FIELDS = (
-        "Ref", "Lane", "Crew", "Shape", "Rank", "Pieces", "Cores", "Gpus", "MemoryGb", "Mould",
-        "PullGb", "OneZone", "Apart", "Loaners", "GuessS", "MarkEveryS", "MarkS",
-    )  # fmt: skip
+        "Ref",
+        "Lane",
+        "Crew",
+        "Shape",
+        "Rank",
+        "Pieces",
+        "Cores",
+        "Gpus",
+        "MemoryGb",
+        "Mould",
+        "PullGb",
+        "OneZone",
+        "Apart",
+        "Loaners",
+        "GuessS",
+        "MarkEveryS",
+        "MarkS",
+    )
 
     def __init__(self, world: "World") -> None:
         self.world = world
@@ -56,8 +71,8 @@
             self._late(task)
 
     def _places(self, ref: str, job: dict[str, Any], worker: FakeWorker) -> None:
-        if job["Grades"] is not None and worker.kind["Label"] not in job["Grades"]:
-            self.say(f"wrong_place {ref}: type {worker.kind['Label']}")
+        if job["Grades"] is not None and worker.machine_type["Label"] not in job["Grades"]:
+            self.say(f"wrong_place {ref}: type {worker.machine_type['Label']}")
         if job["Yard"] is not None and worker.zone != job["Yard"]:
             self.say(f"wrong_place {ref}: zone {worker.zone}")
         if worker.spot and not job["Loaners"]:
@@ -134,12 +149,13 @@
         most = self.world.limits.get(job["Crew"], 0)
         count = 1 if job["Shape"] == "batch" else job["Pieces"]
         return (not most or job["Cores"] * count <= most + 1e-9) and any(
-            job["Cores"] <= kind["Cores"] and job["Gpus"] <= kind["Gpus"]
-            and job["MemoryGb"] <= kind["MemoryGb"]
-            and (job["Grades"] is None or kind["Label"] in job["Grades"])
-            and (job["Yard"] is None or job["Yard"] in kind["Yards"])
-            for kind in self.world.cloud.TYPES
-        )  # fmt: skip
+            job["Cores"] <= machine_type["Cores"]
+            and job["Gpus"] <= machine_type["Gpus"]
+            and job["MemoryGb"] <= machine_type["MemoryGb"]
+            and (job["Grades"] is None or machine_type["Label"] in job["Grades"])
+            and (job["Yard"] is None or job["Yard"] in machine_type["Yards"])
+            for machine_type in self.world.cloud.TYPES
+        )
 
     def answered(
         self, ref: str, verb: str, status: int, body: dict[str, Any], before: str | None
--- a/tests/fakes/state.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the state service, by its protocol."""
+"""A stand-in for the key-value store, by its protocol."""
 
 import asyncio
 import json
@@ -163,9 +163,10 @@
             self.oversized.append(excess)
             return reply(400, {"error": excess})
         failed = [
-            guard["Path"] for guard in body.get("Guards", [])
-            if self.keys.get(guard["Path"], (None, 0, None))[1] != guard["Stamp"]
-        ]  # fmt: skip
+            precondition["Path"]
+            for precondition in body.get("Guards", [])
+            if self.keys.get(precondition["Path"], (None, 0, None))[1] != precondition["Stamp"]
+        ]
         if failed:
             return reply(409, {"failed": failed, "Ledger": self.revision})
         changes = body.get("Apply", [])
@@ -195,10 +196,11 @@
         while True:
             if not self.away(host):
                 log = [
-                    change for change in self.log
+                    change
+                    for change in self.log
                     if change["Stamp"] > since
                     and change.get("Put", change.get("Drop")).startswith(query["Starts"])
-                ]  # fmt: skip
+                ]
                 if log or self.loop.time() >= end:
                     return reply(200, {"Ledger": self.revision, "Log": log})
             try:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -19,19 +19,19 @@
     LEASE = 6.0
 
     def __init__(
-        self, world: "World", name: str, kind: dict[str, Any], zone: str, spot: bool
+        self, world: "World", name: str, machine_type: dict[str, Any], zone: str, spot: bool
     ) -> None:
         self.world = world
         self.loop = world.loop
         self.name = name
-        self.kind = kind
+        self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
         number = int(name[2:])
         self.host = f"{world.NETWORK}.1.{number // 250 % 4}.{number % 250}"
         self.address = f"{self.host}:9000"
         self.born = self.loop.time()
-        self.session = 1
+        self.epoch = 1
         self.tick = 0
         self.fencing_token = 0
         self.recall: float | None = None
@@ -45,20 +45,24 @@
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.change = asyncio.Event()
         self.lease_from = self.born
-        self.work = on_host(self.host, self._live())
+        self.task = on_host(self.host, self._live())
 
     def age(self) -> float:
         return self.loop.time() - self.born
 
     def listed(self) -> dict[str, Any]:
         return {
-            "Ref": self.name, "Addr": self.address, "Grade": self.kind["Label"],
-            "Yard": self.zone, "Loaners": self.spot, "HeldS": self.age(),
+            "Ref": self.name,
+            "Addr": self.address,
+            "Grade": self.machine_type["Label"],
+            "Yard": self.zone,
+            "Loaners": self.spot,
+            "HeldS": self.age(),
             "Stage": "failed" if self.failed else "running" if self.up else "starting",
-        }  # fmt: skip
+        }
 
     def stop(self) -> None:
-        self.work.cancel()
+        self.task.cancel()
         self._kill_all()
         self.world.net.power_off(self.host)
 
@@ -69,7 +73,7 @@
         self.tasks.clear()
 
     async def _live(self) -> None:
-        await asyncio.sleep(self.kind["ReadyS"])
+        await asyncio.sleep(self.machine_type["ReadyS"])
         server = self.world.servers[self.host] = Server(self.handle, 100)
         await server.start(self.address)
         self.up = True
@@ -89,13 +93,13 @@
                 await asyncio.sleep(0.1)
             _, address = nodes[at % len(nodes)]
             pool = pools.setdefault(address, Pool(address, 2))
-            sent, session = self.loop.time(), self.session
+            sent, epoch = self.loop.time(), self.epoch
             if self.mute:
                 pool.close()
                 at += 1
                 await asyncio.sleep(1)
                 continue
-            body = json.dumps(self.report()).encode()
+            body = json.dumps(self.heartbeat()).encode()
             if self.world.chance.random() < self.world.copies:
                 on_host(self.host, self._copy(body))
             try:
@@ -107,12 +111,12 @@
                 await asyncio.sleep(max(0.0, sent + 4 - self.loop.time()))
                 status = 0
             if status == 200:
-                self._obey(json.loads(answer), sent, session)
+                self._obey(json.loads(answer), sent, epoch)
                 await self._pause()
             elif status == 421:
                 pool.close()
-                owner = json.loads(answer).get("Foreman")
-                found = [i for i, node in enumerate(nodes) if node[0] == owner]
+                shard_leader = json.loads(answer).get("Foreman")
+                found = [i for i, node in enumerate(nodes) if node[0] == shard_leader]
                 if found and found[0] != at % len(nodes):
                     at = found[0]
                     await asyncio.sleep(self.world.chance.uniform(0, 0.5))
@@ -144,7 +148,7 @@
         except TimeoutError:
             pass
 
-    def report(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         self.tick += 1
         tasks = [
             {"Piece": task, "Try": token, "Stage": e["Stage"]}
@@ -153,13 +157,20 @@
         ]
         recall = None if self.recall is None else max(0.0, self.recall - self.loop.time())
         return {
-            "Anvil": self.name, "Addr": self.address, "Grade": self.kind["Label"],
-            "Yard": self.zone, "Loaners": self.spot, "Shift": self.session, "Tick": self.tick,
-            "Baton": self.fencing_token, "RecallS": recall, "Pieces": tasks,
-        }  # fmt: skip
+            "Anvil": self.name,
+            "Addr": self.address,
+            "Grade": self.machine_type["Label"],
+            "Yard": self.zone,
+            "Loaners": self.spot,
+            "Shift": self.epoch,
+            "Tick": self.tick,
+            "Baton": self.fencing_token,
+            "RecallS": recall,
+            "Pieces": tasks,
+        }
 
-    def _obey(self, answer: dict[str, Any], sent: float, session: int) -> None:
-        if session != self.session or answer.get("Baton", -1) < self.fencing_token or self.hung:
+    def _obey(self, answer: dict[str, Any], sent: float, epoch: int) -> None:
+        if epoch != self.epoch or answer.get("Baton", -1) < self.fencing_token or self.hung:
             return
         if answer["Baton"] > self.fencing_token:
             self.fencing_token = answer["Baton"]
@@ -167,8 +178,8 @@
         self.lease_from = sent
         self._orders(answer["Orders"])
 
-    def _orders(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
+    def _orders(self, commands: list[dict[str, Any]]) -> None:
+        for order in commands:
             key = (order["Piece"], order["Try"])
             if order["Verb"] == "run":
                 self._start(key)
@@ -178,7 +189,7 @@
                     del self.tasks[key]
             elif key in self.tasks and self.tasks[key]["Stage"] != "ended":
                 self._end(key, "stopped")
-        if orders:
+        if commands:
             self.change.set()
 
     def _start(self, key: tuple[str, int]) -> None:
@@ -193,14 +204,14 @@
             self.tasks[key] = {"Stage": "ended", "Cause": "in_use"}
             return
         used = sum(self.world.jobs[t.partition("/")[0]]["Cores"] for t in on)
-        if used + job["Cores"] > self.kind["Cores"] + 1e-9:
+        if used + job["Cores"] > self.machine_type["Cores"] + 1e-9:
             self.tasks[key] = {"Stage": "ended", "Cause": "full"}
             return
         self.tasks[key] = {"Stage": "fetching", "at": self.loop.time() + 0.5}
 
     def holds(self, job: dict[str, Any]) -> bool:
         """Might a task of the job be started here now?"""
-        if job["Grades"] is not None and self.kind["Label"] not in job["Grades"]:
+        if job["Grades"] is not None and self.machine_type["Label"] not in job["Grades"]:
             return False
         if job["Yard"] not in (None, self.zone) or (self.spot and not job["Loaners"]):
             return False
@@ -209,7 +220,7 @@
         on = [t for (t, _), e in self.tasks.items() if e["Stage"] != "ended"]
         used = [self.world.jobs[t.partition("/")[0]] for t in on]
         return all(
-            sum(other[what] for other in used) + job[what] <= self.kind[what] + 1e-9
+            sum(other[what] for other in used) + job[what] <= self.machine_type[what] + 1e-9
             for what in ("Cores", "Gpus", "MemoryGb")
         )
 
@@ -229,7 +240,7 @@
             now = self.loop.time()
             if now - self.lease_from > self.world.lease:
                 self._kill_all()
-                self.session += 1
+                self.epoch += 1
                 self.tick = 0
                 self.lease_from = now
                 self.change.set()
@@ -270,14 +281,14 @@
         while self.hung or self.deaf:
             await asyncio.sleep(0.2)
         if request.path == "/status":
-            return reply(200, self.report())
+            return reply(200, self.heartbeat())
         body = json.loads(request.body)
-        if body["Baton"] < self.fencing_token or body["Shift"] != self.session:
-            return reply(409, self.report())
+        if body["Baton"] < self.fencing_token or body["Shift"] != self.epoch:
+            return reply(409, self.heartbeat())
         if body["Baton"] > self.fencing_token:
             self.fencing_token = body["Baton"]
             self.change.set()
         self._orders(body["Orders"])
         while self.answers_lost and body["Orders"]:
             await asyncio.sleep(0.2)
-        return reply(200, self.report())
+        return reply(200, self.heartbeat())
--- a/tests/measure_duties.py
+++ b/tests/measure_duties.py
@@ -1,6 +1,6 @@
 """Measures duties in simulated time: python3 -m tests.measure_duties
 
-Takeovers of each duty by cause, changes of the state service for each machine that is rented and
+Takeovers of each duty by cause, changes of the key-value store for each machine that is rented and
 returned, and what duties cost while nothing happens.
 """
 
@@ -12,7 +12,7 @@
 
 from basaltlead.duties.model import Duty
 from tests.fakes import World
-from tests.fakes.state import FakeState
+from tests.fakes.store import FakeState
 from tests.simulation import Loop, play
 
 SEEDS = range(1, 11)
@@ -45,7 +45,7 @@
 
 
 def changes_for_each_machine(duties: bool) -> dict[str, float]:
-    """Changes by kind of row, for each machine of a fleet that comes and goes."""
+    """Changes by prefix of row, for each machine of a fleet that comes and goes."""
     counts: Counter[str] = Counter()
     machines: list[int] = []
 
@@ -53,13 +53,13 @@
         world = World(loop, operator={"duties": duties})
         world.cloud.capacity = 60
         await world.start()
-        before = world.state.accepting
+        before = world.store.accepting
 
         def accepting(changes: list[dict[str, Any]]) -> None:
             before(changes)
             counts.update(c.get("Put", c.get("Drop")).split("/")[0] for c in changes)
 
-        world.state.accepting = accepting
+        world.store.accepting = accepting
         await world.submit(world.job(1, Pieces=400, RunS=20.0))
         await world.until_done("req-000001", seconds=300.0)
         await world.until(lambda: not world.cloud.machines, seconds=300.0)
@@ -67,8 +67,8 @@
         machines.append(world.cloud.count)
 
     play(story)
-    kinds = ("hire", "mach", "return", "history")
-    each = {kind: round(counts[kind] / machines[0], 2) for kind in kinds}
+    prefixes = ("hire", "mach", "return", "history")
+    each = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
     return each | {"machines": machines[0], "all": round(sum(each.values()), 2)}
 
 
@@ -80,10 +80,10 @@
         world = World(loop, operator={"duties": duties})
         await world.start()
         await asyncio.sleep(30)
-        requests, writes = world.state.requests, world.state.writes
+        requests, writes = world.store.requests, world.store.writes
         await asyncio.sleep(300)
-        told["requests"] = round((world.state.requests - requests) / 300, 2)
-        told["changes"] = round((world.state.writes - writes) / 300, 2)
+        told["requests"] = round((world.store.requests - requests) / 300, 2)
+        told["changes"] = round((world.store.writes - writes) / 300, 2)
 
     play(story)
     return told
--- a/tests/run_loopback.py
+++ b/tests/run_loopback.py
@@ -2,7 +2,7 @@
 
     python3 -m tests.run_loopback --seed 7 --minutes 10
 
-The state service, the cloud, the workers and the users are the stand-ins of the stories, in this
+The key-value store, the cloud, the workers and the users are the stand-ins of the stories, in this
 process; the controllers are processes of their own, with duties switched on. At the end everything
 is resumed, all jobs must get done and all machines must go. The rule checker and the checker of
 stale holders watch throughout; the result is printed as JSON, and the exit status is 1 if either
@@ -21,7 +21,7 @@
 
 from tests.fakes import World
 from tests.fakes.cloud import FakeCloud
-from tests.fakes.state import FakeState
+from tests.fakes.store import FakeState
 
 NETWORK = "127"
 OPERATOR = Path(__file__).resolve().parent.parent / "deploy" / "duties.yaml"
@@ -131,7 +131,7 @@
 def moved(world: LoopbackWorld) -> dict[str, int]:
     """How often each duty was taken up."""
     counts: dict[str, int] = {}
-    for key, (page, _, _) in world.state.keys.items():
+    for key, (page, _, _) in world.store.keys.items():
         if key.startswith("history/"):
             taken = sum(event["action"] == "taken up" for event in page["events"])
             counts[key.split("/")[1]] = counts.get(key.split("/")[1], 0) + taken
@@ -160,12 +160,19 @@
         logs = "".join((Path(folder) / f"{n}.log").read_text() for n in world.nodes)
     checker = world.duty_checker
     return {
-        "seed": seed, "minutes": minutes, "pauses": world.pauses, "duties taken up": moved(world),
-        "jobs": len(world.jobs), "machines rented": world.cloud.count,
-        "actions checked": checker.actions, "calls repeated": checker.repeats,
-        "stale": checker.stale, "rules broken": world.rule_checker.broken,
-        "unfinished": unfinished, "failed loops": logs.count(" failed"),
-    }  # fmt: skip
+        "seed": seed,
+        "minutes": minutes,
+        "pauses": world.pauses,
+        "duties taken up": moved(world),
+        "jobs": len(world.jobs),
+        "machines rented": world.cloud.count,
+        "actions checked": checker.actions,
+        "calls repeated": checker.repeats,
+        "stale": checker.stale,
+        "rules broken": world.rule_checker.broken,
+        "unfinished": unfinished,
+        "failed loops": logs.count(" failed"),
+    }
 
 
 async def _calm_down(world: LoopbackWorld) -> list[str]:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -47,7 +47,7 @@
         super().__init__()
         self.net = net
         self.here = here
-        self.there = there
+        self.may_be_on_machine = there
         self.other: Transport | None = None
         self.protocol: asyncio.Protocol | None = None
         self.closed = False
@@ -105,8 +105,8 @@
                 end.other.abort()
 
     def carry(self, end: Transport, data: bytes | None) -> None:
-        link = frozenset((end.here, end.there))
-        late = self.halving.get(end.there)
+        link = frozenset((end.here, end.may_be_on_machine))
+        late = self.halving.get(end.may_be_on_machine)
         if data is not None and late is not None and link not in self.cuts:
             middle = len(data) // 2
             self._later(end, data[:middle])
@@ -117,7 +117,7 @@
             self._later(end, data)
 
     def _later(self, end: Transport, data: bytes | None) -> None:
-        takes = self.chance.uniform(0.0003, 0.003) + self.slow.get(end.there, 0.0)
+        takes = self.chance.uniform(0.0003, 0.003) + self.slow.get(end.may_be_on_machine, 0.0)
         at = max(self.loop.time() + takes, self.order.get(id(end), 0.0))
         self.order[id(end)] = at + 1e-7
         self.loop.call_at(at, self._arrive, end, data)
@@ -125,7 +125,7 @@
     def _arrive(self, end: Transport, data: bytes | None) -> None:
         """What arrives is the receiver's to deal with: on its host, and when it is awake."""
         context = contextvars.copy_context()
-        context.run(HOST.set, end.there)
+        context.run(HOST.set, end.may_be_on_machine)
         context.run(PEER.set, end.here)
         self.loop.call_soon(self._take, end, data, context=context)
 
@@ -266,11 +266,11 @@
     assert not failures, failures
 
 
-def on_host(host: str, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
+def on_host(host: str, coroutine: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
     """A task on one of the hosts: its connections come from there."""
     context = contextvars.copy_context()
     context.run(HOST.set, host)
-    return asyncio.get_running_loop().create_task(work, context=context)
+    return asyncio.get_running_loop().create_task(coroutine, context=context)
 
 
 __all__ = ["HOST", "PEER", "Loop", "Network", "on_host", "play"]
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -18,4 +18,4 @@
         [sys.executable, "run.py", "--precompile"], cwd=tmp_path, env=env, check=True, timeout=120
     )
     written = {path.name.partition(".")[0] for path in tmp_path.rglob("target/pycache/**/*.pyc")}
-    assert {"base_events", "node", "owner"} <= written
+    assert {"base_events", "controller", "leader"} <= written
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,20 +6,20 @@
 
 import pytest
 
+from basaltlead.core.entities import US
 from basaltlead.core.fleet_sizing import Offer
-from basaltlead.core.model import US
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import Duty
-from basaltlead.duties.unknown_machines import Strangers
-from basaltlead.scaling.scale_in import MachineReturns
-from basaltlead.scaling.scale_out import RentalRequests
-from basaltlead.storage.client import Conflict
-from basaltlead.storage.records import StoredHire
-from basaltlead.wire.cloud import Rented
+from basaltlead.duties.unknown_machines import UnknownMachines
+from basaltlead.errors import PreconditionFailed
+from basaltlead.scaling.scale_in import ScaleIn
+from basaltlead.scaling.scale_out import ScaleOut
+from basaltlead.storage.records import StoredScaleOut
+from basaltlead.wire.cloud import RentedMachine
 from tests.fakes import World
 from tests.fakes.cloud import FakeCloud
-from tests.fakes.state import FakeState
+from tests.fakes.store import FakeState
 from tests.fakes.worker import FakeWorker
 from tests.simulation import Loop, on_host, play
 
@@ -44,13 +44,13 @@
     """Intents that are recorded and not carried out."""
     return [
         key
-        for key, (value, _, _) in world.state.keys.items()
+        for key, (value, _, _) in world.store.keys.items()
         if key.startswith(prefix) and (prefix == "return/" or value["names"] is None)
     ]
 
 
 def _events(world: World, action: str) -> list[dict[str, Any]]:
-    pages = [v for k, (v, _, _) in world.state.keys.items() if k.startswith("history/")]
+    pages = [v for k, (v, _, _) in world.store.keys.items() if k.startswith("history/")]
     return [event for page in pages for event in page["events"] if event["action"] == action]
 
 
@@ -71,13 +71,13 @@
         world = await _started(loop)
         holders = {duty: world.holder(duty) for duty in Duty}
         assert len(set(holders.values())) == 3
-        tokens = {duty: world.state.keys[duty.key][0]["baton"] for duty in Duty}
+        tokens = {duty: world.store.keys[duty.key][0]["baton"] for duty in Duty}
         lost = holders[Duty.RENT]
         assert lost is not None
         world.crash(lost)
         await world.until(lambda: world.holder(Duty.RENT) not in (None, lost), seconds=TAKEOVER)
         await _settled(world)
-        moved = {duty: world.state.keys[duty.key][0]["baton"] for duty in Duty}
+        moved = {duty: world.store.keys[duty.key][0]["baton"] for duty in Duty}
         assert all(moved[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
         assert all(moved[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
         world.boot(lost)  # it gets its part again, and nothing is without a holder for long
@@ -95,7 +95,7 @@
         await world.submit(world.job(1, Pieces=3, RunS=3.0))
         await world.until_done("req-000001")
         await world.until(lambda: not world.cloud.machines, seconds=150.0)
-        assert not any(key.startswith(("c/duty/", "return/")) for key in world.state.keys)
+        assert not any(key.startswith(("c/duty/", "return/")) for key in world.store.keys)
         world.verdict()
 
     play(story)
@@ -106,15 +106,15 @@
 
 def _when_recorded(world: World, prefix: str, action: Callable[[], None]) -> None:
     """Act in the very moment in which an intent is recorded."""
-    before = world.state.accepting
+    before = world.store.accepting
 
     def accepting(changes: list[dict[str, Any]]) -> None:
         before(changes)
         if any(change.get("Put", "").startswith(prefix) for change in changes):
-            world.state.accepting = before
+            world.store.accepting = before
             action()
 
-    world.state.accepting = accepting
+    world.store.accepting = accepting
 
 
 async def _freeze_at(world: World, when: str, prefix: str, name: str) -> None:
@@ -134,14 +134,14 @@
 
 
 @pytest.mark.parametrize("when", ["before the check", "sent", "half sent"])
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
 def test_a_holder_that_stood_still_for_a_minute_decides_nothing_when_it_wakes(
     duty: Duty, when: str
 ) -> None:
     async def story(loop: Loop) -> None:
         world = await _started(loop)
         prefix = "hire/" if duty == Duty.RENT else "return/"
-        if duty == Duty.RETURN:
+        if duty == Duty.SCALE_IN:
             await world.submit(world.job(1, Pieces=3, RunS=3.0))
             await world.until_done("req-000001")
         holder = world.holder(duty)
@@ -153,10 +153,10 @@
         world.cloud.slowness = 0.02
         world.net.halving.clear()
         await asyncio.sleep(60)
-        rented = len(world.cloud.hires)
+        rented = len(world.cloud.scale_outs)
         world.thaw(holder)
         await asyncio.sleep(10)
-        assert len(world.cloud.hires) == rented
+        assert len(world.cloud.scale_outs) == rented
         await _calm_end(world)
 
     play(story)
@@ -165,27 +165,29 @@
 def test_a_grant_that_came_back_to_the_same_controller_is_another_grant() -> None:
     async def story(loop: Loop) -> None:
         world = await _started(loop)
-        name = world.holder(Duty.RETURN)
+        name = world.holder(Duty.SCALE_IN)
         assert name is not None
-        member = world.parts[name].member
-        stale = world.parts[name].duties.holders[Duty.RETURN]
+        member = world.parts[name].membership
+        stale = world.parts[name].duties.holders[Duty.SCALE_IN]
         others = [node for node in world.nodes if node != name]
-        assert await member.step_down(Duty.RETURN.key, leader_too=False)
+        assert await member.step_down(Duty.SCALE_IN.key, leader_too=False)
         for other in others:  # so that it can only come back
             world.crash(other)
         held = world.parts[name].duties.holders
         await world.until(
-            lambda: held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name,
+            lambda: (
+                held.get(Duty.SCALE_IN, stale) is not stale and world.holder(Duty.SCALE_IN) == name
+            ),
             seconds=4 * TAKEOVER,
         )
-        fresh = held[Duty.RETURN]
-        stale.resigned = False
-        guard = stale.guards()[1]
-        assert guard.version < fresh.guards()[1].version
-        before = world.state.revision
-        with pytest.raises(Conflict, match="c/duty/return"):
+        fresh = held[Duty.SCALE_IN]
+        stale.stepped_down = False
+        precondition = stale.preconditions()[1]
+        assert precondition.version < fresh.preconditions()[1].version
+        before = world.store.revision
+        with pytest.raises(PreconditionFailed, match="c/duty/return"):
             await stale.history.commit([], [], event("returned"))
-        assert world.state.revision == before
+        assert world.store.revision == before
 
     play(story)
 
@@ -195,25 +197,27 @@
 
     async def story(loop: Loop) -> None:
         world = await _started(loop)
-        name = world.holder(Duty.RETURN)
+        name = world.holder(Duty.SCALE_IN)
         assert name is not None
         for other in world.nodes:  # so that all that it hands back comes back
             if other != name:
                 world.crash(other)
-        await world.until(lambda: world.holder(Duty.RENT) == name == world.owner(), seconds=15.0)
+        await world.until(
+            lambda: world.holder(Duty.RENT) == name == world.shard_leader(), seconds=15.0
+        )
         node = world.parts[name]
-        step_down = node.member.step_down
+        step_down = node.membership.release
 
         async def answered_late(key: str, leader_too: bool) -> bool:
             done: bool = await step_down(key, leader_too)
             await asyncio.sleep(5)
             return done
 
-        node.member.step_down = answered_late
-        node.duties.holders[Duty.RETURN].resign()
-        node.owners[0].resigned = True
+        node.membership.release = answered_late
+        node.duties.holders[Duty.SCALE_IN].step_down()
+        node.shard_leaders[0].stepped_down = True
         await asyncio.sleep(15)
-        assert world.holder(Duty.RETURN) == name == world.owner()
+        assert world.holder(Duty.SCALE_IN) == name == world.shard_leader()
 
     play(story)
 
@@ -224,7 +228,7 @@
         world = await _started(loop)
         await world.submit(world.job(1, Pieces=6, RunS=20.0))
         await world.until(lambda: len(world.on("req-000001")) == 6)
-        for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
+        for duty in (Duty.RENT, Duty.SCALE_IN, Duty.RECLAIM):
             holder = world.holder(duty)
             assert holder is not None
             loop.wall_off[world.host(holder)] = wall
@@ -251,7 +255,7 @@
         believed: list[bool] = []
 
         async def look() -> None:
-            believed.append(stale.acts)
+            believed.append(stale.holds_valid_lease)
 
         on_host(world.host(holder), look())
         world.thaw(holder)
@@ -270,7 +274,7 @@
     async def story(loop: Loop) -> None:
         world = await _started(loop)
         await world.submit(world.job(1, Pieces=6, RunS=10.0))
-        holder, leader = world.holder(duty), world.state.keys["c/leader"][0]["name"]
+        holder, leader = world.holder(duty), world.store.keys["c/leader"][0]["name"]
         assert holder is not None
         for name in {holder, leader}:
             world.crash(name)
@@ -297,13 +301,13 @@
         for name in world.nodes:
             world.boot(name)
         await world.until(lambda: not requested & set(_open(world, "hire/")), seconds=30.0)
-        assert {f"hire/{name}" for name in world.cloud.hires} >= requested
+        assert {f"hire/{name}" for name in world.cloud.scale_outs} >= requested
         await _calm_end(world)
 
     play(story)
 
 
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
 def test_a_holder_cut_off_from_the_state_service_alone_is_replaced(duty: Duty) -> None:
     async def story(loop: Loop) -> None:
         world = await _started(loop)
@@ -342,17 +346,17 @@
         world = await _started(loop)
         holder = world.holder(Duty.RENT)
         assert holder is not None
-        world.state.late_writes, world.state.late_by = 1.0, (20.0, 20.0)
-        world.state.late_keys = "history/rent/"  # what settles a request
+        world.store.late_writes, world.store.late_by = 1.0, (20.0, 20.0)
+        world.store.late_keys = "history/rent/"  # what settles a request
         await world.submit(world.job(1, Pieces=8, RunS=20.0), world.other_node(holder))
-        await world.until(lambda: bool(world.cloud.hires))
+        await world.until(lambda: bool(world.cloud.scale_outs))
         await asyncio.sleep(1)
         world.crash(holder)
-        world.state.late_writes = 0.0
+        world.store.late_writes = 0.0
         await world.until(lambda: not _open(world, "hire/"), seconds=2 * TAKEOVER)
-        settled = {k: v[1] for k, v in world.state.keys.items() if k.startswith("hire/")}
+        settled = {k: v[1] for k, v in world.store.keys.items() if k.startswith("hire/")}
         await asyncio.sleep(20)
-        left = {k: v[1] for k, v in world.state.keys.items() if k in settled}
+        left = {k: v[1] for k, v in world.store.keys.items() if k in settled}
         assert left.items() <= settled.items()  # none was written again
         assert len(_events(world, "rented")) == len(settled)
         world.boot(holder)
@@ -364,15 +368,17 @@
 def test_a_new_owner_starts_nothing_on_a_machine_that_is_to_go(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    at_first: list[set[str]] = []  # what each owner knows to be going before it does anything
-    start = MachineReturns.start
+    at_first: list[
+        set[str]
+    ] = []  # what each shard leader knows to be going before it does anything
+    start = ScaleIn.start
 
-    def noting_start(returns: MachineReturns) -> None:
-        machines = returns.owner.block.machines.values()
-        at_first.append({machine.name for machine in machines if machine.deleting})
-        start(returns)
+    def noting_start(scale_ins: ScaleIn) -> None:
+        machines = scale_ins.shard_leader.shard.machines.values()
+        at_first.append({machine.name for machine in machines if machine.terminating})
+        start(scale_ins)
 
-    monkeypatch.setattr(MachineReturns, "start", noting_start)
+    monkeypatch.setattr(ScaleIn, "start", noting_start)
 
     async def story(loop: Loop) -> None:
         world = await _started(loop)
@@ -381,19 +387,21 @@
         _when_recorded(world, "return/", lambda: setattr(world.cloud, "trouble", 503))
         await world.until(lambda: bool(_open(world, "return/")), seconds=120.0)
         going = {
-            name for key in _open(world, "return/") for name in world.state.keys[key][0]["names"]
+            name for key in _open(world, "return/") for name in world.store.keys[key][0]["names"]
         }
-        owner = world.owner()
-        assert owner is not None
-        world.crash(owner)
-        await world.until(lambda: world.owner() not in (None, owner), seconds=2 * TAKEOVER)
-        await world.submit(world.job(2, Pieces=3, RunS=3.0), world.other_node(owner))
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        world.crash(shard_leader)
+        await world.until(
+            lambda: world.shard_leader() not in (None, shard_leader), seconds=2 * TAKEOVER
+        )
+        await world.submit(world.job(2, Pieces=3, RunS=3.0), world.other_node(shard_leader))
         for _ in range(100):
             await asyncio.sleep(0.1)
             assert not {worker.name for worker in world.rule_checker.on.values()} & going
         assert going <= set(world.cloud.machines)
         assert at_first[-1] == going
-        world.boot(owner)
+        world.boot(shard_leader)
         await _calm_end(world)
 
     play(story)
@@ -407,16 +415,18 @@
         world.cloud.trouble = 503
         await world.submit(world.job(2, Pieces=16, RunS=15.0))
         await world.until(lambda: bool(_open(world, "hire/")))
-        old = world.owner()
+        old = world.shard_leader()
         assert old is not None
         world.crash(old)
         world.old = {old}
         world.boot(old)
-        for name in world.nodes:  # only the old one is left: it owns, and hires for itself
+        for (
+            name
+        ) in world.nodes:  # only the old one is left: it owns, and rental requests for itself
             if name != old:
                 world.crash(name)
         world.cloud.trouble = 0
-        await world.until(lambda: world.owner() == old, seconds=4 * TAKEOVER)
+        await world.until(lambda: world.shard_leader() == old, seconds=4 * TAKEOVER)
         await world.until_done("req-000002", seconds=120.0)
         world.crash(old)
         world.old = set()
@@ -437,7 +447,7 @@
     async def story(loop: Loop) -> None:
         world = await _started(loop)
         await world.submit(world.job(1, Pieces=24, RunS=4.0))
-        await world.until(lambda: len(world.cloud.hires) >= 1)
+        await world.until(lambda: len(world.cloud.scale_outs) >= 1)
         world.cloud.trouble = trouble
         await asyncio.sleep(8)
         world.cloud.trouble = 0
@@ -463,14 +473,14 @@
         world.boot(holder)
         await asyncio.sleep(15)
         world.cloud.slowness = 0.02
-        machines = [name for names in world.cloud.hires.values() for name in names]
+        machines = [name for names in world.cloud.scale_outs.values() for name in names]
         assert len(machines) == len(set(machines)) == world.cloud.count
         await _calm_end(world)
 
     play(story)
 
 
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
 def test_calls_that_arrive_minutes_late_rent_and_delete_nothing_that_was_not_recorded(
     duty: Duty,
 ) -> None:
@@ -484,7 +494,7 @@
         if duty == Duty.RENT:
             await world.submit(world.job(2, Pieces=16, RunS=10.0))
         await world.until(
-            lambda: bool(_open(world, "return/" if duty == Duty.RETURN else "hire/")), seconds=120
+            lambda: bool(_open(world, "return/" if duty == Duty.SCALE_IN else "hire/")), seconds=120
         )
         await asyncio.sleep(10)
         world.crash(holder)
@@ -508,7 +518,7 @@
         await world.submit(world.job(2, Pieces=6, RunS=3.0))
         await world.until_done("req-000002")
         await asyncio.sleep(150)
-        hanging = [v[0] for k, v in world.state.keys.items() if k.startswith("hire/")]
+        hanging = [v[0] for k, v in world.store.keys.items() if k.startswith("hire/")]
         assert hanging and all("400" in one["refused"] for one in hanging)
         offers = [(one["zone"], one["spot"]) for one in hanging]
         assert len(offers) == len(set(offers))  # none is asked for twice: so there are few
@@ -519,7 +529,7 @@
         world.cloud.trouble = 503  # until they all are to go, in one batch
         await world.until(
             lambda: (
-                sum(len(world.state.keys[k][0]["names"]) for k in _open(world, "return/"))
+                sum(len(world.store.keys[k][0]["names"]) for k in _open(world, "return/"))
                 == len(world.cloud.machines)
                 > 2
             ),
@@ -536,22 +546,26 @@
     play(story)
 
 
-def _listed(name: str, age_s: float = 5.0) -> Rented:
-    return Rented(name, "small", "a", True, "running", "10.1.0.1:9", age_s)
+def _listed(name: str, age_s: float = 5.0) -> RentedMachine:
+    return RentedMachine(name, "small", "a", True, "running", "10.1.0.1:9", age_s)
 
 
 def test_a_list_that_lags_makes_no_machine_look_abandoned() -> None:
-    strangers = Strangers(patience=6 * US)
+    has_unaccounted_tasks = UnknownMachines(patience=6 * US)
     offer = Offer("small", "a", True)
     for second in range(0, 21, 4):
-        strangers.listed([_listed("m-1")], known=(), asked=second * US)
-        abandoned = strangers.abandoned([_listed("m-1")], in_progress=[offer], asked=second * US)
+        has_unaccounted_tasks.listed([_listed("m-1")], known=(), asked=second * US)
+        abandoned = has_unaccounted_tasks.abandoned(
+            [_listed("m-1")], in_progress=[offer], asked=second * US
+        )
         assert abandoned == []  # a request in progress may have brought it
-        abandoned = strangers.abandoned([_listed("m-1")], in_progress=[], asked=second * US)
+        abandoned = has_unaccounted_tasks.abandoned(
+            [_listed("m-1")], in_progress=[], asked=second * US
+        )
         assert bool(abandoned) == (second > 6)  # it may be one that was deleted
-    strangers.listed([_listed("m-1")], known=["m-1"], asked=24 * US)
-    strangers.listed([_listed("m-1")], known=[], asked=28 * US)
-    assert strangers.abandoned([_listed("m-1")], [], 30 * US) == []  # known meanwhile
+    has_unaccounted_tasks.listed([_listed("m-1")], known=["m-1"], asked=24 * US)
+    has_unaccounted_tasks.listed([_listed("m-1")], known=[], asked=28 * US)
+    assert has_unaccounted_tasks.abandoned([_listed("m-1")], [], 30 * US) == []  # known meanwhile
 
 
 def test_machines_of_a_hire_in_progress_are_not_adopted_and_late_ones_are() -> None:
@@ -566,9 +580,11 @@
         assert _events(world, "adopted") == []
         world.cloud.slowness = 0.02
         await world.until_done("req-000001")
-        kind = world.cloud.TYPES[0]
-        late = world.cloud.machines["m-000900"] = FakeWorker(world, "m-000900", kind, "a", True)
-        late.work.cancel()  # it never comes up, so nobody hears of it but by the list
+        machine_type = world.cloud.TYPES[0]
+        late = world.cloud.machines["m-000900"] = FakeWorker(
+            world, "m-000900", machine_type, "a", True
+        )
+        late.task.cancel()  # it never comes up, so nobody hears of it but by the list
         await world.until(lambda: bool(_events(world, "adopted")), seconds=60.0)
         await _calm_end(world)
 
@@ -589,13 +605,13 @@
         await world.until(lambda: any(not m.up for m in world.cloud.machines.values()))
         booting = next(m for m in world.cloud.machines.values() if not m.up)
         booting.failed = True
-        booting.work.cancel()
-        # Its owner would wait for it for another 17 s: the list tells sooner.
+        booting.task.cancel()
+        # Its shard leader would wait for it for another 17 s: the list tells sooner.
         await world.until(lambda: booting.name not in world.cloud.machines, seconds=14.0)
         assert _events(world, "to be returned")
         await world.until(lambda: failed.name not in world.cloud.machines, seconds=60.0)
         await world.until(lambda: not _open(world, "return/"))
-        assert f"mach/{failed.name}" not in world.state.keys
+        assert f"mach/{failed.name}" not in world.store.keys
         await _calm_end(world)
 
     play(story)
@@ -607,7 +623,7 @@
         await world.start()
         await _settled(world)
         await world.submit(world.job(1, Pieces=40, RunS=300.0))
-        held = world.state.keys
+        held = world.store.keys
         await world.until(
             lambda: any(k.startswith("mach/") and v[0]["block"] == 1 for k, v in held.items())
         )
@@ -632,18 +648,18 @@
 def test_a_stale_holder_is_found_once_its_guard_is_taken_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(DutyHolder, "guards", lambda holder: [])
-    monkeypatch.setattr(DutyHolder, "acts", True)
+    monkeypatch.setattr(DutyHolder, "preconditions", lambda holder: [])
+    monkeypatch.setattr(DutyHolder, "holds_valid_lease", True)
     monkeypatch.setattr(DutyHolder, "stop", lambda holder: None)
 
     async def story(loop: Loop) -> None:
         world = await _started(loop)
-        stale = world.state.keys["c/duty/rent"][0]["name"]
+        stale = world.store.keys["c/duty/rent"][0]["name"]
         world.cloud.trouble = 503
         _when_recorded(world, "hire/", lambda: world.freeze(stale))
         await world.submit(world.job(1, Pieces=8, RunS=30.0), world.other_node(stale))
         await asyncio.sleep(30)
-        world.freeze(world.state.keys["c/duty/rent"][0]["name"])
+        world.freeze(world.store.keys["c/duty/rent"][0]["name"])
         world.cloud.trouble = 0
         world.thaw(stale)
         await asyncio.sleep(5)
@@ -652,20 +668,20 @@
     play(story)
 
 
-async def _delete_at_once(returns: MachineReturns, names: list[str]) -> None:
-    await returns._delete(names)
+async def _delete_at_once(scale_ins: ScaleIn, names: list[str]) -> None:
+    await scale_ins._delete(names)
 
 
-async def _send_at_once(requests: RentalRequests, name: str, stored: StoredHire) -> None:
-    requests.owner.hires[name] = stored
+async def _send_at_once(requests: ScaleOut, name: str, stored: StoredScaleOut) -> None:
+    requests.shard_leader.scale_outs[name] = stored
     await requests._carry_out(name, stored)
 
 
 @pytest.mark.parametrize(
     ("part", "method", "mutant", "found"),
     [
-        (MachineReturns, "_record", _delete_at_once, "deleted without a record"),
-        (RentalRequests, "_record", _send_at_once, "rented without a record"),
+        (ScaleIn, "_record", _delete_at_once, "deleted without a record"),
+        (ScaleOut, "_record", _send_at_once, "rented without a record"),
     ],
 )
 def test_a_call_without_a_recorded_intent_is_found(
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -7,8 +7,9 @@
 
 from basaltlead.clients.base import Budget
 from basaltlead.clients.workers import Workers
-from basaltlead.net.http import Failed, Pool, Request, Response, Server
-from basaltlead.wire.workers import Command, Order
+from basaltlead.errors import RequestFailed
+from basaltlead.net.http import Pool, Request, Response, Server
+from basaltlead.wire.workers import DirectCommand, WorkerCommand
 from tests.fakes import FakeWorker, World
 from tests.simulation import Loop, play
 
@@ -30,11 +31,11 @@
 def test_the_owner_crashes_and_its_tasks_live_on() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 30.0)
+        shard_leader = await world.busy(6, 30.0)
         starts = world.rule_checker.starts
-        world.crash(owner)
+        world.crash(shard_leader)
         await asyncio.sleep(1.0)
-        world.boot(owner)
+        world.boot(shard_leader)
         await world.until_done("req-000001")
         assert world.rule_checker.starts == starts  # nothing had to be started again
         world.verdict()
@@ -46,8 +47,10 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         first = await world.busy(8, 40.0)
-        world.isolate(first, state=False)  # it still reaches the state service
-        await world.until(lambda: world.owner() not in (None, first), seconds=FakeWorker.LEASE)
+        world.isolate(first, store=False)  # it still reaches the key-value store
+        await world.until(
+            lambda: world.shard_leader() not in (None, first), seconds=FakeWorker.LEASE
+        )
         await world.until_done("req-000001")
         world.rejoin(first)
         world.verdict()
@@ -60,7 +63,7 @@
         world = World(loop)
         first = await world.busy(8, 20.0)
         world.isolate(first)
-        await world.until(lambda: world.owner() not in (None, first))
+        await world.until(lambda: world.shard_leader() not in (None, first))
         await asyncio.sleep(5)
         world.rejoin(first)
         await world.until_done("req-000001")
@@ -90,9 +93,9 @@
 def test_cancelled_means_gone_in_time_even_when_the_owner_can_not_hear_of_it() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 500.0)
-        other = next(name for name in world.nodes if name != owner)
-        world.net.cut(world.host(owner), world.state.HOST)
+        shard_leader = await world.busy(6, 500.0)
+        other = next(name for name in world.nodes if name != shard_leader)
+        world.net.cut(world.host(shard_leader), world.store.HOST)
         assert await world.cancel("req-000001", other) == "withdrawn"
         await asyncio.sleep(World.CANCEL + 0.1)
         assert world.on("req-000001") == []
@@ -107,11 +110,11 @@
         world = World(loop)
         await world.busy(6, 30.0)
         starts = world.rule_checker.starts
-        world.state.down = True
+        world.store.down = True
         await asyncio.sleep(8)
         status, _ = await world.ask("node-0", "GET", "/api/jobs/req-000001")
         assert status == 503  # unsure
-        world.state.outage_over()
+        world.store.outage_over()
         await world.until_done("req-000001")
         assert world.rule_checker.starts == starts
         world.verdict()
@@ -128,10 +131,10 @@
         assert await world.submit(world.job(9, Cores=6.0)) == 422
         assert await world.submit(world.job(8, Shape="group", Pieces=3, Cores=2.0)) == 422
         await world.until(lambda: world.rule_checker.starts >= 3)
-        owner = world.owner()
-        assert owner is not None
-        world.crash(owner)
-        world.boot(owner)
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        world.crash(shard_leader)
+        world.boot(shard_leader)
         await world.until_done(*[f"req-{n:06d}" for n in range(1, 5)])
         world.verdict()
 
@@ -159,7 +162,7 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
+        await world.until(lambda: world.shard_leader() is not None)
         await asyncio.sleep(1)
 
         async def status(method: str, path: str, body: object = None) -> int:
@@ -169,10 +172,19 @@
         assert await status("POST", "/api/jobs", b"{") == 400
         assert await status("POST", "/api/jobs", b"[]") == 400
         for field, value in (
-            ("Ref", "job-1"), ("Ref", "req-000001\n"), ("Pieces", 0), ("Pieces", 100_001),
-            ("Cores", -1.0), ("Cores", "1"), ("GuessS", None), ("Shape", "ring"),
-            ("Rank", "top"), ("OneZone", 1), ("Grades", [1]), ("Mould", 7),
-        ):  # fmt: skip
+            ("Ref", "job-1"),
+            ("Ref", "req-000001\n"),
+            ("Pieces", 0),
+            ("Pieces", 100_001),
+            ("Cores", -1.0),
+            ("Cores", "1"),
+            ("GuessS", None),
+            ("Shape", "ring"),
+            ("Rank", "top"),
+            ("OneZone", 1),
+            ("Grades", [1]),
+            ("Mould", 7),
+        ):
             assert await status("POST", "/api/jobs", good | {field: value}) == 400, field
         assert await status("POST", "/api/jobs", b'{"Cores": 1e999}') == 400
         assert await status("POST", "/api/jobs", {k: good[k] for k in good if k != "Crew"}) == 400
@@ -196,7 +208,7 @@
 
 
 def test_short_leases_leave_short_rights_and_the_service_still_acts() -> None:
-    """A watch that lasted longer than the right it renews once left an owner mute."""
+    """A watch that lasted longer than the right it renews once left a shard leader mute."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
@@ -205,7 +217,7 @@
         await world.submit(world.job(1, Pieces=4))
         await asyncio.sleep(8)
         for _ in range(20):
-            assert world.owner() is not None
+            assert world.shard_leader() is not None
             await asyncio.sleep(0.3)
         await world.until_done("req-000001")
         world.verdict()
@@ -220,7 +232,7 @@
         await world.submit(world.job(1, Pieces=24, RunS=6.0))
         await world.submit(world.job(2, Pieces=3, Shape="group", Cores=2.0, RunS=6.0))
         await world.submit(world.job(3, Pieces=4, Apart=True))
-        await world.until(lambda: len({world.owner(b) for b in range(3)} - {None}) == 3)
+        await world.until(lambda: len({world.shard_leader(b) for b in range(3)} - {None}) == 3)
         await world.until_done("req-000001", "req-000002", "req-000003")
         world.verdict()
 
@@ -231,15 +243,15 @@
     async def story(loop: Loop) -> None:
         world = World(loop, operator={"blocks": 3})
         await world.start()
-        await world.until(lambda: len({world.owner(b) for b in range(3)} - {None}) == 3)
+        await world.until(lambda: len({world.shard_leader(b) for b in range(3)} - {None}) == 3)
         await world.submit(world.job(1, Pieces=24, RunS=25.0))
         await world.until(lambda: len(world.on("req-000001")) >= 12)
-        victim = world.owner(1)
+        victim = world.shard_leader(1)
         assert victim is not None
         world.crash(victim)
-        await world.until(lambda: world.owner(1) not in (None, victim), seconds=8)
+        await world.until(lambda: world.shard_leader(1) not in (None, victim), seconds=8)
         world.boot(victim)
-        await world.until(lambda: len({world.owner(b) for b in range(3)} - {None}) == 3)
+        await world.until(lambda: len({world.shard_leader(b) for b in range(3)} - {None}) == 3)
         await world.until_done("req-000001")
         world.verdict()
 
@@ -261,20 +273,20 @@
 
 
 def test_what_can_not_be_taken_is_refused_at_once_with_when_to_come_back() -> None:
-    """More is asked than the state service's share allows, then it falls silent."""
+    """More is asked than the key-value store's share allows, then it falls silent."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.busy(1, 60.0)
         desk = world.parts["node-0"].user_api
-        desk.state.requests.full_at = loop.time() + 60.0
+        desk.store.requests.full_at = loop.time() + 60.0
         bad = await desk.handle(Request("POST", "/api/jobs", "", b"[]"))
         assert bad.status == 400  # malformed is told apart, and not asked again
         pool = Pool(dict(world.fronts())["node-0"], 1)
         asked = loop.time()
         status, _ = await pool.request("GET", "/api/jobs/req-000001")
         assert status == 503 and loop.time() - asked < 0.1
-        desk.state.requests.full_at = 0.0
+        desk.store.requests.full_at = 0.0
         answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
         assert answer.status == 200
         world.estrange("node-0")  # connections hang: nobody answers, nobody refuses
@@ -300,10 +312,10 @@
         for address in addresses:
             await Server(machine.handle, 100).start(address)
         workers = Workers(most=4)
-        command = Command(0, 1, [])
+        command = DirectCommand(0, 1, [])
         asked = [workers.command(address, command) for address in addresses]
         answers = await asyncio.gather(*asked)
-        assert all(report.machine == machine.name for _, report in answers)
+        assert all(heartbeat.machine == machine.name for _, heartbeat in answers)
         assert len(workers.pools) <= 4
 
     play(story)
@@ -338,12 +350,12 @@
         def handle(request: Request) -> Response:
             return Response(200, b"{}")
 
-        server = Server(handle, 6, lambda: len(workers.pools), workers.let_go)
+        server = Server(handle, 6, lambda: len(workers.pools), workers.close_idle)
         await server.start("10.0.0.9:80")
         for number in range(4):
             address = f"10.1.1.{number}:9000"
             await Server(machine.handle, 100).start(address)
-            await workers.command(address, Command(0, 1, []))
+            await workers.command(address, DirectCommand(0, 1, []))
         assert len(workers.pools) == 4
         comers = [Pool("10.0.0.9:80", 1) for _ in range(6)]
         for comer in comers:
@@ -364,17 +376,19 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         name = await world.busy(1, 60.0)
-        owner = world.parts[name].owners[0]
-        (machine,) = [m for m in owner.block.machines.values() if m.attempts]
+        shard_leader = world.parts[name].shard_leaders[0]
+        (machine,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
         (attempt,) = machine.attempts.values()
-        halt = Order("halt", "req-000001/0", attempt.token, 0.0)
+        halt = WorkerCommand("halt", "req-000001/0", attempt.attempt_number, 0.0)
         workers = Workers(most=1)
         async with workers.calls:
-            command = Command(owner.grant.fencing_token, machine.session, [halt])
-            asked = loop.create_task(workers.command(machine.address, command, lambda: owner.acts))
+            command = DirectCommand(shard_leader.grant.fencing_token, machine.epoch, [halt])
+            asked = loop.create_task(
+                workers.command(machine.address, command, lambda: shard_leader.holds_valid_lease)
+            )
             await asyncio.sleep(0.1)
-            owner.resigned = True
-        with pytest.raises(Failed) as caught:
+            shard_leader.stepped_down = True
+        with pytest.raises(RequestFailed) as caught:
             await asked
         assert not caught.value.sent and world.on("req-000001") == ["req-000001/0"]
         world.verdict()
@@ -427,7 +441,7 @@
 
         await Server(answer, 10).start("10.0.0.1:8080")
         pool = Pool("10.0.0.1:8080", 1)
-        with pytest.raises(Failed) as failed:
+        with pytest.raises(RequestFailed) as failed:
             await pool.request("POST", "/", still=lambda: False)
         assert not failed.value.sent
         await asyncio.sleep(0.1)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -20,60 +20,61 @@
     end = world.loop.time() + seconds
     while world.loop.time() < end:
         world.rule_checker.check()
-        world.owner()  # never two
+        world.shard_leader()  # never two
         await asyncio.sleep(0.05)
 
 
-# The state service refuses the leader alone, somebody else confirms cancellations, and then it is
+# The key-value store refuses the leader alone, somebody else confirms cancellations, and then it is
 # out for all
 
 
-async def _at_once(world: World, owner: str, ref: str) -> None:
-    world.state.refused.add(world.host(owner))
-    assert await world.cancel(ref, _others(world, owner)[0]) == "withdrawn"
+async def _at_once(world: World, shard_leader: str, ref: str) -> None:
+    world.store.refused.add(world.host(shard_leader))
+    assert await world.cancel(ref, _others(world, shard_leader)[0]) == "withdrawn"
 
 
-async def _just_before(world: World, owner: str, ref: str) -> None:
-    """The owner's watch has been opened, and its answer is on its way when the refusal begins."""
-    world.net.cut(world.host(owner), world.state.HOST)
-    assert await world.cancel(ref, _others(world, owner)[0]) == "withdrawn"
-    world.state.refused.add(world.host(owner))
-    world.net.heal(world.host(owner), world.state.HOST, deliver=False)
+async def _just_before(world: World, shard_leader: str, ref: str) -> None:
+    """The shard leader's watch has been opened, and its answer is on its way when the refusal
+    begins."""
+    world.net.cut(world.host(shard_leader), world.store.HOST)
+    assert await world.cancel(ref, _others(world, shard_leader)[0]) == "withdrawn"
+    world.store.refused.add(world.host(shard_leader))
+    world.net.heal(world.host(shard_leader), world.store.HOST, deliver=False)
 
 
-async def _a_while_after(world: World, owner: str, ref: str) -> None:
-    world.state.refused.add(world.host(owner))
+async def _a_while_after(world: World, shard_leader: str, ref: str) -> None:
+    world.store.refused.add(world.host(shard_leader))
     await asyncio.sleep(1.5)
-    assert await world.cancel(ref, _others(world, owner)[0]) == "withdrawn"
+    assert await world.cancel(ref, _others(world, shard_leader)[0]) == "withdrawn"
 
 
-async def _by_a_poll(world: World, owner: str, ref: str) -> None:
+async def _by_a_poll(world: World, shard_leader: str, ref: str) -> None:
     """Nobody hears the answer to the cancellation; a third controller tells of it."""
-    first, second = _others(world, owner)
-    world.state.refused.add(world.host(owner))
+    first, second = _others(world, shard_leader)
+    world.store.refused.add(world.host(shard_leader))
     world.asked_cancel[ref] = True
     await world.ask(first, "POST", f"/api/jobs/{ref}/cancel")
     assert await world.poll(ref, second) == "withdrawn"
 
 
-async def _by_one_that_restarts(world: World, owner: str, ref: str) -> None:
-    first = _others(world, owner)[0]
-    await _at_once(world, owner, ref)
+async def _by_one_that_restarts(world: World, shard_leader: str, ref: str) -> None:
+    first = _others(world, shard_leader)[0]
+    await _at_once(world, shard_leader, ref)
     world.crash(first)
     await asyncio.sleep(0.3)
     world.boot(first)
     await asyncio.sleep(0.3)
 
 
-async def _owner_stands_still(world: World, owner: str, ref: str) -> None:
-    await _at_once(world, owner, ref)
-    world.freeze(owner)
-    world.loop.call_later(7.0, world.thaw, owner)
+async def _owner_stands_still(world: World, shard_leader: str, ref: str) -> None:
+    await _at_once(world, shard_leader, ref)
+    world.freeze(shard_leader)
+    world.loop.call_later(7.0, world.thaw, shard_leader)
 
 
-async def _machines_hang(world: World, owner: str, ref: str) -> None:
+async def _machines_hang(world: World, shard_leader: str, ref: str) -> None:
     """They hang within their lease and go on with what they had."""
-    await _at_once(world, owner, ref)
+    await _at_once(world, shard_leader, ref)
     for machine in world.cloud.machines.values():
         machine.hung = True
         world.loop.call_later(0.8 * LEASE, setattr, machine, "hung", False)
@@ -81,9 +82,14 @@
 
 Confirm = Callable[[World, str, str], Awaitable[None]]
 WAYS: list[Confirm] = [
-    _at_once, _just_before, _a_while_after, _by_a_poll, _by_one_that_restarts,
-    _owner_stands_still, _machines_hang,
-]  # fmt: skip
+    _at_once,
+    _just_before,
+    _a_while_after,
+    _by_a_poll,
+    _by_one_that_restarts,
+    _owner_stands_still,
+    _machines_hang,
+]
 
 
 @pytest.mark.parametrize("wait", [0.2, 1.0])
@@ -96,16 +102,16 @@
         await world.busy(6, 500.0)
         for number in (1, 2):  # twice in a row
             ref = f"req-{number:06d}"
-            owner = world.owner()
-            assert owner is not None
-            await confirm(world, owner, ref)
+            shard_leader = world.shard_leader()
+            assert shard_leader is not None
+            await confirm(world, shard_leader, ref)
             await asyncio.sleep(wait)
-            world.state.down = True
+            world.store.down = True
             await _watch(world, 5)
-            world.state.refused.clear()
+            world.store.refused.clear()
             await _watch(world, CANCEL)
             assert world.on(ref) == []
-            world.state.outage_over()
+            world.store.outage_over()
             await world.submit(world.job(number + 1, Pieces=6, RunS=500.0))
             await world.until(lambda n=number: len(world.on(f"req-{n + 1:06d}")) == 6)
         world.verdict()
@@ -114,20 +120,20 @@
 
 
 def test_an_owner_that_could_not_load_its_block_renews_no_lease() -> None:
-    """All controllers end after a cancellation that the owner did not see. The next one is leased
-    the block, and the state service is out before it has read which jobs are open."""
+    """All controllers end after a cancellation that the shard leader did not see. The next one is
+    leased the shard, and the key-value store is out before it has read which jobs are open."""
 
     async def story(loop: Loop) -> None:
         world = World(loop, lease=LEASE, cancel=CANCEL)
-        owner = await world.busy(6, 500.0)
-        await _at_once(world, owner, "req-000001")
+        shard_leader = await world.busy(6, 500.0)
+        await _at_once(world, shard_leader, "req-000001")
         for name in world.nodes:
             world.crash(name)
             loop.call_later(5.0, world.boot, name)
-        world.state.refused.clear()
-        while world.state.keys["c/block/0"][0]["baton"] == 1:
+        world.store.refused.clear()
+        while world.store.keys["c/block/0"][0]["baton"] == 1:
             await asyncio.sleep(0.001)
-        world.state.down = True
+        world.store.down = True
         await _watch(world, 2 * CANCEL)
         assert world.on("req-000001") == []
         world.verdict()
@@ -141,14 +147,14 @@
         await world.start()
         await world.submit(world.job(1, Pieces=12, Cores=4.0, Grades=["small"], RunS=40.0))
         await world.until(lambda: len(world.on("req-000001")) == 12)
-        owner = world.owner()
-        assert owner is not None
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
         starts = world.rule_checker.starts
-        world.state.slowness = 250.0  # each answer takes half a second
-        world.crash(owner)
-        world.boot(owner)
+        world.store.slowness = 250.0  # each answer takes half a second
+        world.crash(shard_leader)
+        world.boot(shard_leader)
         await _watch(world, 8)
-        world.state.slowness = 1.0
+        world.store.slowness = 1.0
         await world.until_done("req-000001", seconds=100)
         assert world.rule_checker.starts == starts
         world.verdict()
@@ -166,16 +172,16 @@
         await world.submit(world.job(1, Pieces=1000, RunS=500.0, Grades=["large"]))
         await world.until(lambda: world.rule_checker.starts > 20)
         await asyncio.sleep(2)
-        owner = world.owner()
-        assert owner is not None
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
         await world.submit(world.job(2, Pieces=100, RunS=0.5))
-        world.state.refused.add(world.host(owner))
+        world.store.refused.add(world.host(shard_leader))
         await asyncio.sleep(0.1)
-        assert await world.cancel("req-000001", _others(world, owner)[0]) == "withdrawn"
-        await _watch(world, 0.5)  # sooner than the owner asks anybody
+        assert await world.cancel("req-000001", _others(world, shard_leader)[0]) == "withdrawn"
+        await _watch(world, 0.5)  # sooner than the shard leader asks anybody
         assert world.on("req-000001") == []
         starts = world.rule_checker.starts_of("req-000001")
-        assert world.owner() == owner
+        assert world.shard_leader() == shard_leader
         await _watch(world, 10)
         assert world.rule_checker.starts_of("req-000001") == starts
         assert world.rule_checker.starts_of("req-000002") > 0
@@ -207,14 +213,14 @@
 def test_the_leader_ends_while_machines_with_long_tasks_do_not_hear_the_next(how: str) -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 60.0)
+        shard_leader = await world.busy(6, 60.0)
         await world.submit(world.job(2, Shape="group", Pieces=2, Cores=3.0, RunS=40.0))
         await world.until(lambda: len(world.on("req-000002")) == 2)
         for machine in _holders(world, "req-000001")[:3]:
             setattr(machine, how, True)
-        world.crash(owner)
+        world.crash(shard_leader)
         await _watch(world, 1)
-        world.boot(owner)
+        world.boot(shard_leader)
         await world.submit(world.job(3, Pieces=4, RunS=3.0))
         await _watch(world, 30)
         await _end(world, "req-000001", "req-000002", "req-000003")
@@ -258,10 +264,10 @@
                     victim.hung = True
                 elif victim.name in world.cloud.machines:
                     world.cloud.machines.pop(victim.name).stop()
-            owner = world.owner()
-            if owner is not None:
-                world.crash(owner)
-                world.boot(owner)
+            shard_leader = world.shard_leader()
+            if shard_leader is not None:
+                world.crash(shard_leader)
+                world.boot(shard_leader)
             await _watch(world, 8)
         await _end(world, "req-000001", "req-000002")
 
@@ -279,13 +285,13 @@
         await world.submit(world.job(2, Pieces=8, RunS=5.0))  # no room: the team is at its limit
         await _watch(world, 2)
         assert world.on("req-000002") == []
-        owner = world.owner()
-        assert owner is not None
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
         silent = _holders(world, "req-000001")[0]
         for name in world.nodes:
             world.net.cut(silent.host, world.host(name))
-        world.crash(owner)
-        assert await world.cancel("req-000001", _others(world, owner)[0]) == "withdrawn"
+        world.crash(shard_leader)
+        assert await world.cancel("req-000001", _others(world, shard_leader)[0]) == "withdrawn"
         since = loop.time()
         await world.until(lambda: len(world.on("req-000002")) > 0, seconds=30)
         assert loop.time() - since < 3 * FakeWorker.LEASE  # nobody waits for ever
@@ -305,10 +311,10 @@
         await world.submit(world.job(2, Shape="group", Pieces=2, Cores=2.0, RunS=30.0))
         for moment in range(10):
             if outage and moment in (2, 6):
-                world.state.down = True
-            if moment in (4, 8) and world.state.down:
-                world.state.outage_over()
-            leader = world.owner() or world.nodes[moment % 3]
+                world.store.down = True
+            if moment in (4, 8) and world.store.down:
+                world.store.outage_over()
+            leader = world.shard_leader() or world.nodes[moment % 3]
             if leader in world.running:
                 world.crash(leader)
             await _watch(world, 0.4 if moment % 3 else 3.0)
@@ -324,18 +330,18 @@
 
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(2, 60.0)
+        shard_leader = await world.busy(2, 60.0)
         machines = list(world.cloud.machines.values())
         for machine in machines:
-            world.net.cut(machine.host, world.host(owner))
-        await world.submit(world.job(2, Pieces=8, RunS=60.0), owner)
+            world.net.cut(machine.host, world.host(shard_leader))
+        await world.submit(world.job(2, Pieces=8, RunS=60.0), shard_leader)
         await _watch(world, 1.0)  # direct starts are held in the cut
         for machine in machines[:1]:
             machine.hung = True
         assert await world.cancel("req-000002") == "withdrawn"
         await _watch(world, 2.0)
         for machine in machines:
-            world.net.heal(machine.host, world.host(owner), deliver=True)
+            world.net.heal(machine.host, world.host(shard_leader), deliver=True)
         await _watch(world, 2.0)
         for machine in machines:
             machine.hung = False
@@ -351,12 +357,12 @@
 
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(4, 30.0)
+        shard_leader = await world.busy(4, 30.0)
         machine = _holders(world, "req-000001")[0]
-        old = machine.report()  # never sent so far
-        world.crash(owner)
-        await world.until(lambda: world.owner() not in (None, owner))
-        second = world.owner()
+        old = machine.heartbeat()  # never sent so far
+        world.crash(shard_leader)
+        await world.until(lambda: world.shard_leader() not in (None, shard_leader))
+        second = world.shard_leader()
         assert second is not None
         await _watch(world, 3)
         await world.ask(second, "POST", "/agent/beat", old)
@@ -367,7 +373,7 @@
         for _ in range(3):
             await world.ask(second, "POST", "/agent/beat", old)
             await _watch(world, 1)
-        world.boot(owner)
+        world.boot(shard_leader)
         await _end(world, "req-000001")
 
     play(story)
@@ -378,9 +384,11 @@
         world = World(loop, seed=7)
         await world.busy(6, 40.0)
         for _ in range(4):
-            owner = world.owner()
-            if owner is not None:
-                world.parts[owner].owners[0].resigned = True  # it hands its block back
+            shard_leader = world.shard_leader()
+            if shard_leader is not None:
+                world.parts[shard_leader].shard_leaders[
+                    0
+                ].stepped_down = True  # it hands its shard back
             await _watch(world, 1.5)
             for name in world.nodes:
                 world.crash(name)
@@ -431,11 +439,11 @@
             slow.hung = True
             loop.call_later(4.5, setattr, slow, "hung", False)
             await _watch(world, 2 + number)
-            owner = world.owner()
-            if owner is not None:
-                world.crash(owner)
+            shard_leader = world.shard_leader()
+            if shard_leader is not None:
+                world.crash(shard_leader)
                 await _watch(world, 0.5)
-                world.boot(owner)
+                world.boot(shard_leader)
         await _end(world, *refs)
 
     play(story)
@@ -446,7 +454,7 @@
     async def story(loop: Loop) -> None:
         world = World(loop, seed=2)
         await world.start()
-        world.state.late_writes = share
+        world.store.late_writes = share
         refs = []
         for number in range(1, 9):
             refs.append(f"req-{number:06d}")
@@ -455,11 +463,11 @@
             if number % 4 == 0:
                 assert await world.cancel(refs.pop()) in ("withdrawn", "done")
             if number == 5:
-                owner = world.owner()
-                if owner is not None:
-                    world.crash(owner)
+                shard_leader = world.shard_leader()
+                if shard_leader is not None:
+                    world.crash(shard_leader)
                     await _watch(world, 1)
-                    world.boot(owner)
+                    world.boot(shard_leader)
         await _watch(world, 15)
         await _end(world, *(ref for ref in refs if ref not in world.rule_checker.cancelled_at))
 
@@ -467,7 +475,7 @@
 
 
 def test_a_late_write_of_results_does_not_undo_a_newer_one() -> None:
-    """The workers have forgotten what the newer one holds; the next owner reads it."""
+    """The workers have forgotten what the newer one holds; the next shard leader reads it."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
@@ -478,14 +486,14 @@
         await world.submit(job)
         await world.until(lambda: len(world.rule_checker.results) >= 16)
         # From now on writes of results go unanswered, and are carried out much later.
-        world.state.late_writes, world.state.late_keys = 1.0, "open/req-000001/"
+        world.store.late_writes, world.store.late_keys = 1.0, "open/req-000001/"
         await _watch(world, 2.5)
-        world.state.late_writes = 0.0
+        world.store.late_writes = 0.0
         key = "open/req-000001/0.0"
         highest = 0
         for _ in range(150):
             await _watch(world, 0.1)
-            count = world.state.keys.get(key, ({"count": 0},))[0]["count"]
+            count = world.store.keys.get(key, ({"count": 0},))[0]["count"]
             assert count >= highest, (count, highest)
             highest = count
         assert highest > 40
@@ -501,17 +509,17 @@
         world = World(loop)
         await world.start()
         await world.submit(world.job(1, Pieces=4, RunS=60.0))
-        hires: list[str] = []
-        while not hires:
+        scale_outs: list[str] = []
+        while not scale_outs:
             await asyncio.sleep(0.001)
-            hires = [key for key in world.state.keys if key.startswith("hire/")]
-        world.state.late_writes, world.state.late_keys = 1.0, "hire/"
-        world.state.late_by = (9.0, 10.0)  # its machine is up and written down by then
+            scale_outs = [key for key in world.store.keys if key.startswith("hire/")]
+        world.store.late_writes, world.store.late_keys = 1.0, "hire/"
+        world.store.late_by = (9.0, 10.0)  # its machine is up and written down by then
         await _watch(world, 1.0)
-        world.state.late_writes = 0.0
-        await world.until(lambda: hires[0] not in world.state.keys, seconds=15)
+        world.store.late_writes = 0.0
+        await world.until(lambda: scale_outs[0] not in world.store.keys, seconds=15)
         await _watch(world, 15)
-        assert hires[0] not in world.state.keys
+        assert scale_outs[0] not in world.store.keys
         await _end(world, "req-000001")
 
     play(story)
@@ -520,23 +528,23 @@
 def test_the_leader_is_refused_then_everybody_while_users_cancel_and_ask() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(4, 200.0)
+        shard_leader = await world.busy(4, 200.0)
         for number in range(2, 7):
             await world.submit(world.job(number, Pieces=2, RunS=200.0))
-        world.state.slowness = 8.0
+        world.store.slowness = 8.0
         await _watch(world, 3)
-        world.state.refused.add(world.host(owner))
+        world.store.refused.add(world.host(shard_leader))
         cancels = []
         for number in range(2, 7):
             cancels.append(loop.create_task(world.cancel(f"req-{number:06d}")))
             await _watch(world, 0.4)
             for asked in range(1, number):
                 await world.poll(f"req-{asked:06d}")
-        world.state.down = True
+        world.store.down = True
         await _watch(world, World.CANCEL + 5)
-        world.state.refused.clear()
-        world.state.outage_over()
-        world.state.slowness = 1.0
+        world.store.refused.clear()
+        world.store.outage_over()
+        world.store.slowness = 1.0
         await asyncio.gather(*cancels)
         await _watch(world, World.CANCEL)
         assert not any(world.on(f"req-{number:06d}") for number in range(2, 7))
@@ -618,16 +626,20 @@
         good = world.job(1, Pieces=2, RunS=30.0)
         assert await world.submit(good) == 201
         never = [
-            {"Yard": "nowhere"}, {"Grades": []}, {"Grades": ["huge"]}, {"Cores": 17.0},
-            {"Grades": ["small"], "Gpus": 1.0}, {"Crew": "nobody"},
+            {"Yard": "nowhere"},
+            {"Grades": []},
+            {"Grades": ["huge"]},
+            {"Cores": 17.0},
+            {"Grades": ["small"], "Gpus": 1.0},
+            {"Crew": "nobody"},
             {"Shape": "group", "Pieces": 3, "OneZone": True, "Apart": True},
             {"Shape": "group", "Pieces": 3, "Yard": "a", "Apart": True},
-        ]  # fmt: skip
+        ]
         for number, fields in enumerate(never, 10):
             job = world.job(number, **fields)
             assert (await world.ask("node-0", "POST", "/api/jobs", job))[0] == 422, fields
         malformed = [{"Pieces": None}, {"Cores": "1"}, {"Pieces": 0}, {"Rank": "urgent"}]
-        world.state.down = True  # what is malformed is known to be in an outage too
+        world.store.down = True  # what is malformed is known to be in an outage too
         for number, fields in enumerate(malformed, 30):
             job = world.job(number, **fields)
             assert (await world.ask("node-1", "POST", "/api/jobs", job))[0] == 400, fields
@@ -637,7 +649,7 @@
         # Nobody knows whether it was accepted earlier: neither 422 nor 200.
         job = world.job(50, Cores=17.0)
         assert (await world.ask("node-1", "POST", "/api/jobs", job))[0] == 503
-        world.state.outage_over()
+        world.store.outage_over()
         await _watch(world, 3)
         await _end(world, "req-000001")
 
@@ -651,14 +663,14 @@
         world = World(loop)
         await world.busy(2, 100.0)
         asked, other = world.nodes[:2]
-        world.state.slowness = 10.0  # 20 ms for an answer
+        world.store.slowness = 10.0  # 20 ms for an answer
         question = loop.create_task(world.ask(asked, "GET", "/api/jobs/req-000001"))
-        await asyncio.sleep(0.01)  # the read has reached the state service
-        world.net.cut(world.host(asked), world.state.HOST)
+        await asyncio.sleep(0.01)  # the read has reached the key-value store
+        world.net.cut(world.host(asked), world.store.HOST)
         await asyncio.sleep(0.03)  # it has been answered, and the answer is held up
         assert await world.cancel("req-000001", other) == "withdrawn"
         await asyncio.sleep(0.05)
-        world.net.heal(world.host(asked), world.state.HOST)
+        world.net.heal(world.host(asked), world.store.HOST)
         status, body = await question
         assert (status, body["Stage"]) == (200, "withdrawn")
         world.verdict()
@@ -667,28 +679,28 @@
 
 
 def test_a_job_whose_cancellation_overtook_its_submission_is_not_taken_up() -> None:
-    """The owner's watch brings the job late, and the end of the job later still."""
+    """The shard leader's watch brings the job late, and the end of the job later still."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(2, 100.0)
-        other = _others(world, owner)[0]
-        owner_host = world.host(owner)
-        world.state.slowness = 10.0  # 20 ms for an answer
+        shard_leader = await world.busy(2, 100.0)
+        other = _others(world, shard_leader)[0]
+        owner_host = world.host(shard_leader)
+        world.store.slowness = 10.0  # 20 ms for an answer
         await asyncio.sleep(0.5)
-        world.net.cut(owner_host, world.state.HOST)
+        world.net.cut(owner_host, world.store.HOST)
         await world.submit(world.job(2, Pieces=2, RunS=50.0), other)
         await asyncio.sleep(0.05)
         assert await world.cancel("req-000002", other) == "withdrawn"
         await asyncio.sleep(0.05)
-        world.net.heal(owner_host, world.state.HOST)
+        world.net.heal(owner_host, world.store.HOST)
         await asyncio.sleep(0.01)  # what was held up arrives, and nothing that was asked since
-        world.net.cut(owner_host, world.state.HOST)
+        world.net.cut(owner_host, world.store.HOST)
         await _watch(world, 0.8)
-        world.net.heal(owner_host, world.state.HOST)
+        world.net.heal(owner_host, world.store.HOST)
         await _watch(world, 3)
         assert world.rule_checker.started_cancelled == []
-        assert world.owner() == owner
+        assert world.shard_leader() == shard_leader
         world.verdict()
 
     play(story)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -33,10 +33,10 @@
 def test_a_deaf_machine_does_not_hold_up_the_jobs_of_an_earlier_owner() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(2, 60.0)
+        shard_leader = await world.busy(2, 60.0)
         deaf = _holder(world, "req-000001/0")
         deaf.deaf = True
-        world.crash(owner)
+        world.crash(shard_leader)
         since = loop.time()
         await world.submit(world.job(2, Pieces=2, RunS=5.0))
         await world.until_done("req-000002", seconds=60)
@@ -44,7 +44,7 @@
             lambda: world.rule_checker.on.get("req-000001/0") not in (None, deaf), seconds=60
         )
         assert loop.time() - since < 6 * FakeWorker.LEASE
-        world.boot(owner)
+        world.boot(shard_leader)
         await world.until_done("req-000001", seconds=200)
         world.verdict()
 
@@ -66,14 +66,16 @@
 
 
 def test_a_controller_that_has_only_its_workers_left_gives_them_up_in_time() -> None:
-    """It reaches neither the state service nor its peers; its workers' leases must not end."""
+    """It reaches neither the key-value store nor its peers; its workers' leases must not end."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
         first = await world.busy(6, 40.0)
         starts = world.rule_checker.starts
         world.estrange(first)
-        await world.until(lambda: world.owner() not in (None, first), seconds=FakeWorker.LEASE)
+        await world.until(
+            lambda: world.shard_leader() not in (None, first), seconds=FakeWorker.LEASE
+        )
         status, _ = await world.ask(first, "GET", "/healthz")
         assert status == 503  # users go elsewhere
         asked = loop.time()
@@ -91,25 +93,25 @@
 def test_late_copies_do_not_bring_back_a_machine_that_an_earlier_owner_returned() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(2, 30.0)
+        shard_leader = await world.busy(2, 30.0)
         dead = _holder(world, "req-000001/0")
-        held = dead.report()
+        held = dead.heartbeat()
         dead.stop()
         del world.cloud.machines[dead.name]
         key = f"mach/{dead.name}"
-        await world.until(lambda: key not in world.state.keys, seconds=60)
-        world.crash(owner)
-        await world.until(lambda: world.owner() not in (None, owner))
-        second = world.owner()
+        await world.until(lambda: key not in world.store.keys, seconds=60)
+        world.crash(shard_leader)
+        await world.until(lambda: world.shard_leader() not in (None, shard_leader))
+        second = world.shard_leader()
         assert second is not None
-        await world.until(lambda: world.parts[second].owners[0].loaded)
+        await world.until(lambda: world.parts[second].shard_leaders[0].loaded)
         for _ in range(20):
             held["Tick"] += 1
             await world.ask(second, "POST", "/agent/beat", held)
             await asyncio.sleep(0.5)
-        assert key not in world.state.keys
-        assert dead.name not in world.parts[second].owners[0].block.machines
-        world.boot(owner)
+        assert key not in world.store.keys
+        assert dead.name not in world.parts[second].shard_leaders[0].shard.machines
+        world.boot(shard_leader)
         await world.until_done("req-000001")
         world.verdict()
 
@@ -120,16 +122,16 @@
     async def story(loop: Loop) -> None:
         world = World(loop, seed=5)
         world.copies = 0.3
-        owner = await world.busy(6, 60.0)
+        shard_leader = await world.busy(6, 60.0)
         for number in range(2, 6):
             await world.submit(world.job(number, Pieces=3, RunS=10.0))
         for moment in range(12):
-            name = world.nodes[moment % 3] if moment % 2 else owner
+            name = world.nodes[moment % 3] if moment % 2 else shard_leader
             world.crash(name)
             await asyncio.sleep(0.15)
             world.boot(name)
             await asyncio.sleep(0.4 + 0.3 * (moment % 4))
-            world.owner()  # never two
+            world.shard_leader()  # never two
             world.rule_checker.check()
         await world.until_done(*[f"req-{n:06d}" for n in range(1, 6)], seconds=200)
         world.verdict()
@@ -148,7 +150,7 @@
             await world.submit(world.job(number, Pieces=2, RunS=3.0 * number))
         await world.cancel("req-000006")
         world.isolate("node-1")
-        world.state.down = True
+        world.store.down = True
         await asyncio.sleep(1)
         for name in world.nodes:
             world.crash(name)
@@ -156,7 +158,7 @@
             world.boot(name)
         await asyncio.sleep(20)
         world.rejoin("node-1")
-        world.state.outage_over()
+        world.store.outage_over()
         await asyncio.sleep(15)
         for name in world.nodes:
             for ref in refs:
@@ -172,15 +174,15 @@
 ):
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 60.0)
+        shard_leader = await world.busy(6, 60.0)
         starts = world.rule_checker.starts
         world.net.refusing = {(world.host(name), 8081) for name in world.nodes}
-        world.state.slowness = 10.0
+        world.store.slowness = 10.0
         for number in range(2, 12):
             await world.submit(world.job(number, RunS=2.0))
             await asyncio.sleep(3)
-            assert world.owner() == owner
-        world.state.slowness = 1.0
+            assert world.shard_leader() == shard_leader
+        world.store.slowness = 1.0
         world.net.refusing.clear()
         await world.until_done(*[f"req-{n:06d}" for n in range(1, 12)], seconds=100)
         assert world.rule_checker.starts == starts + 10  # each task was started once
@@ -194,15 +196,15 @@
 def test_a_zone_that_is_cut_off_with_its_controller_runs_nothing_twice() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(8, 60.0)
+        shard_leader = await world.busy(8, 60.0)
         inside = [m for m in world.cloud.machines.values() if m.zone == "a"]
         outside = [FakeState.HOST, FakeCloud.HOST, "10.9.9.9"]
-        outside += [world.host(name) for name in world.nodes if name != owner]
-        hosts = [world.host(owner), *(m.host for m in inside)]
+        outside += [world.host(name) for name in world.nodes if name != shard_leader]
+        hosts = [world.host(shard_leader), *(m.host for m in inside)]
         for near in hosts:
             for far in outside:
                 world.net.cut(near, far)
-        await world.until(lambda: world.owner() not in (None, owner), seconds=20)
+        await world.until(lambda: world.shard_leader() not in (None, shard_leader), seconds=20)
         await asyncio.sleep(3 * FakeWorker.LEASE)
         assert not any(m.tasks for m in inside)  # nobody renews their leases
         for near in hosts:
@@ -225,7 +227,7 @@
         await world.until(lambda: len(world.rule_checker.on) == 6)
         rented = set(world.cloud.machines)
         assert len(rented) > 1
-        world.isolate("node-0", state=False, cloud=False)
+        world.isolate("node-0", store=False, cloud=False)
         await asyncio.sleep(2.5 * FakeWorker.LEASE)
         assert set(world.cloud.machines) == rented  # nor does it rent what it would not hear
         world.rejoin("node-0")
@@ -265,13 +267,13 @@
 def test_a_slow_controller_keeps_its_block_and_its_workers() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 40.0)
+        shard_leader = await world.busy(6, 40.0)
         starts = world.rule_checker.starts
-        world.net.slow[world.host(owner)] = 0.15  # every answer it waits for takes longer
+        world.net.slow[world.host(shard_leader)] = 0.15  # every answer it waits for takes longer
         await world.submit(world.job(2, RunS=2.0))
         for _ in range(20):
             await asyncio.sleep(1)
-            assert world.owner() == owner
+            assert world.shard_leader() == shard_leader
         world.net.slow.clear()
         await world.until_done("req-000001", "req-000002", seconds=100)
         assert world.rule_checker.starts == starts + 1
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -1,8 +1,8 @@
 """What is rented for what waits."""
 
 from basaltlead.core import fleet_sizing
+from basaltlead.core.entities import US
 from basaltlead.core.fleet_sizing import Demand, Offer
-from basaltlead.core.model import US
 from tests.fakes import World
 from tests.simulation import Loop, play
 from tests.test_shard import KIND, Story, a_job
@@ -14,10 +14,11 @@
     """Whether spot or ordinary, what is hired for a job of 40 tasks while all that is rented
     would need so long for what waits."""
     story = Story(machines=0)
-    work = story.block.add_job(a_job(tasks=40), 200, story.now)
-    needs = [Demand(work, 40, drain_us)]
+    job_state = story.shard.add_job(a_job(tasks=40), 200, story.now)
+    needs = [Demand(job_state, 40, drain_us)]
     return [
-        offer.spot for offer in fleet_sizing.size(needs, [], [], {"k": KIND}, offers, {}, 12).hires
+        offer.spot
+        for offer in fleet_sizing.size(needs, [], [], {"k": KIND}, offers, {}, 12).rentals
     ]
 
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,13 +1,14 @@
-"""Stories of a whole fleet: many machines at once, pages that differ in age, unanswered hires."""
+"""Stories of a whole fleet: many machines at once, pages that differ in age, unanswered rental
+requests."""
 
 import asyncio
 
 import pytest
 
-from basaltlead.core.model import Machine
+from basaltlead.core.entities import Machine
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.dispatcher import WorkerDispatcher
-from basaltlead.wire.workers import Command
+from basaltlead.wire.workers import DirectCommand
 from tests.fakes import FakeWorker, World
 from tests.simulation import HOST, Loop, play
 
@@ -19,10 +20,16 @@
     for number in range(1, gangs + arrays + 1):
         gang = number <= gangs
         job = world.job(
-            number, Shape="group" if gang else "batch", Pieces=3 if gang else 8,
-            Cores=3.0 if gang else 2.0, OneZone=gang, Rank="high" if gang else "best_effort",
-            RunS=25.0, MarkEveryS=5.0 if gang else 0.0, MarkS=1.0 if gang else 0.0,
-        )  # fmt: skip
+            number,
+            Shape="group" if gang else "batch",
+            Pieces=3 if gang else 8,
+            Cores=3.0 if gang else 2.0,
+            OneZone=gang,
+            Rank="high" if gang else "best_effort",
+            RunS=25.0,
+            MarkEveryS=5.0 if gang else 0.0,
+            MarkS=1.0 if gang else 0.0,
+        )
         await world.submit(job)
         refs.append(job["Ref"])
     await world.until(lambda: sum(m.up for m in world.cloud.machines.values()) >= 40)
@@ -49,7 +56,7 @@
         while loop.time() < at + 1.5 * FakeWorker.LEASE:
             assert all(m.name in world.cloud.machines for m in well if m.tasks)
             await asyncio.sleep(0.5)
-        assert all(m.session == 1 for m in well if m.name in world.cloud.machines)
+        assert all(m.epoch == 1 for m in well if m.name in world.cloud.machines)
         for machine in hung:
             machine.hung = False
         await world.until_done(*refs, seconds=300)
@@ -64,16 +71,16 @@
         world = World(loop)
         world.cloud.capacity = 80
         refs = await _full(world, gangs=8, arrays=30)
-        for _ in range(2):  # and again before the first takeover is complete
+        for _ in range(2):  # and again before the first failover is complete
             for name in list(world.running):
                 world.crash(name)
             await asyncio.sleep(0.5)
             for name in world.nodes:
                 world.boot(name)
             await asyncio.sleep(0.2)
-        await world.until(lambda: world.owner() is not None, seconds=FakeWorker.LEASE)
+        await world.until(lambda: world.shard_leader() is not None, seconds=FakeWorker.LEASE)
         await world.until_done(*refs, seconds=300)
-        assert sum(m.session > 1 for m in world.cloud.machines.values()) == 0
+        assert sum(m.epoch > 1 for m in world.cloud.machines.values()) == 0
         world.verdict()
 
     play(story)
@@ -87,13 +94,13 @@
         world.cloud.capacity = 100
         world.write_rps = 30.0
         await world.start()
-        await world.until(lambda: world.owner() is not None)
-        owner = world.owner()
+        await world.until(lambda: world.shard_leader() is not None)
+        shard_leader = world.shard_leader()
         for number in range(1, 41):
-            await world.submit(world.job(number, Pieces=12, RunS=4.0), owner)
+            await world.submit(world.job(number, Pieces=12, RunS=4.0), shard_leader)
         for number in range(41, 141):
             asked = loop.time()
-            await world.submit(world.job(number, RunS=2.0), owner)
+            await world.submit(world.job(number, RunS=2.0), shard_leader)
             assert loop.time() - asked < 0.3
             await asyncio.sleep(0.3)
         assert world.cloud.count > 60
@@ -112,7 +119,7 @@
         world.write_rps = 30.0
         name = await world.busy(8, 4.0)
         await world.submit(world.job(2, Pieces=40, RunS=4.0))  # has results to store all the time
-        writes = world.parts[name].owners[0].state.writes
+        writes = world.parts[name].shard_leaders[0].store.writes
         records = [loop.create_task(writes.spare(4)) for _ in range(100)]
         await world.submit(world.job(3, RunS=2.0, Rank="high"))
         await world.until(lambda: "req-000003/0" in world.rule_checker.results, seconds=40)
@@ -131,19 +138,19 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         name = await world.busy(1, 60.0)
-        owner = world.parts[name].owners[0]
-        (live,) = [m for m in owner.block.machines.values() if m.attempts]
-        owner.dispatcher = WorkerDispatcher(owner)
-        for number in range(2 * owner.dispatcher.workers.most):
-            silent = Machine(f"m-9{number:05d}", live.kind, "b", False, now_us())
+        shard_leader = world.parts[name].shard_leaders[0]
+        (live,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
+        shard_leader.dispatcher = WorkerDispatcher(shard_leader)
+        for number in range(2 * shard_leader.dispatcher.workers.most):
+            silent = Machine(f"m-9{number:05d}", live.machine_type, "b", False, now_us())
             silent.address = f"10.1.3.{number}:9000"
             world.net.cut(HOST.get(), f"10.1.3.{number}")  # this story asks from there
-            owner.block.add_machine(silent)
-            owner.dispatcher.probe(silent)
+            shard_leader.shard.add_machine(silent)
+            shard_leader.dispatcher.probe(silent)
         await asyncio.sleep(0.1)
         asked = loop.time()
-        command = Command(owner.grant.fencing_token, live.session, [])
-        assert (await owner.dispatcher.workers.command(live.address, command))[0]
+        command = DirectCommand(shard_leader.grant.fencing_token, live.epoch, [])
+        assert (await shard_leader.dispatcher.workers.command(live.address, command))[0]
         assert loop.time() - asked < 0.1
         world.verdict()
 
@@ -157,13 +164,13 @@
         world.cloud.page = 4
         world.cloud.lag = 4.0
         await world.start()
-        world.cloud.mute = 2  # and two hires are carried out, but never answered
+        world.cloud.mute = 2  # and two rental requests are carried out, but never answered
         await world.submit(world.job(1, Pieces=60, RunS=30.0))
         await world.until_done("req-000001", seconds=200)
         await asyncio.sleep(60)
-        name = world.owner()
+        name = world.shard_leader()
         assert name is not None
-        known = set(world.parts[name].owners[0].block.machines)
+        known = set(world.parts[name].shard_leaders[0].shard.machines)
         assert set(world.cloud.machines) <= known  # each is used or returned
         assert world.rule_checker.starts == 60
         world.verdict()
@@ -176,9 +183,9 @@
 
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 60.0)
+        shard_leader = await world.busy(6, 60.0)
         for number, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE), start=2):
-            holder = world.owner() or owner
+            holder = world.shard_leader() or shard_leader
             for more in range(4):
                 await world.submit(world.job(10 * number + more, Pieces=3, RunS=5.0))
             world.freeze(holder)
@@ -186,11 +193,11 @@
             end = loop.time() + seconds
             assert await world.cancel(f"req-{10 * number:06d}", others[0]) == "withdrawn"
             while loop.time() < end:
-                world.owner()  # never two, and a frozen one's right ends by the clock
+                world.shard_leader()  # never two, and a frozen one's right ends by the clock
                 await asyncio.sleep(0.25)
             world.thaw(holder)
             for _ in range(40):
-                world.owner()
+                world.shard_leader()
                 world.rule_checker.check()
                 await asyncio.sleep(0.05)
             assert await world.poll(f"req-{10 * number:06d}", holder) in ("withdrawn", "503")
@@ -215,25 +222,25 @@
         await world.submit(world.job(1, Pieces=3, RunS=40.0, GuessS=40.0, DueS=100.0))
         accepted = loop.time()
         await world.until(lambda: len(world.on("req-000001")) == 3)
-        first = world.owner()
+        first = world.shard_leader()
         assert first is not None
         await asyncio.sleep(10)
         world.crash(first)
-        await world.until(lambda: world.owner() not in (None, first))
+        await world.until(lambda: world.shard_leader() not in (None, first))
         await asyncio.sleep(2)
-        owner = world.parts[str(world.owner())].owners[0]
-        job = owner.block.works["req-000001"]
+        shard_leader = world.parts[str(world.shard_leader())].shard_leaders[0]
+        job = shard_leader.shard.job_states["req-000001"]
         assert asked - 2 * off <= job.asked_at / 1e6 <= accepted + 2 * off
-        due_at = owner.market.due(job, now_us()).at
+        due_at = shard_leader.market.due(job, now_us()).at
         assert due_at is not None and abs(due_at / 1e6 - asked - 100.0) <= 2 * off + 1
-        for machine in owner.block.machines.values():
+        for machine in shard_leader.shard.machines.values():
             born = world.cloud.machines[machine.name].born
             assert abs(machine.made_at / 1e6 - born) < 15.0  # of use only to judge its first boot
         await world.until_done("req-000001")
-        assert owner.block.ratio == {}  # nobody here saw the whole run of a task
+        assert shard_leader.shard.ratio == {}  # nobody here saw the whole run of a task
         await world.submit(world.job(2, Pieces=3, RunS=20.0, GuessS=20.0))
         await world.until_done("req-000002")
-        assert 0.9 <= owner.block.ratio["reports"] <= 1.1
+        assert 0.9 <= shard_leader.shard.ratio["reports"] <= 1.1
         world.verdict()
 
     play(story)
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -5,8 +5,8 @@
 import pytest
 
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.cluster_view import Claim, Grant, block_key, session_validity_end
-from basaltlead.wire.peers import Ask
+from basaltlead.core.cluster_view import Claim, Grant, session_validity_end, shard_key
+from basaltlead.wire.peers import DeferralRequest
 from tests.fakes import World
 from tests.simulation import Loop, play
 
@@ -18,16 +18,16 @@
 def test_an_outage_longer_than_a_right_is_ridden_through_on_promises() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 30.0)
+        shard_leader = await world.busy(6, 30.0)
         starts = world.rule_checker.starts
-        right = world.parts[owner].member.ttl_us / 1e6
-        world.state.down = True
+        right = world.parts[shard_leader].membership.ttl_us / 1e6
+        world.store.down = True
         for _ in range(int((right + 5) * 10)):
             await asyncio.sleep(0.1)
-            assert world.owner() == owner
+            assert world.shard_leader() == shard_leader
         for name in world.nodes:  # as healthy as any: nobody could do better
             assert (await world.ask(name, "GET", "/healthz"))[0] == 200
-        world.state.outage_over()
+        world.store.outage_over()
         await world.until_done("req-000001")
         assert world.rule_checker.starts == starts
         world.verdict()
@@ -42,26 +42,26 @@
     async def story(loop: Loop) -> None:
         # With a longer right, promises outlast a slow link.
         world = World(loop, operator={"right_s": 6.0} if what == "slow" else None)
-        owner = await world.busy(2, 300.0)
-        other = next(name for name in world.nodes if name != owner)
-        world.state.down = True
-        ride = world.parts[owner].settings.staleness_us / 1e6
+        shard_leader = await world.busy(2, 300.0)
+        other = next(name for name in world.nodes if name != shard_leader)
+        world.store.down = True
+        ride = world.parts[shard_leader].settings.staleness_us / 1e6
         if what == "restarted":
             world.crash(other)
             await asyncio.sleep(0.3)
             world.boot(other)
             await asyncio.sleep(ride - 1.5)
-            assert world.owner() == owner  # it may promise all the same
+            assert world.shard_leader() == shard_leader  # it may promise all the same
         else:
             if what == "stands still":
                 world.freeze(other)
             elif what == "slow":  # its word is older than it seems
                 world.net.slow[world.host(other)] = 2.5
             else:
-                world.net.cut(world.host(owner), world.host(other))
+                world.net.cut(world.host(shard_leader), world.host(other))
             await asyncio.sleep(ride - 1.5)
         await asyncio.sleep(2.5)
-        assert world.owner() is None
+        assert world.shard_leader() is None
         world.thaw(other)
 
     play(story)
@@ -70,13 +70,13 @@
 def test_the_word_of_all_others_carries_an_owner_over_a_long_outage() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 60.0)
+        shard_leader = await world.busy(6, 60.0)
         starts = world.rule_checker.starts
-        world.state.down = True
+        world.store.down = True
         for _ in range(int(world.cancel_s * 2 * 10)):
             await asyncio.sleep(0.1)
-            assert world.owner() == owner
-        world.state.outage_over()
+            assert world.shard_leader() == shard_leader
+        world.store.outage_over()
         await world.until_done("req-000001")
         assert world.rule_checker.starts == starts
         world.verdict()
@@ -100,16 +100,16 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
-        member = world.parts["node-0"].member
+        await world.until(lambda: world.shard_leader() is not None)
+        member = world.parts["node-0"].membership
         incarnation = member.cluster.members["node-1"][0].incarnation
-        assert member.defer_takeover("node-1", incarnation, 1_000_000) == 0
-        world.state.down = True
+        assert member.defer_failover("node-1", incarnation, 1_000_000) == 0
+        world.store.down = True
         await asyncio.sleep(member.ttl_us / 1e6)
-        assert member.defer_takeover("node-1", "an earlier incarnation", 1_000_000) == 0
-        span = member.defer_takeover("node-1", incarnation, 10**12)
+        assert member.defer_failover("node-1", "an earlier incarnation", 1_000_000) == 0
+        span = member.defer_failover("node-1", incarnation, 10**12)
         assert 0 < span <= member.ttl_us
-        assert Ask(1, "node-1", "incarnation", 5).span_us == 5
+        assert DeferralRequest(1, "node-1", "incarnation", 5).span_us == 5
 
     play(story)
 
@@ -118,18 +118,18 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
-        member = world.parts["node-0"].member
+        await world.until(lambda: world.shard_leader() is not None)
+        member = world.parts["node-0"].membership
         gone = Grant("node-x", "incarnation", 1)
         assert not member.may_replace(
             gone
         )  # just started: may have promised in an earlier incarnation
         await asyncio.sleep(member.ttl_us * 1.02 / 1e6)
         assert member.may_replace(gone)
-        world.state.down = True
+        world.store.down = True
         await asyncio.sleep(member.ttl_us / 2e6)
         member.cluster.members["node-x"] = (Claim("node-x", "incarnation"), 1)
-        assert member.defer_takeover("node-x", "incarnation", member.ttl_us) > 0
+        assert member.defer_failover("node-x", "incarnation", member.ttl_us) > 0
         del member.cluster.members["node-x"]  # its hold has ended
         assert not member.may_replace(gone)
         assert member.may_replace(
@@ -140,28 +140,28 @@
 
 
 def test_a_claim_from_an_old_picture_fails() -> None:
-    """The grant is guarded on the key that proves the old owner's right ended."""
+    """The grant is guarded on the key that proves the old shard leader's right ended."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
+        await world.until(lambda: world.shard_leader() is not None)
         await asyncio.sleep(8)
-        owner = world.owner()
-        assert owner is not None
-        other = next(name for name in world.nodes if name != owner)
-        member = world.parts[other].member
-        # It believes, wrongly, that the owner is gone and that it leads itself.
-        leader = world.state.keys["c/leader"]
-        world.state.keys["c/leader"] = (leader[0], leader[1], None)
-        del member.cluster.members[owner]
-        before = world.state.keys["c/block/0"]
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        other = next(name for name in world.nodes if name != shard_leader)
+        member = world.parts[other].membership
+        # It believes, wrongly, that the shard leader is gone and that it leads itself.
+        leader = world.store.keys["c/leader"]
+        world.store.keys["c/leader"] = (leader[0], leader[1], None)
+        del member.cluster.members[shard_leader]
+        before = world.store.keys["c/block/0"]
         try:
-            await world.parts[other].leading._grant(block_key(0))
+            await world.parts[other].election._grant(shard_key(0))
         except Exception as fault:
-            assert f"c/member/{owner}" in str(fault)
-        assert world.state.keys["c/block/0"] == before
-        assert world.owner() == owner
+            assert f"c/member/{shard_leader}" in str(fault)
+        assert world.store.keys["c/block/0"] == before
+        assert world.shard_leader() == shard_leader
 
     play(story)
 
@@ -169,11 +169,11 @@
 def test_a_restarted_owner_replaces_itself_at_once() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(4, 20.0)
-        world.crash(owner)
+        shard_leader = await world.busy(4, 20.0)
+        world.crash(shard_leader)
         await asyncio.sleep(0.3)
-        world.boot(owner)
-        await world.until(lambda: world.owner() is not None, seconds=1.5)
+        world.boot(shard_leader)
+        await world.until(lambda: world.shard_leader() is not None, seconds=1.5)
         await world.until_done("req-000001")
         world.verdict()
 
@@ -181,20 +181,20 @@
 
 
 def test_promises_do_not_bring_back_a_right_that_has_ended() -> None:
-    """An owner cut off alone was replaced; an outage for all came next, and the promises it then
-    got made it act again beside its successor."""
+    """A shard leader cut off alone was replaced; an outage for all came next, and the promises it
+    then got made it act again beside its successor."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
         first = await world.busy(4, 60.0)
-        world.net.cut(world.host(first), world.state.HOST)
-        await world.until(lambda: world.owner() not in (None, first), seconds=15)
-        world.state.down = True
+        world.net.cut(world.host(first), world.store.HOST)
+        await world.until(lambda: world.shard_leader() not in (None, first), seconds=15)
+        world.store.down = True
         for _ in range(80):
             await asyncio.sleep(0.1)
-            assert world.owner() != first  # and never two
-        world.state.outage_over()
-        world.net.heal(world.host(first), world.state.HOST)
+            assert world.shard_leader() != first  # and never two
+        world.store.outage_over()
+        world.net.heal(world.host(first), world.store.HOST)
         await world.until_done("req-000001")
         world.verdict()
 
@@ -205,10 +205,10 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
+        await world.until(lambda: world.shard_leader() is not None)
         await asyncio.sleep(2)
-        world.net.cut(world.host("node-2"), world.state.HOST)
-        await asyncio.sleep(world.parts["node-2"].member.ttl_us / 1e6 + 0.1)
+        world.net.cut(world.host("node-2"), world.store.HOST)
+        await asyncio.sleep(world.parts["node-2"].membership.ttl_us / 1e6 + 0.1)
         assert (await world.ask("node-2", "GET", "/healthz"))[0] == 503
         assert (await world.ask("node-0", "GET", "/healthz"))[0] == 200
 
@@ -219,8 +219,8 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
-        world.state.down = True
+        await world.until(lambda: world.shard_leader() is not None)
+        world.store.down = True
         for name in world.nodes:
             world.crash(name)
         await asyncio.sleep(1)
@@ -230,8 +230,8 @@
         for name in world.nodes:
             assert (await world.ask(name, "GET", "/healthz"))[0] == 200
             assert (await world.ask(name, "GET", "/api/jobs/req-000001"))[0] == 503
-        world.state.outage_over()
-        await world.until(lambda: world.owner() is not None)
+        world.store.outage_over()
+        await world.until(lambda: world.shard_leader() is not None)
         assert await world.submit(world.job(1)) == 201
         await world.until_done("req-000001")
         world.verdict()
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -13,12 +13,12 @@
 
 from basaltlead import cli
 from basaltlead.config.settings import SettingsError
-from basaltlead.core.model import US
+from basaltlead.core.entities import US
 from basaltlead.duties.history import PAGES, HistoryPage, event
 from basaltlead.duties.model import Duty
 from basaltlead.operators import client
 from basaltlead.operators.audit_export import export
-from basaltlead.scaling.quiet_budget import HOUR_US, QuietAllowance, StoredQuiet
+from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuiet
 from basaltlead.scaling.quiet_times import QuietTime, QuietTimes, read
 from basaltlead.wire.peers import (
     DutiesAnswer,
@@ -55,13 +55,13 @@
         assert all("400" in one.refused for one in told.intents)
         pages = [await client._ask(one, HistoryQuestion("")) for one in addresses]
         assert pages[0] == pages[1] == pages[2]
-        world.state.down = True
+        world.store.down = True
         for wait_s in (1, 20):  # unanswered at first, then known to be away
             await asyncio.sleep(wait_s)
             for address in addresses:
                 assert (await client._ask(address, DutiesQuestion())).unknown
                 assert (await client._ask(address, HistoryQuestion(""))).unknown
-        world.state.outage_over()
+        world.store.outage_over()
 
     play(story)
 
@@ -93,9 +93,12 @@
     config: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     answer = DutiesAnswer(
-        "", True, [HeldDuty("rent", "node-2", 7, 5 * SECOND), HeldDuty("return", "", 0, 0)],
-        [OpenIntent("rent", "h-1-1", 3, 5 * SECOND, "cloud: 400")], 1,
-    )  # fmt: skip
+        "",
+        True,
+        [HeldDuty("rent", "node-2", 7, 5 * SECOND), HeldDuty("return", "", 0, 0)],
+        [OpenIntent("rent", "h-1-1", 3, 5 * SECOND, "cloud: 400")],
+        1,
+    )
     asked = _answering(answer, monkeypatch)
     assert cli.main(["duties", "--config", config]) == 0
     shown = capsys.readouterr().out
@@ -118,9 +121,14 @@
     ],
 )
 def test_what_goes_wrong_has_a_text_and_an_exit_status(
-    answer: Any, arguments: list[str], status: int, text: str, config: str,
-    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str],
-) -> None:  # fmt: skip
+    answer: Any,
+    arguments: list[str],
+    status: int,
+    text: str,
+    config: str,
+    monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     _answering(answer, monkeypatch)
     assert cli.main(["duties", "--config", config, *arguments]) == status
     assert text in capsys.readouterr().err
@@ -166,12 +174,12 @@
 
     async def story(loop: Loop) -> None:
         world = await _started(loop)
-        name = world.holder(Duty.RETURN)
+        name = world.holder(Duty.SCALE_IN)
         assert name is not None
-        history = world.parts[name].duties.holders[Duty.RETURN].history
+        history = world.parts[name].duties.holders[Duty.SCALE_IN].history
         for number in range(400):
             await history.commit([], [], event("returned", f"1-{number}", SECOND, ["m-1"]))
-        rows = [v[0] for k, v in world.state.keys.items() if k.startswith("history/return/")]
+        rows = [v[0] for k, v in world.store.keys.items() if k.startswith("history/return/")]
         assert len(rows) == 3
         newest = max(rows, key=lambda page: page["number"])
         assert newest["first"] + len(newest["events"]) == 401  # with the taking up
@@ -243,9 +251,12 @@
     ],
 )
 def test_a_bad_calendar_is_refused_by_line_and_field(
-    changes: dict[str, str], text: str, config: str, tmp_path: Path,
+    changes: dict[str, str],
+    text: str,
+    config: str,
+    tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
-) -> None:  # fmt: skip
+) -> None:
     path = _calendar(tmp_path, **changes)
     operator = tmp_path / "operator.yaml"
     operator.write_text(f"quiet: {{calendar: {path}, most_cost: 2.0}}\n")
@@ -280,7 +291,7 @@
     async def story(loop: Loop) -> None:
         spent, now = 0.0, 0
         for _ in range(40):
-            allowance = QuietAllowance(2.0, reserve)
+            allowance = QuietBudget(2.0, reserve)
             if stored:
                 allowance.load(stored[-1])
             for _ in range(200):
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -71,12 +71,12 @@
 DUTY_KINDS = 3  # and on days with duties
 
 
-async def _trouble(world: World, chance: random.Random, kinds: int = KINDS) -> None:
+async def _trouble(world: World, chance: random.Random, fault_kinds: int = KINDS) -> None:
     """One trouble after the other, often before the last one is over."""
     pending: list[asyncio.Task[None]] = []
 
-    async def cut(name: str, state: bool, seconds: float) -> None:
-        world.isolate(name, state=state, cloud=chance.random() < 0.5)
+    async def cut(name: str, store: bool, seconds: float) -> None:
+        world.isolate(name, store=store, cloud=chance.random() < 0.5)
         await asyncio.sleep(seconds)
         world.rejoin(name, deliver=chance.random() < 0.7)
 
@@ -88,14 +88,14 @@
                 world.boot(name)
 
     async def outage(seconds: float) -> None:
-        world.state.down = True
+        world.store.down = True
         await asyncio.sleep(seconds)
-        world.state.outage_over()
+        world.store.outage_over()
 
     async def refused(name: str, seconds: float) -> None:
-        world.net.cut(world.host(name), world.state.HOST)
+        world.net.cut(world.host(name), world.store.HOST)
         await asyncio.sleep(seconds)
-        world.net.heal(world.host(name), world.state.HOST, deliver=chance.random() < 0.5)
+        world.net.heal(world.host(name), world.store.HOST, deliver=chance.random() < 0.5)
 
     async def ail(what: str, seconds: float) -> None:
         """A machine hangs, or is deaf, for a while."""
@@ -117,9 +117,9 @@
         world.net.slow.pop(world.host(name), None)
 
     async def slow_state(seconds: float) -> None:
-        world.state.slowness = 10.0
+        world.store.slowness = 10.0
         await asyncio.sleep(seconds)
-        world.state.slowness = 1.0
+        world.store.slowness = 1.0
 
     async def peers_refuse(seconds: float) -> None:
         internal = {(world.host(name), 8081) for name in world.nodes}
@@ -128,22 +128,22 @@
         world.net.refusing -= internal
 
     async def refused_alone(name: str, seconds: float) -> None:
-        world.state.refused.add(world.host(name))
+        world.store.refused.add(world.host(name))
         await asyncio.sleep(seconds)
-        world.state.refused.discard(world.host(name))
+        world.store.refused.discard(world.host(name))
 
     async def late_writes(seconds: float) -> None:
-        world.state.late_writes = chance.choice([0.1, 0.4])
+        world.store.late_writes = chance.choice([0.1, 0.4])
         await asyncio.sleep(seconds)
-        world.state.late_writes = 0.0
+        world.store.late_writes = 0.0
 
     async def refused_then_all(name: str) -> None:
-        world.state.refused.add(world.host(name))
+        world.store.refused.add(world.host(name))
         await asyncio.sleep(chance.uniform(0.5, 3))
-        world.state.down = True
+        world.store.down = True
         await asyncio.sleep(chance.choice([5.0, 25.0]))
-        world.state.refused.discard(world.host(name))
-        world.state.outage_over()
+        world.store.refused.discard(world.host(name))
+        world.store.outage_over()
 
     async def stand_still(name: str, seconds: float) -> None:
         world.freeze(name)
@@ -182,84 +182,86 @@
         await asyncio.sleep(chance.uniform(1, 8))
         name = chance.choice(world.nodes)
         seconds = chance.choice([0.3, 2.0, 7.0, 15.0])
-        kind = chance.randrange(kinds)
+        fault_kind = chance.randrange(fault_kinds)
         if world.host(name) in world.loop.frozen:
             continue  # nothing else can befall it
-        if kind == 0:
-            work = cut(name, True, seconds)
-        elif kind == 1:
-            work = cut(name, False, seconds)
-        elif kind in (2, 3):
-            work = crash(name, min(seconds, 3.0))
-        elif kind == 4:
-            work = outage(seconds)
-        elif kind == 5:
-            work = refused(name, seconds)
-        elif kind == 6:
-            work = ail("hung", seconds)
-        elif kind == 7:
-            work = ail("deaf", seconds)
-        elif kind == 8:
-            work = estranged(name, seconds)
-        elif kind == 9:  # back at once, with the last message still on its way
-            work = crash(name, chance.uniform(0.05, 0.4))
-        elif kind == 10 and world.host(name) not in world.net.slow:
-            work = slow(name, seconds)
-        elif kind == 11:
-            work = slow_state(seconds)
-        elif kind == 12:
-            work = peers_refuse(seconds)
-        elif kind == 13:
-            work = stand_still(name, seconds)
-        elif kind == 14:
-            work = hang_many(seconds)
-        elif kind == 15:
-            work = die_many()
-        elif kind == 16:
-            work = refused_alone(name, seconds)
-        elif kind == 17:
-            work = late_writes(seconds)
-        elif kind == 18:
-            work = refused_then_all(name)
-        elif kind == 19:
-            work = ail("mute", seconds)
-        elif kind == 21:
-            work = cloud_trouble(seconds)
-        elif kind == 22:
-            work = slow_cloud(seconds)
-        elif kind == 23:  # whoever holds a duty, and long enough to be replaced in all that it has
-            work = stand_still(world.holder(chance.choice(list(Duty))) or name, 60.0)
+        if fault_kind == 0:
+            fault = cut(name, True, seconds)
+        elif fault_kind == 1:
+            fault = cut(name, False, seconds)
+        elif fault_kind in (2, 3):
+            fault = crash(name, min(seconds, 3.0))
+        elif fault_kind == 4:
+            fault = outage(seconds)
+        elif fault_kind == 5:
+            fault = refused(name, seconds)
+        elif fault_kind == 6:
+            fault = ail("hung", seconds)
+        elif fault_kind == 7:
+            fault = ail("deaf", seconds)
+        elif fault_kind == 8:
+            fault = estranged(name, seconds)
+        elif fault_kind == 9:  # back at once, with the last message still on its way
+            fault = crash(name, chance.uniform(0.05, 0.4))
+        elif fault_kind == 10 and world.host(name) not in world.net.slow:
+            fault = slow(name, seconds)
+        elif fault_kind == 11:
+            fault = slow_state(seconds)
+        elif fault_kind == 12:
+            fault = peers_refuse(seconds)
+        elif fault_kind == 13:
+            fault = stand_still(name, seconds)
+        elif fault_kind == 14:
+            fault = hang_many(seconds)
+        elif fault_kind == 15:
+            fault = die_many()
+        elif fault_kind == 16:
+            fault = refused_alone(name, seconds)
+        elif fault_kind == 17:
+            fault = late_writes(seconds)
+        elif fault_kind == 18:
+            fault = refused_then_all(name)
+        elif fault_kind == 19:
+            fault = ail("mute", seconds)
+        elif fault_kind == 21:
+            fault = cloud_trouble(seconds)
+        elif fault_kind == 22:
+            fault = slow_cloud(seconds)
+        elif (
+            fault_kind == 23
+        ):  # whoever holds a duty, and long enough to be replaced in all that it has
+            fault = stand_still(world.holder(chance.choice(list(Duty))) or name, 60.0)
         else:
-            work = die()
-        pending.append(asyncio.get_running_loop().create_task(work))
+            fault = die()
+        pending.append(asyncio.get_running_loop().create_task(fault))
 
 
 @pytest.mark.parametrize("blocks", [1, 3])
 @pytest.mark.parametrize("seed", range(10))
-def test_no_rule_breaks_on_a_day_of_random_failures(seed: int, blocks: int) -> None:
-    _play_day(seed, blocks, machines=12, count=25)
+def test_no_rule_breaks_on_a_day_of_random_failures(seed: int, shards: int) -> None:
+    _play_day(seed, shards, machines=12, count=25)
 
 
 @pytest.mark.parametrize("seed", range(100, 103))
 def test_no_rule_breaks_on_such_a_day_of_a_large_fleet(seed: int) -> None:
-    _play_day(seed, blocks=1, machines=70, count=70)
+    _play_day(seed, shards=1, machines=70, count=70)
 
 
 @pytest.mark.parametrize("seed", range(200, 208))
 def test_no_rule_breaks_with_services_across_an_upgrade(seed: int) -> None:
-    """Both versions at work, and limits that fall some time after the last old process."""
-    _play_day(seed, blocks=1 if seed % 4 else 3, machines=12, count=15, standing=8)
+    """Both versions at fault, and limits that fall some time after the last old process."""
+    _play_day(seed, shards=1 if seed % 4 else 3, machines=12, count=15, standing=8)
 
 
 @pytest.mark.parametrize("blocks", [1, 3])
 @pytest.mark.parametrize("seed", range(300, 306))
-def test_no_rule_breaks_and_no_stale_holder_acts_with_duties(seed: int, blocks: int) -> None:
-    _play_day(seed, blocks, machines=12, count=25, duties=True)
+def test_no_rule_breaks_and_no_stale_holder_acts_with_duties(seed: int, shards: int) -> None:
+    _play_day(seed, shards, machines=12, count=25, duties=True)
 
 
 @pytest.mark.parametrize("seed", range(400, 403))
 def test_no_rule_breaks_across_an_upgrade_to_duties(seed: int) -> None:
-    _play_day(seed, blocks=1, machines=12, count=15, standing=8, duties=True)
+    _play_day(seed, shards=1, machines=12, count=15, standing=8, duties=True)
 
 
 async def _second_half(world: World, chance: random.Random, services: int) -> None:
@@ -273,26 +275,26 @@
 
 
 def _play_day(
-    seed: int, blocks: int, machines: int, count: int, standing: int = 0, duties: bool = False
+    seed: int, shards: int, machines: int, count: int, standing: int = 0, duties: bool = False
 ) -> None:
     async def story(loop: Loop) -> None:
         chance = random.Random(seed)
         limits = {"blue": machines / 2} if seed % 2 else None
         later = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0} if standing else None
-        operator = {"blocks": blocks, "duties": duties}
+        operator = {"blocks": shards, "duties": duties}
         world = World(loop, seed, limits=limits, operator=operator, later=later)
         world.old = set(world.nodes) if standing else set()
         world.copies = 0.1
         world.cloud.capacity = machines
         await world.start()
-        kinds = KINDS + DUTY_KINDS * duties
-        trouble = loop.create_task(_trouble(world, chance, kinds))
+        fault_kinds = KINDS + DUTY_KINDS * duties
+        trouble = loop.create_task(_trouble(world, chance, fault_kinds))
         users = loop.create_task(_users(world, chance, count))
         rest = loop.create_task(_second_half(world, chance, standing))
         while not (users.done() and rest.done()):
             world.rule_checker.check()
-            for block in range(blocks):
-                world.owner(block)  # never two
+            for shard in range(shards):
+                world.shard_leader(shard)  # never two
             for duty in Duty:
                 world.holder(duty)
             await asyncio.sleep(0.5)
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from basaltlead.core import demand
-from basaltlead.core.market import Market, Promises, Terms
-from basaltlead.core.model import RANKS, STANDING_US, US, Shape, Work
+from basaltlead.core.entities import RANKS, STANDING_US, US, JobState, Shape
+from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.core.planning import plan
 from basaltlead.storage.result_rows import ResultLayout, load_results
 from tests.test_shard import TIMING, Story, a_job, listed
@@ -13,27 +13,32 @@
 TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
-def _service(story: Story, number: int = 1, **fields: object) -> Work:
+def _service(story: Story, number: int = 1, **fields: object) -> JobState:
     values: dict[str, object] = {
-        "shape": Shape.SERVICE, "rank": PRODUCTION, "guess_us": 0, "spot": False,
-    }  # fmt: skip
+        "shape": Shape.SERVICE,
+        "rank": PRODUCTION,
+        "guess_us": 0,
+        "spot": False,
+    }
     return story.submit(number, **(values | fields))
 
 
-def _run(story: Story, work: Work) -> None:
+def _run(story: Story, job_state: JobState) -> None:
     """All its replicas are started and reported as running."""
-    for machine in {attempt.machine.name: None for attempt in work.live.values()}:
-        attempts = story.block.machines[machine].attempts
-        story.beat(machine, *(listed(a, "running") for a in attempts.values() if a.there))
-        story.beat(machine, *(listed(a, "running") for a in attempts.values()))
+    for machine in {attempt.machine.name: None for attempt in job_state.live.values()}:
+        attempts = story.shard.machines[machine].attempts
+        story.heartbeat(
+            machine, *(listed(a, "running") for a in attempts.values() if a.may_be_on_machine)
+        )
+        story.heartbeat(machine, *(listed(a, "running") for a in attempts.values()))
 
 
 def test_results_that_somebody_stored_of_a_service_are_not_believed() -> None:
     """The version before took services for arrays: a replica that had ended was a result."""
-    work = Work(a_job(shape=Shape.SERVICE, tasks=3), 5, 0, 0)
+    job_state = JobState(a_job(shape=Shape.SERVICE, tasks=3), 5, 0, 0)
     row = msgspec.Raw(b'{"done":"Bw==","count":3,"running":0}')
-    load_results(work, 0, 0, 0, row, ResultLayout(8192))
-    assert work.done_count == 0 and work.remaining == 3 and not work.complete
+    load_results(job_state, 0, 0, 0, row, ResultLayout(8192))
+    assert job_state.done_count == 0 and job_state.remaining == 3 and not job_state.complete
 
 
 def test_a_service_that_only_fails_stops_nobody_elses_work() -> None:
@@ -43,32 +48,33 @@
     service = _service(story, 2)
     for _ in range(2):  # two tries, on two machines, for each of which somebody gives way
         (attempt,) = service.live.values()
-        (victim,) = (a for a in others.live.values() if a.grace is not None)
+        (victim,) = (a for a in others.live.values() if a.stop_grace_s is not None)
         name = attempt.machine.name
         staying = [
-            listed(a, "running") for a in others.live.values()
-            if a.machine.name == name and a.grace is None
-        ]  # fmt: skip
-        story.beat(name, *staying, listed(victim, "ended", "stopped"))
-        story.beat(name, *staying, listed(attempt, "running"))
-        story.beat(name, *staying, listed(attempt, "ended", "error"))
-        plan(story.block, story.now)
+            listed(a, "running")
+            for a in others.live.values()
+            if a.machine.name == name and a.stop_grace_s is None
+        ]
+        story.heartbeat(name, *staying, listed(victim, "ended", "stopped"))
+        story.heartbeat(name, *staying, listed(attempt, "running"))
+        story.heartbeat(name, *staying, listed(attempt, "ended", "error"))
+        plan(story.shard, story.now)
     for _ in range(40):
         story.now += US
         _run(story, others)
-        plan(story.block, story.now)
+        plan(story.shard, story.now)
         assert not service.live
-        assert all(attempt.grace is None for attempt in others.live.values())
+        assert all(attempt.stop_grace_s is None for attempt in others.live.values())
 
 
 def test_a_replica_is_never_about_to_end() -> None:
     """With a guess of 0 the machine under it seemed to be the first to fall empty."""
     story = Story(machines=1)
     service = _service(story)
-    assert story.block.guess_us(service) == STANDING_US
+    assert story.shard.guess_us(service) == STANDING_US
     _run(story, service)
     story.now += 2 * STANDING_US
-    assert story.block.guess_us(service) == STANDING_US
+    assert story.shard.guess_us(service) == STANDING_US
     assert service.ran_count == 0
 
 
@@ -77,18 +83,18 @@
     service = _service(story)
     _run(story, service)
     (attempt,) = service.live.values()
-    attempt.machine.recall_at = story.now + 20 * US
-    plan(story.block, story.now)
-    story.block.tick(story.now)
-    assert attempt.grace is None  # it runs for as long as it can
+    attempt.machine.preemption_at = story.now + 20 * US
+    plan(story.shard, story.now)
+    story.shard.advance(story.now)
+    assert attempt.stop_grace_s is None  # it runs for as long as it can
     for _ in range(16):
         story.now += US
         attempt.machine.answered_at = story.now
-        story.block.tick(story.now)
-        assert attempt.grace is None
-    story.now += 20 * US - 16 * US - 2 * TIMING.report_us - US
-    story.block.tick(story.now)
-    assert attempt.grace == 0.0
+        story.shard.advance(story.now)
+        assert attempt.stop_grace_s is None
+    story.now += 20 * US - 16 * US - 2 * TIMING.heartbeat_interval_us - US
+    story.shard.advance(story.now)
+    assert attempt.stop_grace_s == 0.0
 
 
 def test_a_replica_moves_at_once_if_there_is_a_place_and_starts_only_when_it_is_gone() -> None:
@@ -97,40 +103,40 @@
     _run(story, service)
     (attempt,) = service.live.values()
     story.add("m-1")
-    story.beat("m-1")
-    attempt.machine.recall_at = story.now + 20 * US
-    plan(story.block, story.now)
-    assert attempt.grace == 0.0
-    plan(story.block, story.now)
+    story.heartbeat("m-1")
+    attempt.machine.preemption_at = story.now + 20 * US
+    plan(story.shard, story.now)
+    assert attempt.stop_grace_s == 0.0
+    plan(story.shard, story.now)
     assert list(service.live.values()) == [attempt]
-    assert story.beat("m-1") == []
-    story.beat("m-0", listed(attempt, "ended", "stopped"))
-    attempt.machine.recall_at = story.now + 19 * US
-    plan(story.block, story.now)
-    assert story.beat("m-1") == [("run", "req-000001/0")]
+    assert story.heartbeat("m-1") == []
+    story.heartbeat("m-0", listed(attempt, "ended", "stopped"))
+    attempt.machine.preemption_at = story.now + 19 * US
+    plan(story.shard, story.now)
+    assert story.heartbeat("m-1") == [("run", "req-000001/0")]
 
 
 def test_what_replicas_hold_is_not_for_sale_and_their_bids_follow_what_runs() -> None:
     story = Story(machines=2)
     service = _service(story, tasks=4)
     array = story.submit(2, tasks=20)
-    market = Market(TERMS, ["red"], Promises())
-    market.share(story.block, story.now)
+    market = Market(TERMS, ["red"], ServiceLevelObjectives())
+    market.share(story.shard, story.now)
     assert service.slots is None
     assert array.slots == 4  # of 8 CPUs
     for _ in range(4):  # nothing runs yet: the bid rises round by round
         story.now += 10 * US
-        market.round(story.block, story.now)
+        market.round(story.shard, story.now)
     risen = service.bid
     assert risen > TERMS.reserve
     _run(story, service)
     for _ in range(8):
         story.now += 10 * US
-        market.round(story.block, story.now)
+        market.round(story.shard, story.now)
     settled = service.bid
     for _ in range(8):
         story.now += 10 * US
-        market.round(story.block, story.now)
+        market.round(story.shard, story.now)
     assert service.bid == settled  # all that should run runs
 
 
@@ -138,16 +144,16 @@
     """Whatever their class is promised: a due time of theirs would lie in the past for good."""
     story = Story(machines=0)
     service = _service(story, tasks=5)
-    promises = Promises(starts={"reports": [4 * US]})
-    market = Market(TERMS, ["red"], promises)
-    works = list(story.block.works.values())
+    objectives = ServiceLevelObjectives(starts={"reports": [4 * US]})
+    market = Market(TERMS, ["red"], objectives)
+    job_states = list(story.shard.job_states.values())
     story.now += 500 * US
-    loads = demand.loads_of(works, story.now, story.block.guess_us)
+    loads = demand.loads_of(job_states, story.now, story.shard.guess_us)
     assert loads == {}
-    wanted = demand.counts(works, story.now, market.due, story.block.guess_us, 5 * US, loads)
+    wanted = demand.counts(job_states, story.now, market.due, story.shard.guess_us, 5 * US, loads)
     assert wanted == {service.job.ref: 5}
     assert market.due(service, story.now) == demand.NO_DUE
-    assert market.promised(service, story.now)
+    assert market.has_objective(service, story.now)
 
 
 def test_a_replica_that_had_run_for_long_blames_nobody_and_one_that_had_not_does() -> None:
@@ -156,13 +162,13 @@
     _run(story, proven)
     (attempt,) = proven.live.values()
     story.now += 40 * US
-    story.beat(attempt.machine.name, listed(attempt, "ended", "error"))
-    assert proven.proven and not attempt.machine.faults
-    plan(story.block, story.now)
+    story.heartbeat(attempt.machine.name, listed(attempt, "ended", "error"))
+    assert proven.proven and not attempt.machine.failed_jobs
+    plan(story.shard, story.now)
     assert proven.live  # at once
     (again,) = proven.live.values()
     story.now += US
-    story.beat(again.machine.name)
-    story.beat(again.machine.name, listed(again, "running"))
-    story.beat(again.machine.name, listed(again, "ended", "error"))
-    assert again.machine.faults == {"req-000001"}
+    story.heartbeat(again.machine.name)
+    story.heartbeat(again.machine.name, listed(again, "running"))
+    story.heartbeat(again.machine.name, listed(again, "ended", "error"))
+    assert again.machine.failed_jobs == {"req-000001"}
--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -10,13 +10,13 @@
 
 
 async def _served(world: World, **fields: Any) -> str:
-    """Start, and have a service of job 1 run with all its replicas; who owns the block."""
+    """Start, and have a service of job 1 run with all its replicas; who owns the shard."""
     await world.start()
     assert await world.submit(world.service(1, **fields)) == 201
     await world.until_served("req-000001")
-    owner = world.owner()
-    assert owner is not None
-    return owner
+    shard_leader = world.shard_leader()
+    assert shard_leader is not None
+    return shard_leader
 
 
 def _hosts(world: World, ref: str) -> list[str]:
@@ -56,7 +56,7 @@
             await world.poll("req-000001")
             await asyncio.sleep(2)
         assert world.rule_checker.starts >= 12  # each of three is started anew every 40 s
-        assert not any(key.startswith("over/") for key in world.state.keys)
+        assert not any(key.startswith("over/") for key in world.store.keys)
         await world.until_served("req-000001")
         world.verdict()
 
@@ -74,9 +74,9 @@
         await world.submit(world.service(1, RunS=0.5, EndsWith=cause))
         await asyncio.sleep(120)
         assert world.rule_checker.starts_of("req-000001") < 40  # of 3 replicas, for two minutes
-        owner = world.owner()
-        assert owner is not None
-        machines = world.parts[owner].owners[0].block.machines.values()
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        machines = world.parts[shard_leader].shard_leaders[0].shard.machines.values()
         assert not any(machine.draining for machine in machines)
         assert await world.cancel("req-000001") == "withdrawn"
         await asyncio.sleep(3)
@@ -138,12 +138,12 @@
 def test_the_owner_crashes_and_replicas_run_on_without_a_new_start() -> None:
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await _served(world)
-        world.crash(owner)
-        await world.until(lambda: world.owner() not in (None, owner))
+        shard_leader = await _served(world)
+        world.crash(shard_leader)
+        await world.until(lambda: world.shard_leader() not in (None, shard_leader))
         await asyncio.sleep(5)
         assert world.rule_checker.starts == 3
-        world.boot(owner)
+        world.boot(shard_leader)
         assert await world.cancel("req-000001") == "withdrawn"
         await asyncio.sleep(3)
         assert world.on("req-000001") == []
@@ -153,18 +153,18 @@
 
 
 def test_a_change_of_owner_while_a_replicas_machine_can_not_be_asked() -> None:
-    """The next owner may not start the replica before the lease of its machine is over."""
+    """The next shard leader may not start the replica before the lease of its machine is over."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await _served(world)
+        shard_leader = await _served(world)
         machine = world.cloud.machines[_hosts(world, "req-000001")[0]]
         machine.hung = True
-        world.crash(owner)
-        await world.until(lambda: world.owner() not in (None, owner))
+        world.crash(shard_leader)
+        await world.until(lambda: world.shard_leader() not in (None, shard_leader))
         await asyncio.sleep(FakeWorker.LEASE / 2)
         machine.hung = False
-        world.boot(owner)
+        world.boot(shard_leader)
         await world.until_served("req-000001", seconds=FakeWorker.LEASE + 10)
         world.verdict()
 
@@ -258,7 +258,7 @@
         await world.start()
         await asyncio.sleep(3)
         assert await world.submit(world.service(1, **fields)) == status
-        assert not world.state.oversized
+        assert not world.store.oversized
 
     play(story)
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -11,7 +11,7 @@
 def _machine(world: World, number: int, zone: str = "a", spot: bool = False) -> FakeWorker:
     worker = FakeWorker(world, f"m-{number:06d}", FakeCloud.TYPES[0], zone, spot)
     worker.up = True
-    worker.work.cancel()
+    worker.task.cancel()
     world.cloud.machines[worker.name] = worker
     return worker
 
@@ -133,15 +133,25 @@
 @pytest.mark.parametrize(
     ("what", "rule"),
     [
-        (_ran_twice, "ran_twice"), (_quota, "quota"), (_zone, "wrong_place"),
-        (_spot, "wrong_place"), (_one_zone, "wrong_place"), (_apart, "wrong_place"),
-        (_ran_cancelled, "ran_cancelled"), (_not_found, "forgotten"),
-        (_refused_later, "forgotten"), (_never_answered, "forgotten"), (_invented, "invented"),
-        (_not_done, "not_done"), (_back_from_done, "went_back"),
-        (_cancelled_by_nobody, "went_back"), (_bad_job, "bad job"), (_no_field, "bad job"),
+        (_ran_twice, "ran_twice"),
+        (_quota, "quota"),
+        (_zone, "wrong_place"),
+        (_spot, "wrong_place"),
+        (_one_zone, "wrong_place"),
+        (_apart, "wrong_place"),
+        (_ran_cancelled, "ran_cancelled"),
+        (_not_found, "forgotten"),
+        (_refused_later, "forgotten"),
+        (_never_answered, "forgotten"),
+        (_invented, "invented"),
+        (_not_done, "not_done"),
+        (_back_from_done, "went_back"),
+        (_cancelled_by_nobody, "went_back"),
+        (_bad_job, "bad job"),
+        (_no_field, "bad job"),
         (_waited, "waited"),
     ],
-)  # fmt: skip
+)
 def test_the_rule_checker_catches(what: Callable[[World], None], rule: str) -> None:
     async def story(loop: Loop) -> None:
         world = World(loop, limits={"red": 5} if what is _quota else None)
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -8,9 +8,9 @@
 import pytest
 
 from basaltlead.core import demand, fleet_sizing, planning
+from basaltlead.core.entities import US, JobState, Machine, Resources, Shape
 from basaltlead.core.fleet_sizing import Demand, Offer
-from basaltlead.core.model import US, Machine, Room, Shape, Work
-from basaltlead.core.shard_state import Limits
+from basaltlead.core.shard_state import TeamQuota
 from tests.test_shard import KIND, TIMING, Story, a_job, listed
 
 MACHINES = 930
@@ -21,8 +21,8 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *places: tuple[Any, str]) -> None:
         self.calls = 0
-        for owner, name in places:
-            monkeypatch.setattr(owner, name, self._counting(getattr(owner, name)))
+        for shard_leader, name in places:
+            monkeypatch.setattr(shard_leader, name, self._counting(getattr(shard_leader, name)))
 
     def _counting(self, inner: Callable[..., Any]) -> Callable[..., Any]:
         def counting(*args: Any, **kwargs: Any) -> Any:
@@ -33,10 +33,10 @@
 
 
 def _fleet() -> Story:
-    story = Story(machines=0, limits={"red": Limits()})
+    story = Story(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
         story.add(f"m-{number:03d}", zone="abc"[number % 3])
-        story.beat(f"m-{number:03d}")
+        story.heartbeat(f"m-{number:03d}")
     return story
 
 
@@ -44,11 +44,18 @@
     story = _fleet()
     for number in range(jobs):
         gang = number % 5 == 0
-        story.block.add_job(
-            a_job(number, tasks=3 if gang else tasks, shape=Shape.GANG if gang else Shape.ARRAY,
-                  cpus=3.0 if gang else 1.0, one_zone=gang, rank=2 if gang else number % 2),
-            200, story.now,
-        )  # fmt: skip
+        story.shard.add_job(
+            a_job(
+                number,
+                tasks=3 if gang else tasks,
+                shape=Shape.GANG if gang else Shape.ARRAY,
+                cpus=3.0 if gang else 1.0,
+                one_zone=gang,
+                rank=2 if gang else number % 2,
+            ),
+            200,
+            story.now,
+        )
     return story
 
 
@@ -56,13 +63,15 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full()
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (planning.placement, "tier"))
-    planning.plan(story.block, story.now)
-    placed = sum(len(work.live) for work in story.block.works.values())
+    count = Counted(
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
+    )
+    planning.plan(story.shard, story.now)
+    placed = sum(len(job_state.live) for job_state in story.shard.job_states.values())
     assert placed > MACHINES
     assert count.calls < 12 * MACHINES * 8 + 6 * placed  # gangs, and the arrays that found room
     count.calls = 0
-    planning.plan(story.block, story.now)  # full: those that ask for the same are passed over
+    planning.plan(story.shard, story.now)  # full: those that ask for the same are passed over
     assert count.calls < 16 * MACHINES
 
 
@@ -71,28 +80,33 @@
     story = _fleet()
     for number in range(100):
         job = a_job(number, tasks=100, cpus=1.0 + number / 1000, memory_gb=0.1)
-        story.block.add_job(job, 200, story.now)
-    planning.plan(story.block, story.now)
+        story.shard.add_job(job, 200, story.now)
+    planning.plan(story.shard, story.now)
     return story
 
 
 def test_jobs_that_wait_for_a_full_fleet_cost_a_plan_next_to_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Passing over all machines for each of them, an owner of 600 spent a fifth of a core so."""
+    """Passing over all machines for each of them, a shard leader of 600 spent a fifth of a core
+    so."""
     story = _full_of_arrays()
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (planning.placement, "tier"))
-    planning.plan(story.block, story.now)
+    count = Counted(
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
+    )
+    planning.plan(story.shard, story.now)
     assert count.calls < MACHINES
 
 
 def test_sizing_a_full_fleet_looks_at_full_machines_once(monkeypatch: pytest.MonkeyPatch) -> None:
     story = _full_of_arrays()
-    works = list(story.block.works.values())
-    running = sum(len(work.live) for work in works)
-    needs = [Demand(work, work.remaining) for work in works]
-    machines = list(story.block.machines.values())
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (fleet_sizing, "allowed"))
+    job_states = list(story.shard.job_states.values())
+    running = sum(len(job_state.live) for job_state in job_states)
+    needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
+    machines = list(story.shard.machines.values())
+    count = Counted(
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+    )
     fleet_sizing.size(needs, [], machines, {"k": KIND}, {}, {}, 12)
     assert running >= 3 * MACHINES
     assert count.calls < running + 2 * MACHINES
@@ -103,43 +117,50 @@
     story = Story(machines=6)
     chance = random.Random(3)
     for number in range(12):
-        work = story.submit(number, tasks=6, cpus=chance.choice([0.7, 1.1, 2.3]), rank=number % 3)
-        work.bid = chance.uniform(0.1, 5.0)
+        job_state = story.submit(
+            number, tasks=6, cpus=chance.choice([0.7, 1.1, 2.3]), rank=number % 3
+        )
+        job_state.bid = chance.uniform(0.1, 5.0)
     for step in range(60):
         story.now += US
         name = f"m-{chance.randrange(6)}"
-        machine = story.block.machines[name]
+        machine = story.shard.machines[name]
         shown = [
             listed(a, chance.choice(["running", "ended"]), "done")
-            for a in list(machine.attempts.values()) if a.there and chance.random() < 0.8
-        ]  # fmt: skip
-        story.beat(name, *shown)
+            for a in list(machine.attempts.values())
+            if a.may_be_on_machine and chance.random() < 0.8
+        ]
+        story.heartbeat(name, *shown)
         if machine.attempts and step % 4 == 0:
-            story.block.stop_softly(chance.choice(list(machine.attempts.values())))
+            story.shard.stop_gracefully(chance.choice(list(machine.attempts.values())))
         if step % 15 == 14:
             story.now += TIMING.lease_expiry_us
-            story.block.tick(story.now)
-        planning.plan(story.block, story.now)
-        for one in story.block.machines.values():
-            staying = [a for a in one.attempts.values() if a.grace is None]
-            assert one.free.cpus == pytest.approx(4.0 - sum(a.work.job.cpus for a in staying))
+            story.shard.advance(story.now)
+        planning.plan(story.shard, story.now)
+        for one in story.shard.machines.values():
+            staying = [a for a in one.attempts.values() if a.stop_grace_s is None]
+            assert one.free.cpus == pytest.approx(4.0 - sum(a.job_state.job.cpus for a in staying))
             assert one.booked == pytest.approx(sum(a.bid for a in staying))
-        for work in story.block.works.values():
-            waiting = work.remaining - sum(not work.is_done(index) for index in work.live)
-            assert work.waiting == waiting
+        for job_state in story.shard.job_states.values():
+            waiting = job_state.remaining - sum(
+                not job_state.is_done(index) for index in job_state.live
+            )
+            assert job_state.waiting == waiting
 
 
 def test_a_waiting_gang_is_tried_once_a_plan_however_many_ask_for_the_same(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full(jobs=4)
-    planning.plan(story.block, story.now)
+    planning.plan(story.shard, story.now)
     for number in range(100, 160):
-        story.block.add_job(
+        story.shard.add_job(
             a_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
         )
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (planning.placement, "tier"))
-    planning.plan(story.block, story.now)
+    count = Counted(
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
+    )
+    planning.plan(story.shard, story.now)
     assert count.calls < 12 * MACHINES
 
 
@@ -147,29 +168,31 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full()
-    planning.plan(story.block, story.now)
-    works = list(story.block.works.values())
-    machines: list[Machine] = list(story.block.machines.values())
-    needs = [Demand(work, work.remaining) for work in works]
+    planning.plan(story.shard, story.now)
+    job_states = list(story.shard.job_states.values())
+    machines: list[Machine] = list(story.shard.machines.values())
+    needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (fleet_sizing, "allowed"))
+    count = Counted(
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+    )
     plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, 12)
-    assert len(plan.hires) == 12
-    assert count.calls < 6 * MACHINES * len(works)
+    assert len(plan.rentals) == 12
+    assert count.calls < 6 * MACHINES * len(job_states)
 
 
 def test_a_job_that_has_waited_a_minute_is_wanted_with_a_task_at_least() -> None:
     """One with a late due time else gets nothing while others are in a hurry."""
     story = Story()
-    late = story.block.add_job(a_job(1, tasks=4, due_us=3000 * US), 200, story.now)
-    hasty = story.block.add_job(a_job(2, tasks=400, due_us=30 * US), 200, story.now)
+    late = story.shard.add_job(a_job(1, tasks=4, due_us=3000 * US), 200, story.now)
+    hasty = story.shard.add_job(a_job(2, tasks=400, due_us=30 * US), 200, story.now)
 
-    def due(work: Work, now: int) -> demand.Due:
-        return demand.Due(work.asked_at + (work.job.due_us or 0))
+    def due(job_state: JobState, now: int) -> demand.Due:
+        return demand.Due(job_state.submitted_at + (job_state.job.due_us or 0))
 
     def wanted() -> dict[str, int]:
-        loads = demand.loads_of([late, hasty], story.now, story.block.guess_us)
-        return demand.counts([late, hasty], story.now, due, story.block.guess_us, 0, loads)
+        loads = demand.loads_of([late, hasty], story.now, story.shard.guess_us)
+        return demand.counts([late, hasty], story.now, due, story.shard.guess_us, 0, loads)
 
     assert wanted()[late.job.ref] == 0
     story.now += 61 * US
