--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -7,11 +7,11 @@
 import pytest
 
 from basaltlead.core import fleet_sizing, planning, replica_placement
+from basaltlead.core.entities import RANKS, US, Machine, Resources, Shape
 from basaltlead.core.fleet_sizing import Demand, Offer
-from basaltlead.core.model import RANKS, US, Machine, Room, Shape
-from basaltlead.core.shard import Block
-from basaltlead.core.shard_state import NAMES_KEPT, BlockState, Limits
-from basaltlead.scaling.autoscaler import FEW_HIRED, HIRED_SHARE, RECORD_S
+from basaltlead.core.shard import Shard
+from basaltlead.core.shard_state import NAMES_KEPT, ShardState, TeamQuota
+from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
 from tests.fakes import World
 from tests.simulation import Loop, play
 from tests.test_scale_hundreds import Counted
@@ -27,27 +27,29 @@
 
 def _full(jobs: int = 160, tasks: int = 100) -> Story:
     """Every machine is full of running tasks of as many jobs as it takes."""
-    story = Story(machines=0, limits={"red": Limits()})
+    story = Story(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
         story.add(_name(number), zone="abc"[number % 3])
-        story.beat(_name(number))
+        story.heartbeat(_name(number))
     for number in range(jobs):
-        story.block.add_job(a_job(number, tasks=tasks, memory_gb=0.1), 200, story.now)
-    planning.plan(story.block, story.now)
+        story.shard.add_job(a_job(number, tasks=tasks, memory_gb=0.1), 200, story.now)
+    planning.plan(story.shard, story.now)
     for number in range(MACHINES):
-        story.beat(_name(number))
-        story.beat(_name(number), *_running(story, number))
+        story.heartbeat(_name(number))
+        story.heartbeat(_name(number), *_running(story, number))
     return story
 
 
 def _running(story: Story, number: int) -> list:  # type: ignore[type-arg]
-    machine = story.block.machines[_name(number)]
+    machine = story.shard.machines[_name(number)]
     return [listed(attempt, "running") for attempt in machine.attempts.values()]
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = Counted(monkeypatch, (Room, "fits"), (Room, "holds"), (planning.placement, "tier"))
-    planning.plan(story.block, story.now)
+    count = Counted(
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
+    )
+    planning.plan(story.shard, story.now)
     return count.calls
 
 
@@ -55,20 +57,23 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     before = _full()
-    after = Story(machines=0, limits={"red": Limits()})
-    after.block = Block(8, 300, after.now, TIMING, {"red": Limits()})
+    after = Story(machines=0, limits={"red": TeamQuota()})
+    after.shard = Shard(8, 300, after.now, TIMING, {"red": TeamQuota()})
     for number in range(160):
-        after.block.add_job(a_job(number, tasks=100, memory_gb=0.1), 200, after.now)
+        after.shard.add_job(a_job(number, tasks=100, memory_gb=0.1), 200, after.now)
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = Counted(monkeypatch, (BlockState, "_stranger"), (BlockState, "_progress"))
+    taken = Counted(monkeypatch, (ShardState, "_stranger"), (ShardState, "_progress"))
     for number in range(MACHINES):
         shown = _running(before, number)
-        after.beat(_name(number), *shown, fencing_token=7)
-        after.beat(_name(number), *shown, fencing_token=8)
-    assert not after.block.unsynced
-    assert sum(len(work.live) for work in after.block.works.values()) == PLACES * MACHINES
+        after.heartbeat(_name(number), *shown, fencing_token=7)
+        after.heartbeat(_name(number), *shown, fencing_token=8)
+    assert not after.shard.unsynced
+    assert (
+        sum(len(job_state.live) for job_state in after.shard.job_states.values())
+        == PLACES * MACHINES
+    )
     assert taken.calls <= 2 * PLACES * MACHINES
     assert _plan_calls(monkeypatch, after) < 4 * MACHINES
 
@@ -77,14 +82,14 @@
     story = _full()
     story.now += TIMING.lease_expiry_us // 2
     for number in range(0, MACHINES, 2):
-        story.beat(_name(number), *_running(story, number))
+        story.heartbeat(_name(number), *_running(story, number))
     story.now += TIMING.lease_expiry_us // 2 + US
-    removed = Counted(monkeypatch, (BlockState, "_remove"))
-    drained = Counted(monkeypatch, (Block, "_drain"))
-    story.block.tick(story.now)
+    removed = Counted(monkeypatch, (ShardState, "_remove"))
+    drained = Counted(monkeypatch, (Shard, "_drain"))
+    story.shard.advance(story.now)
     assert removed.calls == PLACES * MACHINES // 2
     for _ in range(10):
-        story.block.tick(story.now)
+        story.shard.advance(story.now)
     assert drained.calls <= 12 * MACHINES // 2
     assert removed.calls == PLACES * MACHINES // 2
     assert _plan_calls(monkeypatch, story) < 8 * MACHINES
@@ -94,12 +99,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full(jobs=1600, tasks=10)
-    stopped = Counted(monkeypatch, (BlockState, "stop"), (BlockState, "_clear_failures"))
-    works = list(story.block.works.values())[:1000]
-    tasks = sum(len(work.live) for work in works)
-    for work in works:
-        story.block.close_job(work.job.ref, story.now)
-    assert stopped.calls == tasks + len(works)
+    stopped = Counted(monkeypatch, (ShardState, "stop"), (ShardState, "_clear_failures"))
+    job_states = list(story.shard.job_states.values())[:1000]
+    tasks = sum(len(job_state.live) for job_state in job_states)
+    for job_state in job_states:
+        story.shard.close_job(job_state.job.ref, story.now)
+    assert stopped.calls == tasks + len(job_states)
     assert _plan_calls(monkeypatch, story) < 20 * MACHINES
 
 
@@ -107,20 +112,22 @@
     """Those that ask for the same are looked at once; those that find room cost a pass each."""
     story = _full()
     for number in range(1000, 1300):
-        story.block.add_job(
+        story.shard.add_job(
             a_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, guess_us=0),
-            200, story.now,
-        )  # fmt: skip
+            200,
+            story.now,
+        )
     looked = Counted(monkeypatch, (replica_placement.ReplicaChoice, "_ranked"))
-    planning.plan(story.block, story.now)
+    planning.plan(story.shard, story.now)
     assert looked.calls <= MACHINES + 300
-    high = story.block.add_job(
+    high = story.shard.add_job(
         a_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], guess_us=0),
-        200, story.now,
-    )  # fmt: skip
+        200,
+        story.now,
+    )
     looked.calls = 0
-    planning.plan(story.block, story.now)
-    assert sum(a.grace is None for a in high.live.values()) == 6
+    planning.plan(story.shard, story.now)
+    assert sum(a.stop_grace_s is None for a in high.live.values()) == 6
     assert looked.calls <= 2 * MACHINES + 300 + 12
 
 
@@ -134,17 +141,17 @@
         for number in range(1, 5):
             await world.submit(world.job(number, Pieces=400, Cores=4.0, RunS=60.0, GuessS=60.0))
         await asyncio.sleep(25)
-        owner = _owner(world)
-        machines = owner.block.machines.values()
+        shard_leader = _owner(world)
+        machines = shard_leader.shard.machines.values()
         assert sum(machine.up and not machine.recorded for machine in machines) > 100
         rounds: list[float] = []
-        inner = owner.market.round
+        inner = shard_leader.market.round
 
         def counted(*args: Any) -> None:
             rounds.append(loop.time())
             inner(*args)
 
-        owner.market.round = counted
+        shard_leader.market.round = counted
         await asyncio.sleep(60)
         assert len(rounds) >= 5
         world.verdict()
@@ -153,45 +160,45 @@
 
 
 def test_a_large_fleet_hires_no_more_than_it_can_record() -> None:
-    """The state service takes one record a machine: what has none yet gets no task."""
+    """The key-value store takes one record a machine: what has none yet gets no task."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
+        await world.until(lambda: world.shard_leader() is not None)
         await asyncio.sleep(1)
-        owner = _owner(world)
-        autoscaler = owner.on_loaded.__self__
+        shard_leader = _owner(world)
+        autoscaler = shard_leader.on_loaded.__self__
         for number in range(MACHINES):
             machine = Machine(_name(number), KIND, "a", False, 0)
             machine.recorded = True
-            owner.block.add_machine(machine)
-        recordable = int((5.0 + RECORD_S) * owner.state.writes.rate)  # types boot in 5 s
-        assert autoscaler._most_hires() == MACHINES // HIRED_SHARE < recordable
+            shard_leader.shard.add_machine(machine)
+        recordable = int((5.0 + RECORD_S) * shard_leader.store.writes.rate)  # types boot in 5 s
+        assert autoscaler._most_hires() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
         for number in range(recordable - 100):
-            owner.block.machines[_name(number)].recorded = False
+            shard_leader.shard.machines[_name(number)].recorded = False
         assert autoscaler._most_hires() == 100
         for number in range(recordable):
-            owner.block.machines[_name(number)].recorded = False
-        assert autoscaler._most_hires() == FEW_HIRED
+            shard_leader.shard.machines[_name(number)].recorded = False
+        assert autoscaler._most_hires() == MIN_RENTALS_PER_PASS
 
     play(story)
 
 
 def _owner(world: World) -> Any:
-    name = world.owner()
+    name = world.shard_leader()
     assert name is not None
-    return world.parts[name].owners[0]
+    return world.parts[name].shard_leaders[0]
 
 
 def test_a_fleet_grows_by_a_share_of_itself_and_its_names_are_remembered() -> None:
     story = _full()
-    works = list(story.block.works.values())
-    needs = [Demand(work, work.remaining * 2) for work in works]
-    machines: list[Machine] = list(story.block.machines.values())
+    job_states = list(story.shard.job_states.values())
+    needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
+    machines: list[Machine] = list(story.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
     plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, MACHINES // 16)
-    assert len(plan.hires) == MACHINES // 16
+    assert len(plan.rentals) == MACHINES // 16
     for number in range(MACHINES):
-        story.block.drop_machine(_name(number), story.now)
-    assert len(story.block.gone) == MACHINES < NAMES_KEPT
+        story.shard.drop_machine(_name(number), story.now)
+    assert len(story.shard.gone) == MACHINES < NAMES_KEPT
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -2,18 +2,21 @@
 
 import asyncio
 
+from basaltlead.core.entities import US, MachineType
 from basaltlead.core.fleet_sizing import Offer
-from basaltlead.core.model import US, Kind
 from basaltlead.core.silent_zones import PAUSE_US, SilentZones
 from tests.fakes import FakeWorker, World
 from tests.simulation import Loop, play
 
 KINDS = {
-    "dear": Kind("dear", 4.0, 0.0, 16.0, 2.0, 1.0, 5 * US, 50.0, 1.0, ("a", "b")),
-    "cheap": Kind("cheap", 4.0, 0.0, 16.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a", "b")),
+    "dear": MachineType("dear", 4.0, 0.0, 16.0, 2.0, 1.0, 5 * US, 50.0, 1.0, ("a", "b")),
+    "cheap": MachineType("cheap", 4.0, 0.0, 16.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a", "b")),
 }
 OFFERS: dict[Offer, int | None] = {
-    Offer(kind, zone, spot): None for kind in KINDS for zone in "ab" for spot in (True, False)
+    Offer(machine_type, zone, spot): None
+    for machine_type in KINDS
+    for zone in "ab"
+    for spot in (True, False)
 }
 IN_A = {offer: most for offer, most in OFFERS.items() if offer.zone == "a"}
 SILENT = {"a": [True, False], "b": [False, False, False]}
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the state service: at the edge of each, and when they fall without notice."""
+"""Limits of the key-value store: at the edge of each, and when they fall without notice."""
 
 import asyncio
 from pathlib import Path
@@ -10,21 +10,22 @@
 from basaltlead import cli
 from basaltlead.clients.base import encode
 from basaltlead.controller import most_bids
-from basaltlead.core.market import Market, Promises, Terms
-from basaltlead.core.model import US, Work
+from basaltlead.core.entities import US, JobState
+from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.errors import TransactionTooLarge
 from basaltlead.scaling.machine_type_catalog import pages_of
-from basaltlead.storage.client import State, TooLarge
+from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.limits import TRANSACTION_BYTES, StoreLimits
 from basaltlead.storage.result_rows import (
-    CHUNK_BLOCKS,
+    CHUNK_SHARDS,
     STRETCH,
     ProgressChunk,
     ResultLayout,
     load_results,
     split_open,
 )
-from basaltlead.wire.cloud import MachineType
-from basaltlead.wire.state import Drop, Guard, Put
+from basaltlead.wire.cloud import MachineTypeInfo
+from basaltlead.wire.store import Drop, Precondition, Put
 from tests.fakes import World
 from tests.simulation import Loop, play
 from tests.test_shard import a_job
@@ -32,8 +33,8 @@
 LIMITS = StoreLimits(rps=100.0, write_rps=50.0, value_bytes=200, operations=3)
 
 
-def _sizes(guards: int, values: list[int], total: int) -> str:
-    return LIMITS.excess(guards, len(values), values, total)
+def _sizes(preconditions: int, values: list[int], total: int) -> str:
+    return LIMITS.excess(preconditions, len(values), values, total)
 
 
 def test_each_limit_holds_to_the_byte_and_to_the_operation() -> None:
@@ -58,22 +59,22 @@
 
     async def story(loop: Loop) -> None:
         world = World(loop)
-        await world.state.start()
-        state = State(world.state.ADDRESS, LIMITS, 1, 1)
-        world.state.value_bytes = LIMITS.value_bytes
+        await world.store.start()
+        store = KeyValueStore(world.store.ADDRESS, LIMITS, 1, 1)
+        world.store.value_bytes = LIMITS.value_bytes
         value = "x" * size  # and two quotes
         if sent:
-            await state.multi([], [Put("k", value)])
+            await store.compare_and_swap([], [Put("k", value)])
         else:
-            with pytest.raises(TooLarge):
-                await state.multi([], [Put("k", value)])
-        assert world.state.oversized == []
-        assert ("k" in world.state.keys) == sent
-        with pytest.raises(TooLarge):
-            await state.multi([], [Drop(str(n)) for n in range(4)])
-        with pytest.raises(TooLarge):
-            await state.multi([Guard(str(n), 0) for n in range(13)], [Drop("k")])
-        await state.multi([Guard(f"g{n}", 0) for n in range(12)], [Drop("k")])
+            with pytest.raises(TransactionTooLarge):
+                await store.compare_and_swap([], [Put("k", value)])
+        assert world.store.oversized == []
+        assert ("k" in world.store.keys) == sent
+        with pytest.raises(TransactionTooLarge):
+            await store.compare_and_swap([], [Drop(str(n)) for n in range(4)])
+        with pytest.raises(TransactionTooLarge):
+            await store.compare_and_swap([Precondition(str(n), 0) for n in range(13)], [Drop("k")])
+        await store.compare_and_swap([Precondition(f"g{n}", 0) for n in range(12)], [Drop("k")])
 
     play(story)
 
@@ -81,8 +82,8 @@
 # Results
 
 
-def _work(tasks: int) -> Work:
-    return Work(a_job(tasks=tasks), 5, 0, 0)
+def _work(tasks: int) -> JobState:
+    return JobState(a_job(tasks=tasks), 5, 0, 0)
 
 
 @pytest.mark.parametrize("value_bytes", [300, 2048, 8192, 32_768])
@@ -91,11 +92,11 @@
     value_bytes: int, tasks: int
 ) -> None:
     layout = ResultLayout(value_bytes)
-    work = _work(tasks)
+    job_state = _work(tasks)
     wanted = set(range(0, tasks, 7)) | {tasks - 1}
     for index in wanted:
-        work.finish(index)
-    rows = layout.unstored(work, 0)
+        job_state.finish(index)
+    rows = layout.unstored(job_state, 0)
     again = _work(tasks)
     for row in rows:
         raw = encode(row.value)
@@ -105,8 +106,8 @@
         load_results(again, 0, *part, msgspec.Raw(raw), layout)
     assert {index for index in range(tasks) if again.is_done(index)} == wanted
     assert {index for row in rows for index in row.tasks} == wanted
-    assert {row.key for row in rows} <= set(layout.keys(work.job.ref, tasks, [0]))
-    assert 1 + len(layout.keys(work.job.ref, tasks, [0])) <= 1 + layout.most_rows(tasks, 1)
+    assert {row.key for row in rows} <= set(layout.keys(job_state.job.ref, tasks, [0]))
+    assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.most_rows(tasks, 1)
     assert sum(row.value.count for row in rows) == len(wanted)
 
 
@@ -117,28 +118,28 @@
         old.finish(index)
     (row,) = before.unstored(old, 0)
     assert len(encode(row.value)) > 2048
-    work = _work(STRETCH)
-    load_results(work, 0, 0, 0, msgspec.Raw(encode(row.value)), after)
-    assert work.done_count == old.done_count
-    work.finish(1)
-    (new,) = after.unstored(work, 0)
+    job_state = _work(STRETCH)
+    load_results(job_state, 0, 0, 0, msgspec.Raw(encode(row.value)), after)
+    assert job_state.done_count == old.done_count
+    job_state.finish(1)
+    (new,) = after.unstored(job_state, 0)
     assert isinstance(new.value, ProgressChunk)
     assert new.value.count == 1  # what the old row holds is not counted twice
-    assert split_open(new.key) == ("req-000001", (CHUNK_BLOCKS, 0))
+    assert split_open(new.key) == ("req-000001", (CHUNK_SHARDS, 0))
 
 
 def test_budgets_types_and_hires_fit_into_values_however_many_there_are() -> None:
     value_bytes = 2048
     terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, most_bids(value_bytes))
-    market = Market(terms, ["red"], Promises())
-    works = {}
+    market = Market(terms, ["red"], ServiceLevelObjectives())
+    job_states = {}
     for number in range(500):
-        work = Work(a_job(ref=f"req-{number:015d}"), 5, 0, 0)
-        work.bid = 99_999_999.9999
-        works[work.job.ref] = work
-    assert len(encode(market.record("red", works))) <= value_bytes
+        job_state = JobState(a_job(ref=f"req-{number:015d}"), 5, 0, 0)
+        job_state.bid = 99_999_999.9999
+        job_states[job_state.job.ref] = job_state
+    assert len(encode(market.record("red", job_states))) <= value_bytes
     types = [
-        MachineType(f"type-{n}", 4.0, 0.0, 16.0, 0.123456, 40.0, ["zone-a", "zone-b", "zone-c"])
+        MachineTypeInfo(f"type-{n}", 4.0, 0.0, 16.0, 0.123456, 40.0, ["zone-a", "zone-b", "zone-c"])
         for n in range(50)
     ]
     pages = pages_of(types, value_bytes)
@@ -159,7 +160,7 @@
         job = world.job(1, Grades=grades)
         status, _ = await world.ask("node-0", "POST", "/api/jobs", job)
         assert status == 201
-        stored = len(encode(world.state.keys["open/req-000001"][0]))
+        stored = len(encode(world.store.keys["open/req-000001"][0]))
         grades += ["x" * 97] * ((2048 - stored) // 100)  # two quotes and a comma each
         grades.append("y" * (2048 - stored - 100 * (len(grades) - 2) - 3))
         fits, larger = dict(job), dict(job)
@@ -167,11 +168,11 @@
         fits["Grades"], larger["Grades"] = grades, [*grades[:-1], grades[-1] + "y"]
         status, _ = await world.ask("node-0", "POST", "/api/jobs", fits)
         assert status == 201
-        assert len(encode(world.state.keys["open/req-000002"][0])) == 2048
+        assert len(encode(world.store.keys["open/req-000002"][0])) == 2048
         status, _ = await world.ask("node-0", "POST", "/api/jobs", larger)
         assert status == 422
-        assert "open/req-000003" not in world.state.keys
-        assert world.state.oversized == []
+        assert "open/req-000003" not in world.store.keys
+        assert world.store.oversized == []
 
     play(story)
 
@@ -193,7 +194,7 @@
         await world.until_done(*[f"req-{n:06d}" for n in range(3, 12)])
         await world.cancel("req-000020")
         await asyncio.sleep(30)  # rows of what is over are dropped in their own time
-        assert [key for key in world.state.keys if key.startswith("open/")] == []
+        assert [key for key in world.store.keys if key.startswith("open/")] == []
         world.verdict()
 
     play(story)
@@ -204,30 +205,30 @@
         world = World(loop)
         for number in range(12):
             row = {"done": "", "count": 0, "running": 0}
-            world.state.keys[f"open/req-000009/0.{number}"] = (row, number + 1, None)
-        world.state.revision = 12
+            world.store.keys[f"open/req-000009/0.{number}"] = (row, number + 1, None)
+        world.store.revision = 12
         await world.start()
         await asyncio.sleep(10)
-        assert not [key for key in world.state.keys if key.startswith("open/")]
+        assert not [key for key in world.store.keys if key.startswith("open/")]
 
     play(story)
 
 
 def test_above_the_rate_users_and_leases_go_first_and_nobody_asks_in_a_storm() -> None:
-    """The state service takes a fifth of what it announced."""
+    """The key-value store takes a fifth of what it announced."""
 
     async def story(loop: Loop) -> None:
         world = World(loop, later={"write_rps": 20.0})
         await world.start()
         await asyncio.sleep(3)
-        members = {name: world.parts[name].member.incarnation for name in world.nodes}
-        world.state.write_rps = 4.0
+        members = {name: world.parts[name].membership.incarnation for name in world.nodes}
+        world.store.write_rps = 4.0
         for number in range(1, 30):
             await world.submit(world.job(number, Pieces=3, RunS=2.0))
         assert await world.cancel("req-000029") == "withdrawn"
         await world.until_done(*[f"req-{n:06d}" for n in range(1, 29)], seconds=200)
-        assert {name: world.parts[name].member.incarnation for name in world.nodes} == members
-        assert world.state.refused_writes < 5 * loop.time() - 5 * 1000
+        assert {name: world.parts[name].membership.incarnation for name in world.nodes} == members
+        assert world.store.refused_writes < 5 * loop.time() - 5 * 1000
         world.verdict()
 
     play(story)
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -26,9 +26,9 @@
                 assert await world.poll("req-000001", name) in ("pending", "running")
             await asyncio.sleep(15)
         assert world.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, for three minutes
-        owner = world.owner()
-        assert owner is not None
-        machines = world.parts[owner].owners[0].block.machines.values()
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        machines = world.parts[shard_leader].shard_leaders[0].shard.machines.values()
         assert not any(machine.draining for machine in machines)
         assert world.cloud.count <= len(rented) + 4  # none was changed for another
         assert await world.cancel("req-000001") == "withdrawn"
@@ -119,20 +119,20 @@
 
     async def story(loop: Loop) -> None:
         world = World(loop)
-        owner = await world.busy(6, 30.0)
+        shard_leader = await world.busy(6, 30.0)
         await world.submit(world.job(2, Pieces=6, RunS=5.0))
-        world.freeze(owner)
+        world.freeze(shard_leader)
         await asyncio.sleep(75)
-        other = world.owner()
-        assert other not in (None, owner)
+        other = world.shard_leader()
+        assert other not in (None, shard_leader)
         await world.until_done("req-000001", "req-000002")
-        before = dict(world.state.keys)
+        before = dict(world.store.keys)
         starts = world.rule_checker.starts
-        world.thaw(owner)
+        world.thaw(shard_leader)
         await asyncio.sleep(3)
-        assert world.owner() == other and world.rule_checker.starts == starts
+        assert world.shard_leader() == other and world.rule_checker.starts == starts
         kept = [key for key in before if key.startswith(("over/", "c/block/"))]
-        assert all(world.state.keys[key] == before[key] for key in kept)
+        assert all(world.store.keys[key] == before[key] for key in kept)
         # The other one stands still while its tasks run: no run time is taken from that.
         await world.submit(world.job(3, Pieces=4, RunS=4.0, GuessS=4.0))
         await world.until(lambda: len(world.on("req-000003")) == 4)
@@ -141,9 +141,9 @@
         await asyncio.sleep(1.0)
         world.thaw(other)
         await world.until_done("req-000003")
-        now = world.owner()
+        now = world.shard_leader()
         assert now is not None
-        ratio = world.parts[now].owners[0].block.ratio.get("reports", 1.0)
+        ratio = world.parts[now].shard_leaders[0].shard.ratio.get("reports", 1.0)
         assert 0.3 < ratio < 3.0
         world.verdict()
 
@@ -172,7 +172,7 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.busy(4, 30.0)
-        service = world.state if who == "state" else world.cloud
+        service = world.store if who == "state" else world.cloud
         service.garble = GARBLED[how]
         submitting = loop.create_task(world.submit(world.job(2, Pieces=3, RunS=2.0)))
         if who == "state":
@@ -181,7 +181,7 @@
         end = loop.time() + 6.0
         while loop.time() < end:
             world.rule_checker.check()
-            world.owner()  # never two
+            world.shard_leader()  # never two
             await asyncio.sleep(0.1)
         world.heal()
         await submitting
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -2,10 +2,10 @@
 
 `data/production_records.json` was written by the version before services itself: in a checkout of
 the commit that deploy/service.toml names, a script submitted jobs of every shape to a `World` of
-`tests/fakes`, cancelled one, took the state service away for 5 s, and kept the first record of
-each kind as the state service got it, and the first message of each kind that a controller got
-from another. Records of members, blocks, jobs, results (one of 24,576 tasks), hires, machines and
-teams are among them.
+`tests/fakes`, cancelled one, took the key-value store away for 5 s, and kept the first record of
+each kind as the key-value store got it, and the first message of each kind that a controller got
+from another. Records of members, shards, jobs, results (one of 24,576 tasks), rental requests,
+machines and teams are among them.
 """
 
 import asyncio
@@ -19,19 +19,27 @@
 
 from basaltlead.cluster import versions
 from basaltlead.cluster.peers import decoder
-from basaltlead.core.cluster_view import Claim, Cluster, Counter, Grant
+from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant
+from basaltlead.core.entities import Shape
 from basaltlead.core.market import TeamRecord
-from basaltlead.core.model import Shape
-from basaltlead.storage.records import Final, StoredHire, StoredJob, StoredMachine, job_of
+from basaltlead.storage.records import Final, StoredJob, StoredMachine, StoredScaleOut, job_of
 from basaltlead.storage.result_rows import Progress
 from tests.fakes import FakeWorker, World, old_schemas
 from tests.simulation import Loop, play
 
 DATA = json.loads((Path(__file__).parent / "data" / "production_records.json").read_text())
 TYPES: dict[str, Any] = {
-    "c/baton": Counter, "c/block": Grant, "c/leader": Claim, "c/member": Claim, "hire": StoredHire,
-    "mach": StoredMachine, "open": StoredJob, "over": Final, "result": Progress, "team": TeamRecord,
-}  # fmt: skip
+    "c/baton": Counter,
+    "c/block": Grant,
+    "c/leader": Claim,
+    "c/member": Claim,
+    "hire": StoredScaleOut,
+    "mach": StoredMachine,
+    "open": StoredJob,
+    "over": Final,
+    "result": Progress,
+    "team": TeamRecord,
+}
 
 
 def _kind(key: str) -> str:
@@ -45,11 +53,11 @@
 
 
 def test_every_record_of_the_old_version_is_read_as_it_was_meant() -> None:
-    kinds = set()
+    machine_types = set()
     for key, value in DATA["records"]:
-        kind = _kind(key)
-        read = msgspec.json.decode(msgspec.json.encode(value), type=TYPES[kind])
-        kinds.add(kind)
+        machine_type = _kind(key)
+        read = msgspec.json.decode(msgspec.json.encode(value), type=TYPES[machine_type])
+        machine_types.add(machine_type)
         if isinstance(read, Claim):
             assert read.version == 0
         if isinstance(read, StoredJob):
@@ -58,7 +66,7 @@
             assert job_of(read.sent).shape is shapes[value["job"]["Shape"]]
         elif not isinstance(read, Claim):
             assert msgspec.to_builtins(read) == value
-    assert kinds == set(TYPES)
+    assert machine_types == set(TYPES)
 
 
 def test_messages_of_the_old_version_are_read_and_ours_are_spelled_as_its_own() -> None:
@@ -69,12 +77,12 @@
 
 
 async def _seeded(loop: Loop) -> World:
-    """A world whose state service holds what the old version left behind; all processes ended."""
+    """A world whose key-value store holds what the old version left behind; all processes ended."""
     world = World(loop)
     for number, (key, value) in enumerate(DATA["records"], 1):
         if not key.startswith(("c/member", "c/leader")):  # those ended with their session leases
-            world.state.keys[key] = (value, number, None)
-            world.state.revision = number
+            world.store.keys[key] = (value, number, None)
+            world.store.revision = number
         if key.startswith("open/") and key.count("/") == 1:
             world.jobs[value["job"]["Ref"]] = value["job"] | {"RunS": 1.0}
     await world.start()
@@ -84,24 +92,24 @@
 def test_what_the_old_version_stored_goes_on() -> None:
     async def story(loop: Loop) -> None:
         world = await _seeded(loop)
-        await world.until(lambda: world.owner() is not None)
+        await world.until(lambda: world.shard_leader() is not None)
         assert await world.poll("req-000005") == "done"
         assert await world.poll("req-000006") == "withdrawn"
         await world.until_served("req-000004")  # a service that was taken for an array
         await world.until_done("req-000002", seconds=60)
         assert await world.cancel("req-000004") == "withdrawn"
-        owner = world.owner()
-        assert owner is not None
-        large = world.parts[owner].owners[0].block.works["req-000001"]
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        large = world.parts[shard_leader].shard_leaders[0].shard.job_states["req-000001"]
         done = sum(v["count"] for k, v in DATA["records"] if k == "open/req-000001/0.0")
         assert large.done_count >= done > 0
-        assert not world.state.oversized
+        assert not world.store.oversized
 
     play(story)
 
 
 def test_what_we_write_beside_an_old_member_can_be_read_by_it() -> None:
-    """Jobs, results of a large array, hires, machines, budgets: and no service."""
+    """Jobs, results of a large array, rental requests, machines, budgets: and no service."""
 
     async def story(loop: Loop) -> None:
         world = World(loop, later={"value_kb": 2.0, "txn_ops": 4})
@@ -115,10 +123,10 @@
         assert status == 503, body
         for _ in range(60):
             await asyncio.sleep(0.25)
-            for key, (value, _, _) in world.state.keys.items():
+            for key, (value, _, _) in world.store.keys.items():
                 old_schemas.read(key, value)
-        assert any("/1000." in key for key in world.state.keys)  # results of the large array
-        assert not world.state.oversized
+        assert any("/1000." in key for key in world.store.keys)  # results of the large array
+        assert not world.store.oversized
 
     play(story)
 
@@ -129,8 +137,8 @@
         await world.start()
         assert await world.submit(world.service(1)) == 201
         with pytest.raises(msgspec.ValidationError):
-            old_schemas.read("open/req-000001", world.state.keys["open/req-000001"][0])
-        stored = world.state.keys["open/req-000001"][0]
+            old_schemas.read("open/req-000001", world.store.keys["open/req-000001"][0])
+        stored = world.store.keys["open/req-000001"][0]
         assert msgspec.convert(stored, StoredJob).sent.shape == "service"
         await world.until_served("req-000001")
         world.verdict()
@@ -141,22 +149,23 @@
 # Which version the cluster has
 
 
-def _cluster(**versions: int) -> Cluster:
-    cluster = Cluster()
+def _cluster(**versions: int) -> ClusterView:
+    cluster = ClusterView()
     for name, version in versions.items():
         cluster.members[name] = (Claim(name, "ab", version), 5)
     return cluster
 
 
 def test_services_are_allowed_while_no_member_is_of_an_older_version() -> None:
-    assert not versions.services_allowed(Cluster())  # nothing is known yet
+    assert not versions.services_allowed(ClusterView())  # nothing is known yet
     assert not versions.services_allowed(_cluster(a=1, b=0))
     one_away = _cluster(a=1, b=1)
     assert versions.services_allowed(one_away)  # without its key the third does nothing
-    guards = versions.member_guards(one_away, ["b", "c"])
-    assert [(guard.key, guard.version) for guard in guards] == [
-        ("c/member/b", 5), ("c/member/c", 0),
-    ]  # fmt: skip
+    preconditions = versions.member_preconditions(one_away, ["b", "c"])
+    assert [(precondition.key, precondition.version) for precondition in preconditions] == [
+        ("c/member/b", 5),
+        ("c/member/c", 0),
+    ]
 
 
 def test_an_old_member_that_joins_in_the_very_moment_makes_the_acceptance_fail() -> None:
@@ -165,18 +174,20 @@
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
-        await world.until(lambda: world.owner() is not None)
+        await world.until(lambda: world.shard_leader() is not None)
         world.crash("node-2")
-        gone = world.parts["node-0"].member.cluster.members
+        gone = world.parts["node-0"].membership.cluster.members
         await world.until(lambda: "node-2" not in gone, seconds=20)
         await asyncio.sleep(2)
-        world.state.keys["c/member/node-2"] = (  # no watch tells of it
-            {"name": "node-2", "life": "ab"}, world.state.revision, None,
-        )  # fmt: skip
+        world.store.keys["c/member/node-2"] = (  # no watch tells of it
+            {"name": "node-2", "life": "ab"},
+            world.store.revision,
+            None,
+        )
         status, _ = await world.ask("node-0", "POST", "/api/jobs", world.service(1))
         assert status == 503
-        assert "open/req-000001" not in world.state.keys
-        del world.state.keys["c/member/node-2"]
+        assert "open/req-000001" not in world.store.keys
+        del world.store.keys["c/member/node-2"]
         assert await world.submit(world.service(1), "node-0") == 201
 
     play(story)
@@ -232,13 +243,13 @@
         await world.submit(world.job(2, Pieces=40, RunS=4.0))
         await world.submit(world.job(3, Pieces=2, RunS=400.0, GuessS=400.0))
         await world.until(lambda: len(world.rule_checker.results) > 10)
-        owner = world.owner()
-        assert owner is not None
-        world.cloud.mute = 1  # a hire under way, whose answer nobody hears
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        world.cloud.mute = 1  # a rental request under way, whose answer nobody hears
         await world.submit(world.job(4, Pieces=30, RunS=10.0))
         await asyncio.sleep(0.8)
-        others = [name for name in world.nodes if name != owner]
-        for name in others:  # the next owner is of the other version
+        others = [name for name in world.nodes if name != shard_leader]
+        for name in others:  # the next shard leader is of the other version
             world.crash(name)
             if old:
                 world.old.discard(name)
@@ -246,11 +257,13 @@
                 world.old.add(name)
             world.boot(name)
         await world.until(
-            lambda: all(n in world.parts and world.parts[n].member.acts for n in others)
+            lambda: all(
+                n in world.parts and world.parts[n].membership.holds_valid_lease for n in others
+            )
         )
-        assert await world.cancel("req-000003", owner) == "withdrawn"
-        world.crash(owner)
-        await world.until(lambda: world.owner() in others)
+        assert await world.cancel("req-000003", shard_leader) == "withdrawn"
+        world.crash(shard_leader)
+        await world.until(lambda: world.shard_leader() in others)
         await world.until_done("req-000001", "req-000002", "req-000004")
         assert world.rule_checker.starts_of("req-000001") == 4  # its tasks lived on
         assert world.on("req-000003") == []
@@ -264,28 +277,28 @@
         world = World(loop, later={"value_kb": 0.5, "txn_ops": 4})
         world.old = {"node-1"}
         await world.start()
-        await world.until(lambda: world.owner() is not None)
-        if world.owner() == "node-1":
+        await world.until(lambda: world.shard_leader() is not None)
+        if world.shard_leader() == "node-1":
             world.crash("node-1")
-            await world.until(lambda: world.owner() not in (None, "node-1"))
+            await world.until(lambda: world.shard_leader() not in (None, "node-1"))
             world.boot("node-1")
         tiny: dict[str, Any] = {"Cores": 0.05, "MemoryGb": 0.01, "RunS": 1.0}
         await world.submit(world.job(1, Pieces=3000, **tiny))
-        await world.until(lambda: any("/1000." in key for key in world.state.keys))
+        await world.until(lambda: any("/1000." in key for key in world.store.keys))
         await asyncio.sleep(4)
         for name in ("node-0", "node-2"):
             world.crash(name)
-        await world.until(lambda: world.owner() == "node-1")
+        await world.until(lambda: world.shard_leader() == "node-1")
         await asyncio.sleep(5)
         world.boot("node-0")
         world.boot("node-2")
         world.crash("node-1")
-        await world.until(lambda: world.owner() in ("node-0", "node-2"))
+        await world.until(lambda: world.shard_leader() in ("node-0", "node-2"))
         world.lower_limits()
         await world.until_done("req-000001", seconds=200)
         world.boot("node-1")
         await asyncio.sleep(5)
-        assert not [key for key in world.state.keys if key.startswith("open/req-000001")]
+        assert not [key for key in world.store.keys if key.startswith("open/req-000001")]
         world.verdict()
 
     play(story)
@@ -295,26 +308,26 @@
 
 
 def test_an_old_controller_that_is_back_can_not_keep_the_block_once_there_are_services() -> None:
-    """It can't read them, hands the block back, and a new one takes it."""
+    """It can't read them, hands the shard back, and a new one takes it."""
 
     async def story(loop: Loop) -> None:
         world = World(loop)
         await world.start()
         assert await world.submit(world.service(1)) == 201
         await world.until_served("req-000001")
-        owner = world.owner()
-        assert owner is not None
-        back, other = (name for name in world.nodes if name != owner)
+        shard_leader = world.shard_leader()
+        assert shard_leader is not None
+        back, other = (name for name in world.nodes if name != shard_leader)
         world.crash(back)
         world.old.add(back)
         world.boot(back)
         world.crash(other)
         await asyncio.sleep(3)
-        world.crash(owner)  # only the old one is left: it takes the block, and can't load it
+        world.crash(shard_leader)  # only the old one is left: it takes the shard, and can't load it
         await asyncio.sleep(2)
         world.boot(other)
-        await world.until(lambda: world.owner() == other, seconds=20)
-        world.boot(owner)
+        await world.until(lambda: world.shard_leader() == other, seconds=20)
+        world.boot(shard_leader)
         await world.until_served("req-000001", seconds=FakeWorker.LEASE + 20)
         for name in world.nodes:
             assert await world.poll("req-000001", name) == "running"
@@ -330,23 +343,23 @@
 
 
 async def _outage(world: World) -> None:
-    world.state.down = True
+    world.store.down = True
     await asyncio.sleep(6.0)
-    world.state.outage_over()
+    world.store.outage_over()
 
 
 async def _refused_alone(world: World) -> None:
-    owner = world.owner()
-    if owner is not None:
-        world.state.refused.add(world.host(owner))
+    shard_leader = world.shard_leader()
+    if shard_leader is not None:
+        world.store.refused.add(world.host(shard_leader))
         await asyncio.sleep(8.0)
-        world.state.refused.discard(world.host(owner))
+        world.store.refused.discard(world.host(shard_leader))
 
 
 async def _late_writes(world: World) -> None:
-    world.state.late_writes = 0.3
+    world.store.late_writes = 0.3
     await asyncio.sleep(15.0)
-    world.state.late_writes = 0.0
+    world.store.late_writes = 0.0
 
 
 async def _crashes(world: World) -> None:
--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -4,18 +4,18 @@
 import pytest
 
 from basaltlead.core.cluster_view import Claim, Grant
-from basaltlead.storage.records import StoredHire, StoredMachine
+from basaltlead.storage.records import StoredMachine, StoredScaleOut
 from basaltlead.storage.result_rows import Progress
-from basaltlead.wire.peers import Ask, Cancelled, TakeoverDeferral
-from basaltlead.wire.state import Drop, Guard, Put, Transaction
-from basaltlead.wire.workers import Command, Order, Orders
+from basaltlead.wire.peers import CancellationNotice, DeferralRequest, FailoverDeferral
+from basaltlead.wire.store import Drop, Precondition, Put, Transaction
+from basaltlead.wire.workers import DirectCommand, HeartbeatResponse, WorkerCommand
 
 SPELLINGS: list[tuple[msgspec.Struct, str]] = [
     (Claim("n-0", "ab", 1), '{"name":"n-0","life":"ab","version":1}'),
     (Grant("n-0", "ab", 7), '{"name":"n-0","life":"ab","baton":7,"avoid":""}'),
     (Progress(b"\x01", 1), '{"done":"AQ==","count":1,"running":0}'),
     (
-        StoredHire("k", "a", True, 3, 9),
+        StoredScaleOut("k", "a", True, 3, 9),
         '{"kind":"k","zone":"a","spot":true,"number":3,"at":9,"names":null,"block":0}',
     ),
     (
@@ -23,17 +23,17 @@
         '{"kind":"k","zone":"a","spot":false,"address":"10.1.0.1:9","at":9,"block":0}',
     ),
     (
-        Ask(1, "n-0", "ab", 5, None),
+        DeferralRequest(1, "n-0", "ab", 5, None),
         '{"is":"ask","seq":1,"name":"n-0","life":"ab","span_us":5,"blind_us":null}',
     ),
     (
-        TakeoverDeferral(1, "n-1", "ab", 5, True, []),
+        FailoverDeferral(1, "n-1", "ab", 5, True, []),
         '{"is":"promise","seq":1,"name":"n-1","life":"ab","span_us":5,"lonely":true,"cancelled":[]}',
     ),
-    (Cancelled(["req-000001"]), '{"is":"cancelled","refs":["req-000001"]}'),
-    (Orders(7, []), '{"Baton":7,"Orders":[]}'),
+    (CancellationNotice(["req-000001"]), '{"is":"cancelled","refs":["req-000001"]}'),
+    (HeartbeatResponse(7, []), '{"Baton":7,"Orders":[]}'),
     (
-        Command(7, 1, [Order("halt", "req-000001/0", 3, 2.0)]),
+        DirectCommand(7, 1, [WorkerCommand("halt", "req-000001/0", 3, 2.0)]),
         '{"Baton":7,"Shift":1,"Orders":'
         '[{"Verb":"halt","Piece":"req-000001/0","Try":3,"WindDownS":2.0}]}',
     ),
@@ -51,7 +51,7 @@
 
 
 def test_transactions_keep_their_spelling() -> None:
-    sent = msgspec.json.encode(Transaction([Guard("a", 4)], [Put("b", 1, 7), Drop("c")]))
+    sent = msgspec.json.encode(Transaction([Precondition("a", 4)], [Put("b", 1, 7), Drop("c")]))
     assert sent.decode() == (
         '{"Guards":[{"Path":"a","Stamp":4}],"Apply":[{"Put":"b","V":1,"Permit":7},{"Drop":"c"}]}'
     )
