--- a/basaltlead/duties/model.py
+++ b/basaltlead/duties/model.py
@@ -12,7 +12,7 @@
     """What one controller at a time does for the whole deployment."""
 
     RENT = "rent"
-    SCALE_IN = "return"
+    RETURN = "return"
     RECLAIM = "reclaim"
     CLEAN_UP = "clean-up"
 
@@ -26,7 +26,7 @@
 
 # Of the rate of calls that the cloud takes, the parts of the duties that call it. What is left is
 # each controller's, for the machine types and for a call that was under way when a duty moved.
-CLOUD_SHARES = {Duty.RENT: 0.5, Duty.SCALE_IN: 0.2, Duty.RECLAIM: 0.15}
+CLOUD_SHARES = {Duty.RENT: 0.5, Duty.RETURN: 0.2, Duty.RECLAIM: 0.15}
 LEAST_CLOUD_SHARE = 0.05
 CLOUD_PATIENCE_US = 15 * US  # a holder whose calls get no answer for so long lets another try
 
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -33,7 +33,7 @@
     """Follows the recorded returns, and carries out each that is open. No other machine is ever
     named to the cloud."""
 
-    duty = Duty.SCALE_IN
+    duty = Duty.RETURN
 
     async def run(self) -> None:
         self.returning = MachineDeletion(self.cloud, self)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -134,14 +134,14 @@
 
 
 @pytest.mark.parametrize("when", ["before the check", "sent", "half sent"])
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 def test_a_holder_that_stood_still_for_a_minute_decides_nothing_when_it_wakes(
     duty: Duty, when: str
 ) -> None:
     async def story(loop: Loop) -> None:
         world = await _started(loop)
         prefix = "hire/" if duty == Duty.RENT else "return/"
-        if duty == Duty.SCALE_IN:
+        if duty == Duty.RETURN:
             await world.submit(world.job(1, Pieces=3, RunS=3.0))
             await world.until_done("req-000001")
         holder = world.holder(duty)
@@ -165,22 +165,22 @@
 def test_a_grant_that_came_back_to_the_same_controller_is_another_grant() -> None:
     async def story(loop: Loop) -> None:
         world = await _started(loop)
-        name = world.holder(Duty.SCALE_IN)
+        name = world.holder(Duty.RETURN)
         assert name is not None
         member = world.parts[name].membership
-        stale = world.parts[name].duties.holders[Duty.SCALE_IN]
+        stale = world.parts[name].duties.holders[Duty.RETURN]
         others = [node for node in world.nodes if node != name]
-        assert await member.step_down(Duty.SCALE_IN.key, leader_too=False)
+        assert await member.release(Duty.RETURN.key, leader_too=False)
         for other in others:  # so that it can only come back
             world.crash(other)
         held = world.parts[name].duties.holders
         await world.until(
             lambda: (
-                held.get(Duty.SCALE_IN, stale) is not stale and world.holder(Duty.SCALE_IN) == name
+                held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name
             ),
             seconds=4 * TAKEOVER,
         )
-        fresh = held[Duty.SCALE_IN]
+        fresh = held[Duty.RETURN]
         stale.stepped_down = False
         precondition = stale.preconditions()[1]
         assert precondition.version < fresh.preconditions()[1].version
@@ -197,7 +197,7 @@
 
     async def story(loop: Loop) -> None:
         world = await _started(loop)
-        name = world.holder(Duty.SCALE_IN)
+        name = world.holder(Duty.RETURN)
         assert name is not None
         for other in world.nodes:  # so that all that it hands back comes back
             if other != name:
@@ -214,10 +214,10 @@
             return done
 
         node.membership.release = answered_late
-        node.duties.holders[Duty.SCALE_IN].step_down()
+        node.duties.holders[Duty.RETURN].step_down()
         node.shard_leaders[0].stepped_down = True
         await asyncio.sleep(15)
-        assert world.holder(Duty.SCALE_IN) == name == world.shard_leader()
+        assert world.holder(Duty.RETURN) == name == world.shard_leader()
 
     play(story)
 
@@ -228,7 +228,7 @@
         world = await _started(loop)
         await world.submit(world.job(1, Pieces=6, RunS=20.0))
         await world.until(lambda: len(world.on("req-000001")) == 6)
-        for duty in (Duty.RENT, Duty.SCALE_IN, Duty.RECLAIM):
+        for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
             holder = world.holder(duty)
             assert holder is not None
             loop.wall_off[world.host(holder)] = wall
@@ -307,7 +307,7 @@
     play(story)
 
 
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 def test_a_holder_cut_off_from_the_state_service_alone_is_replaced(duty: Duty) -> None:
     async def story(loop: Loop) -> None:
         world = await _started(loop)
@@ -480,7 +480,7 @@
     play(story)
 
 
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 def test_calls_that_arrive_minutes_late_rent_and_delete_nothing_that_was_not_recorded(
     duty: Duty,
 ) -> None:
@@ -494,7 +494,7 @@
         if duty == Duty.RENT:
             await world.submit(world.job(2, Pieces=16, RunS=10.0))
         await world.until(
-            lambda: bool(_open(world, "return/" if duty == Duty.SCALE_IN else "hire/")), seconds=120
+            lambda: bool(_open(world, "return/" if duty == Duty.RETURN else "hire/")), seconds=120
         )
         await asyncio.sleep(10)
         world.crash(holder)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -174,9 +174,9 @@
 
     async def story(loop: Loop) -> None:
         world = await _started(loop)
-        name = world.holder(Duty.SCALE_IN)
+        name = world.holder(Duty.RETURN)
         assert name is not None
-        history = world.parts[name].duties.holders[Duty.SCALE_IN].history
+        history = world.parts[name].duties.holders[Duty.RETURN].history
         for number in range(400):
             await history.commit([], [], event("returned", f"1-{number}", SECOND, ["m-1"]))
         rows = [v[0] for k, v in world.store.keys.items() if k.startswith("history/return/")]
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -64,7 +64,7 @@
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = Counted(monkeypatch, (ShardState, "_stranger"), (ShardState, "_progress"))
+    taken = Counted(monkeypatch, (ShardState, "_reconcile_unknown"), (ShardState, "_progress"))
     for number in range(MACHINES):
         shown = _running(before, number)
         after.heartbeat(_name(number), *shown, fencing_token=7)
@@ -174,13 +174,13 @@
             machine.recorded = True
             shard_leader.shard.add_machine(machine)
         recordable = int((5.0 + RECORD_S) * shard_leader.store.writes.rate)  # types boot in 5 s
-        assert autoscaler._most_hires() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
+        assert autoscaler._max_rentals() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
         for number in range(recordable - 100):
             shard_leader.shard.machines[_name(number)].recorded = False
-        assert autoscaler._most_hires() == 100
+        assert autoscaler._max_rentals() == 100
         for number in range(recordable):
             shard_leader.shard.machines[_name(number)].recorded = False
-        assert autoscaler._most_hires() == MIN_RENTALS_PER_PASS
+        assert autoscaler._max_rentals() == MIN_RENTALS_PER_PASS
 
     play(story)
 
