--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -1,9 +1,10 @@
 """How many machines a shard needs, and the comparison with the cloud's list."""
 
 import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
 
 from basaltlead.clients.cloud import Cloud
-from basaltlead.config.settings import Settings
 from basaltlead.core import demand, fleet_sizing
 from basaltlead.core.entities import US, Machine, Shape
 from basaltlead.core.fleet_sizing import Demand, Offer, OfferBook, WarmSpare
@@ -16,7 +17,9 @@
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.scaling.scale_in import ScaleIn, provisioning_overdue
 from basaltlead.scaling.scale_out import ScaleOut
-from basaltlead.shard.leader import ShardLeader, unknown_machine_type
+from basaltlead.scaling.idle_retention import QuietSchedule
+from basaltlead.shard.arrivals import ArrivalHistory
+from basaltlead.shard.context import ShardContext
 from basaltlead.wire.cloud import RentedMachine
 
 # Machines that one pass asks for: a few, or a sixteenth of a large fleet, so that a fleet of
@@ -30,37 +33,52 @@
 ARRIVALS_US = 200 * US  # jobs that came in this time tell how many will come
 
 
+@dataclass(frozen=True)
+class ScalingEnvironment:
+    """What all shards of a controller share for scaling.
+
+    `shard_of` tells to which shard a machine belongs, if that is known.
+    """
+
+    cloud: Cloud
+    offer_book: OfferBook
+    shard_of: Callable[[str], int | None]
+    quiet_times: QuietSchedule | None
+
+
 class Autoscaler:
-    """Runs beside an Owner and ends with it."""
+    """Sizes the fleet of one shard, and compares it with the cloud's list."""
 
     def __init__(
         self,
-        settings: Settings,
-        cloud: Cloud,
-        shard_leader: ShardLeader,
+        context: ShardContext,
         market: Market,
-        offer_book: OfferBook,
+        arrivals: ArrivalHistory,
+        environment: ScalingEnvironment,
     ) -> None:
-        self.settings = settings
-        self.cloud = cloud
-        self.shard_leader = shard_leader
+        self.context = context
         self.market = market
-        self.offer_book = offer_book
-        self.reachability = Reachability(shard_leader)
-        self.scale_out = ScaleOut(cloud, shard_leader, offer_book)
-        self.scale_in = ScaleIn(cloud, shard_leader, self.reachability)
+        self.arrivals = arrivals
+        self.cloud = environment.cloud
+        self.offer_book = environment.offer_book
+        self.shard_of = environment.shard_of
+        self.reachability = Reachability(context)
+        self.scale_out = ScaleOut(context, environment.cloud, environment.offer_book)
+        self.scale_in = ScaleIn(
+            context, environment.cloud, self.reachability, environment.quiet_times
+        )
         self.silent_zones = SilentZones()
 
     def start(self) -> None:
         self.scale_out.start()
         self.scale_in.start()
-        self.shard_leader.spawn(self._size(), "loop size")
-        self.shard_leader.spawn(self._list(), "loop list")
+        self.context.spawn(self._size(), "loop size")
+        self.context.spawn(self._list(), "loop list")
 
     # What is wanted
 
     def needs(self, now: int) -> list[Demand]:
-        shard = self.shard_leader.shard
+        shard = self.context.shard
         job_states = [
             w
             for w in shard.job_states.values()
@@ -83,7 +101,7 @@
 
     def _lead_us(self) -> int:
         return min(
-            (machine_type.boot_us for machine_type in self.shard_leader.machine_types.values()),
+            (machine_type.boot_us for machine_type in self.context.machine_types.values()),
             default=0,
         )
 
@@ -91,18 +109,18 @@
         """Room for jobs whose class is promised a start sooner than a machine boots."""
         out = []
         for job_class, (within, *_) in self.market.objectives.starts.items():
-            seen = self.shard_leader.job_classes.get(job_class)
+            seen = self.arrivals.of_class(job_class)
             if seen is None:
                 continue
-            job = seen.last
-            suited = [k for k in self.shard_leader.machine_types.values() if k.holds(job)]
+            job = seen.last_job
+            suited = [k for k in self.context.machine_types.values() if k.holds(job)]
             if not suited:
                 continue
             boot = min(k.boot_us for k in suited)
             fetch = min(k.fetch_s(job) for k in suited)
             if boot * 1.2 + fetch * US <= within:
                 continue
-            recent = [one for one in seen.seen if now - one.at < ARRIVALS_US]
+            recent = [one for one in seen.recent if now - one.at < ARRIVALS_US]
             if recent:
                 expected = sum(one.tasks for one in recent) * boot / ARRIVALS_US
                 images = frozenset(one.image for one in recent)
@@ -114,7 +132,7 @@
         out = [m for batch in self.scale_out.pending.values() for m in batch]
         return out + [
             m
-            for m in self.shard_leader.shard.machines.values()
+            for m in self.context.shard.machines.values()
             if not m.lost
             and not provisioning_overdue(m, now)
             and not self.reachability.unreachable(m, now)
@@ -130,10 +148,10 @@
         while True:
             # The more there is to look at, the rarer: reports come first.
             await asyncio.sleep(max(0.5, SIZING_SHARE * took / US))
-            if not self.shard_leader.holds_valid_lease or not self.shard_leader.machine_types:
+            if not self.context.lease.holds_valid_lease or not self.context.machine_types:
                 continue
             now = now_us()
-            shard = self.shard_leader.shard
+            shard = self.context.shard
             needs = self.needs(now)
             run_us = {n.job_state.job.ref: shard.guess_us(n.job_state) for n in needs}
             room = MAX_OPEN_REQUESTS - len(self.scale_out.pending)
@@ -143,7 +161,7 @@
                 needs,
                 self.spares(now),
                 expected,
-                self.shard_leader.machine_types,
+                self.context.machine_types,
                 self._offers(expected, now),
                 run_us,
                 self._max_rentals(),
@@ -156,16 +174,16 @@
             for machine in shard.machines.values():
                 machine.needed = machine.name in plan.needed
             self.market.share(shard, now)
-            self.shard_leader.wake.set()
+            self.context.wake.set()
             self.scale_in.decide(plan.needed, now)
             took = now_us() - now
 
     def _max_rentals(self) -> int:
         """How many machines one pass may rental request."""
-        machines = self.shard_leader.shard.machines
+        machines = self.context.shard.machines
         unrecorded = sum(not machine.recorded for machine in machines.values())
         span_s = self._lead_us() / US + RECORD_S
-        recordable = int(span_s * self.shard_leader.store.writes.rate) - unrecorded
+        recordable = int(span_s * self.context.store.client.writes.rate) - unrecorded
         return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
     def _update_silent_zones(self, now: int) -> None:
@@ -176,7 +194,7 @@
         """What may be asked of the cloud."""
         if self.reachability.blind(now):
             return {}
-        machine_types = self.shard_leader.machine_types
+        machine_types = self.context.machine_types
         offers = self.offer_book.offers(machine_types.values(), self.scale_out.held(), now)
         for offer in self.scale_out.hanging:
             offers.pop(offer, None)
@@ -187,13 +205,13 @@
 
     async def _list(self) -> None:
         """Compare with the cloud's list: unexpected machines are taken in, failed ones go."""
-        pause = max(4.0, self.settings.facts.cloud.list_lag_s)
+        pause = max(4.0, self.context.settings.facts.cloud.list_lag_s)
         while True:
             await asyncio.sleep(pause)
             if (
-                not self.shard_leader.holds_valid_lease
-                or not self.shard_leader.machine_types
-                or self.shard_leader.membership.duties_granted
+                not self.context.lease.holds_valid_lease
+                or not self.context.machine_types
+                or self.context.membership.duties_granted
             ):
                 continue
             try:
@@ -205,17 +223,17 @@
             await self.scale_out.tidy()
 
     def _compare(self, rented: list[RentedMachine], now: int) -> None:
-        shard = self.shard_leader.shard
+        shard = self.context.shard
         for one in rented:
             if one.name in shard.gone:
                 continue
             machine = shard.machines.get(one.name)
             if machine is None and (
-                self.shard_leader.belongs_to_other_shard(one.name) or self._not_yet(one)
+                self._is_of_other_shard(one.name) or self._not_yet(one)
             ):
                 continue
             if machine is None:
-                machine_type = self.shard_leader.machine_types.get(
+                machine_type = self.context.machine_types.get(
                     one.type
                 ) or unknown_machine_type(one.type)
                 machine = Machine(one.name, machine_type, one.zone, one.spot, now)
@@ -226,7 +244,10 @@
                 log.info("machine %s has failed", one.name)
                 machine.terminating = True
 
+    def _is_of_other_shard(self, name: str) -> bool:
+        return self.shard_of(name) not in (None, self.context.number)
+
     def _not_yet(self, one: RentedMachine) -> bool:
         """With several shards, an unexpected machine may just not be written down yet by the
         shard that hired it; later it is the first shard's to take in."""
-        return self.shard_leader.shared and (self.shard_leader.number != 0 or one.age_s < 30)
+        return self.context.sharded and (self.context.number != 0 or one.age_s < 30)
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -1,6 +1,8 @@
 """A shard leader's side of quiet times: which idle machines are kept, and what is reserved for
 them."""
 
+from typing import Protocol
+
 import msgspec
 
 from basaltlead.clients.base import Backoff
@@ -8,39 +10,43 @@
 from basaltlead.core.entities import Machine
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuiet
-from basaltlead.shard.leader import ShardLeader
+from basaltlead.scaling.quiet_budget import QuietBudget, QuietTime, StoredQuiet
+from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
 
+class QuietSchedule(Protocol):
+    """The operators' calendar of quiet times."""
+
+    def current(self) -> QuietTime | None:
+        """The quiet time that it is now, if any."""
+
+
 class IdleRetention:
-    """Runs beside an Owner, if a calendar is configured."""
+    """Runs beside a shard leader, if a calendar is configured."""
 
-    def __init__(self, shard_leader: ShardLeader) -> None:
-        assert shard_leader.quiet_times is not None
-        assert shard_leader.settings.operator.quiet is not None
-        self.shard_leader = shard_leader
-        self.quiet_times = shard_leader.quiet_times
-        self.key = f"{QUIET}{shard_leader.number}"
-        most = (
-            shard_leader.settings.operator.quiet.most_cost / shard_leader.settings.operator.shards
-        )
-        self.allowance = QuietBudget(most, self._reserve)
+    def __init__(self, context: ShardContext, quiet_times: QuietSchedule) -> None:
+        operator = context.settings.operator
+        assert operator.quiet is not None
+        self.context = context
+        self.quiet_times = quiet_times
+        self.key = f"{QUIET}{context.number}"
+        self.allowance = QuietBudget(operator.quiet.most_cost / operator.shards, self._reserve)
         self.loaded = False
         self.reserving = False
 
     async def load(self) -> None:
         """What an earlier shard leader has reserved."""
-        backoff = Backoff(200_000, 2_000_000, self.shard_leader.membership.chance)
+        backoff = Backoff(200_000, 2_000_000, self.context.membership.chance)
         while not self.loaded:
             try:
-                row = await self.shard_leader.store.get(self.key)
+                row = await self.context.store.get(self.key)
             except (RequestFailed, Unavailable) as fault:
                 log.info("reading quiet times: %s", fault)
                 await backoff.rest()
                 continue
             if row is not None:
-                self.shard_leader.versions[self.key] = row.version
+                self.context.store.versions[self.key] = row.version
                 self.allowance.load(msgspec.json.decode(row.value, type=StoredQuiet))
             self.loaded = True
 
@@ -49,7 +55,7 @@
         quiet = self.quiet_times.current() if self.loaded else None
         if self.allowance.begin(quiet, now) and not self.reserving:
             self.reserving = True
-            self.shard_leader.spawn(self._reserve_more(), "reserve for quiet time")
+            self.context.spawn(self._reserve_more(), "reserve for quiet time")
 
     def keeps(self, machine: Machine) -> bool:
         """Is an idle machine kept?"""
@@ -65,7 +71,7 @@
 
     async def _reserve(self, stored: StoredQuiet) -> bool:
         try:
-            await self.shard_leader.put({self.key: stored})
+            await self.context.store.put({self.key: stored})
         except (PreconditionFailed, RequestFailed, Unavailable, SessionLeaseExpired) as fault:
             log.info("reserving for a quiet time: %s", fault)
             return False
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -19,9 +19,9 @@
 )
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.idle_retention import IdleRetention
+from basaltlead.scaling.idle_retention import IdleRetention, QuietSchedule
 from basaltlead.scaling.reachability import Reachability
-from basaltlead.shard.leader import ShardLeader
+from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import MACHINE, SCALE_IN, StoredScaleIn
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Drop, Precondition, Put
@@ -53,20 +53,26 @@
 class ScaleIn:
     """Runs beside an Owner and ends with it."""
 
-    def __init__(self, cloud: Cloud, shard_leader: ShardLeader, reachability: Reachability) -> None:
-        self.shard_leader = shard_leader
+    def __init__(
+        self,
+        context: ShardContext,
+        cloud: Cloud,
+        reachability: Reachability,
+        quiet_times: QuietSchedule | None,
+    ) -> None:
+        self.context = context
         self.reachability = reachability
-        self.returning = MachineDeletion(cloud, shard_leader)
+        self.returning = MachineDeletion(cloud, context.lease)
         self.sequence = 0
-        self.quiet = IdleRetention(shard_leader) if shard_leader.quiet_times is not None else None
+        self.quiet = IdleRetention(context, quiet_times) if quiet_times is not None else None
 
     def start(self) -> None:
         """Go on with what is recorded."""
-        self.shard_leader.spawn(self._carry_out(), "loop return")
+        self.context.spawn(self._carry_out(), "loop return")
         if self.quiet is not None:
-            self.shard_leader.spawn(self.quiet.load(), "load quiet times")
-        if self.shard_leader.membership.duty_keys:
-            self.shard_leader.spawn(self._follow(), "loop follow returns")
+            self.context.spawn(self.quiet.load(), "load quiet times")
+        if self.context.membership.duty_keys:
+            self.context.spawn(self._follow(), "loop follow returns")
 
     # What is to go
 
@@ -75,7 +81,7 @@
         others_heard = self.reachability.others_heard(now)
         if self.quiet is not None:
             self.quiet.begin(now)
-        for machine in list(self.shard_leader.shard.machines.values()):
+        for machine in list(self.context.shard.machines.values()):
             if machine.attempts or machine.terminating:
                 continue
             why = self._reason(machine, needed, others_heard, now)
@@ -92,7 +98,7 @@
             return "lost"
         if self._in_doubt_for_long(machine, now):
             return "unreachable"
-        settled = self.shard_leader.shard.settled(machine)
+        settled = self.context.shard.settled(machine)
         if machine.draining and settled:
             return "faulty"
         idle = settled and machine.name not in needed and self._idle(machine, now)
@@ -102,11 +108,11 @@
 
     def _in_doubt_for_long(self, machine: Machine, now: int) -> bool:
         since = max(machine.unreachable_since, machine.back_at)
-        patience = 2 * self.shard_leader.shard.timing.lease_expiry_us
+        patience = 2 * self.context.shard.timing.lease_expiry_us
         return bool(machine.unreachable_since) and now - since > patience
 
     def _idle(self, machine: Machine, now: int) -> bool:
-        share = self.shard_leader.settings.operator.idle_share
+        share = self.context.settings.operator.idle_share
         return (
             machine.up
             and machine.synced
@@ -117,14 +123,14 @@
     # Carrying out
 
     async def _carry_out(self) -> None:
-        backoff = Backoff(500_000, 4_000_000, self.shard_leader.membership.chance)
+        backoff = Backoff(500_000, 4_000_000, self.context.membership.chance)
         while True:
             await asyncio.sleep(PAUSE_S)
-            names = [m.name for m in self.shard_leader.shard.machines.values() if m.terminating]
-            if not names or not self.shard_leader.holds_valid_lease:
+            names = [m.name for m in self.context.shard.machines.values() if m.terminating]
+            if not names or not self.context.lease.holds_valid_lease:
                 continue
             try:
-                if self.shard_leader.membership.duties_granted:
+                if self.context.membership.duties_granted:
                     await self._record(names)
                 else:
                     await self._delete(names)
@@ -136,29 +142,27 @@
     async def _record(self, names: list[str]) -> None:
         """Have machines returned. Guarded on the record of each as we know it, and on our grant:
         whoever owns the shard from now on reads this before it acts."""
-        limits = self.shard_leader.limits
+        limits = self.context.store.limits
         most = min(
             MOST_NAMES,
             limits.preconditions - OTHER_PRECONDITIONS,
             (limits.value_bytes - RECORD_BYTES) // NAME_BYTES,
         )
-        recorded = self.shard_leader.returning
+        recorded = self.context.intents.returning
         names = [name for name in names if name not in recorded][: max(1, most)]
         if not names:
             return
         self.sequence += 1
-        token = self.shard_leader.grant.fencing_token
+        token = self.context.lease.fencing_token
         key = f"{SCALE_IN}{token}-{self.sequence}"
         stored = StoredScaleIn(names, token, wall_us())
-        versions = self.shard_leader.versions
+        versions = self.context.store.versions
         preconditions = [
             Precondition(MACHINE + name, versions.get(MACHINE + name, 0)) for name in names
         ]
         try:
             put = Put(key, stored)
-            await self.shard_leader.store.compare_and_swap(
-                [*self.shard_leader.preconditions(), Precondition(key, 0), *preconditions], [put]
-            )
+            await self.context.store.commit([put], [Precondition(key, 0), *preconditions])
         except PreconditionFailed as conflict:
             await self._refresh(conflict.failed)
         except SessionLeaseExpired:
@@ -170,8 +174,8 @@
         """Machines that were recorded while we thought that they were not."""
         for key in failed:
             if key.startswith(MACHINE):
-                row = await self.shard_leader.store.get(key)
-                self.shard_leader.versions[key] = row.version if row is not None else 0
+                row = await self.context.store.get(key)
+                self.context.store.versions[key] = row.version if row is not None else 0
 
     async def _delete(self, names: list[str]) -> None:
         """Delete what is to go, and forget it once the cloud says that it is gone."""
@@ -180,40 +184,38 @@
         if not due:
             return
         gone = await self.returning.delete(due, now)
-        machines = self.shard_leader.shard.machines
+        machines = self.context.shard.machines
         recorded = [MACHINE + n for n in gone if n in machines and machines[n].recorded]
         for name in gone:
             self._gone(name)
         done = [
             key
-            for key, one in self.shard_leader.scale_ins.items()
+            for key, one in self.context.intents.scale_ins.items()
             if not machines.keys() & set(one.names)
         ]
         for key in done:
-            self.shard_leader.scale_ins.pop(key, None)
+            self.context.intents.scale_ins.pop(key, None)
         # Their records wait for their turn among the writes; other machines do not.
-        self.shard_leader.spawn(self._forget([*recorded, *done]), "forget machines")
+        self.context.spawn(self._forget([*recorded, *done]), "forget machines")
 
     def _gone(self, name: str) -> None:
-        machine = self.shard_leader.shard.machines.get(name)
+        machine = self.context.shard.machines.get(name)
         if machine is not None:
-            self.shard_leader.dispatcher.workers.forget(machine.address)
-        self.shard_leader.shard.drop_machine(name, now_us())
-        self.shard_leader.versions.pop(MACHINE + name, None)
-        self.shard_leader.wake.set()
+            self.context.workers.forget(machine.address)
+        self.context.shard.drop_machine(name, now_us())
+        self.context.store.versions.pop(MACHINE + name, None)
+        self.context.wake.set()
 
     async def _forget(self, keys: list[str]) -> None:
         """Drop the records of machines that are gone."""
-        for some in self.shard_leader.limits.drops(keys):
+        for some in self.context.store.limits.drops(keys):
             await self._drop_records(some)
 
     async def _drop_records(self, keys: list[str]) -> None:
         drops = list(map(Drop, keys))
         for _ in range(5):
             try:
-                await self.shard_leader.store.compare_and_swap(
-                    self.shard_leader.preconditions(), drops, low_priority=True
-                )
+                await self.context.store.commit(drops, low_priority=True)
                 return
             except (RequestFailed, Unavailable):
                 await asyncio.sleep(0.5)
@@ -223,8 +225,8 @@
     # Following what the holders of duties do
 
     async def _follow(self) -> None:
-        store, watch_ms = self.shard_leader.store, self.shard_leader.membership.watch_ms
-        known = list(self.shard_leader.scale_ins)
+        store, watch_ms = self.context.store.client, self.context.membership.watch_ms
+        known = list(self.context.intents.scale_ins)
         await follow_rows(store, SCALE_IN, watch_ms, self._put, self._settled, known)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
@@ -232,15 +234,15 @@
 
     def _note(self, key: str, stored: StoredScaleIn) -> None:
         """Recorded, by us or by whoever reclaims: nothing may start there any more."""
-        self.shard_leader.scale_ins[key] = stored
+        self.context.intents.scale_ins[key] = stored
         for name in stored.names:
-            machine = self.shard_leader.shard.machines.get(name)
+            machine = self.context.shard.machines.get(name)
             if machine is not None:
                 machine.terminating = True
 
     def _settled(self, key: str) -> None:
         """The machines of a return are gone."""
-        stored = self.shard_leader.scale_ins.pop(key, None)
+        stored = self.context.intents.scale_ins.pop(key, None)
         for name in stored.names if stored is not None else ():
-            if name in self.shard_leader.shard.machines:
+            if name in self.context.shard.machines:
                 self._gone(name)
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -13,7 +13,7 @@
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import age_us, now_us, wall_us
 from basaltlead.runtime.logs import log
-from basaltlead.shard.leader import ShardLeader, unknown_machine_type
+from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import SCALE_OUT, StoredScaleOut
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Drop, Precondition, Put
@@ -29,11 +29,11 @@
 class ScaleOut:
     """Runs beside an Owner and ends with it."""
 
-    def __init__(self, cloud: Cloud, shard_leader: ShardLeader, offer_book: OfferBook) -> None:
-        self.shard_leader = shard_leader
+    def __init__(self, context: ShardContext, cloud: Cloud, offer_book: OfferBook) -> None:
+        self.context = context
         self.offer_book = offer_book
         self.machine_rental = MachineRental(
-            shard_leader.store, cloud, shard_leader, shard_leader.membership.chance
+            context.store.client, cloud, context.lease, context.membership.chance
         )
         self.sequence = 0
         self.pending: dict[str, list[Machine]] = {}  # machines of requests without an answer
@@ -41,30 +41,30 @@
 
     def start(self) -> None:
         """Take up what is recorded."""
-        for name, stored in list(self.shard_leader.scale_outs.items()):
+        for name, stored in list(self.context.intents.scale_outs.items()):
             if stored.names is not None:
                 self._expect(stored, stored.names)
-            elif self.shard_leader.membership.duties_granted:
+            elif self.context.membership.duties_granted:
                 self._await_machines(name, stored)
             else:
                 self._carry_out_beside(name, stored)
-        if self.shard_leader.membership.duty_keys:
-            self.shard_leader.spawn(self._follow(), "loop follow requests")
-            self.shard_leader.spawn(self._carry_out_unclaimed(), "loop carry out requests")
+        if self.context.membership.duty_keys:
+            self.context.spawn(self._follow(), "loop follow requests")
+            self.context.spawn(self._carry_out_unclaimed(), "loop carry out requests")
 
     @property
     def hanging(self) -> set[Offer]:
         """Offers of which a request stands that the cloud refuses for good."""
         return {
             Offer(stored.type_name, stored.zone, stored.spot)
-            for stored in self.shard_leader.scale_outs.values()
+            for stored in self.context.intents.scale_outs.values()
             if stored.names is None and stored.refused is not msgspec.UNSET
         }
 
     def held(self) -> dict[Offer, int]:
         """Machines we hold, by what they were offered as."""
         out: dict[Offer, int] = {}
-        for machine in self.shard_leader.shard.machines.values():
+        for machine in self.context.shard.machines.values():
             offer = Offer(machine.machine_type.name, machine.zone, machine.spot)
             out[offer] = out.get(offer, 0) + 1
         return out
@@ -72,7 +72,7 @@
     def request(self, offer: Offer, count: int) -> None:
         """Ask for machines."""
         self.sequence += 1
-        name = f"h-{self.shard_leader.grant.fencing_token}-{self.sequence}"
+        name = f"h-{self.context.lease.fencing_token}-{self.sequence}"
         stored = StoredScaleOut(
             offer.type_name,
             offer.zone,
@@ -80,13 +80,13 @@
             min(count, self._max_machines_per_request()),
             wall_us(),
             None,
-            self.shard_leader.number,
+            self.context.number,
         )
-        self.shard_leader.spawn(self._record(name, stored), f"hire {name}")
+        self.context.spawn(self._record(name, stored), f"hire {name}")
 
     def _max_machines_per_request(self) -> int:
         """Machines in one request: their names must fit into its record."""
-        room = self.shard_leader.limits.value_bytes - REQUEST_BYTES
+        room = self.context.store.limits.value_bytes - REQUEST_BYTES
         return max(1, min(MAX_MACHINES_PER_REQUEST, room // NAME_BYTES))
 
     async def _record(self, name: str, stored: StoredScaleOut) -> None:
@@ -94,30 +94,28 @@
         the same name instead of renting twice."""
         self._await_machines(name, stored)
         # Guarded on there being none: a name is never used again.
-        preconditions = [*self.shard_leader.preconditions(), Precondition(SCALE_OUT + name, 0)]
-        delegated = self.shard_leader.membership.duties_granted
+        preconditions = [Precondition(SCALE_OUT + name, 0)]
+        delegated = self.context.membership.duties_granted
         if delegated:
-            held = self.shard_leader.membership.cluster.grants.get(Duty.RENT.key)
+            held = self.context.membership.cluster.grants.get(Duty.RENT.key)
             stored.duty_token = held[0].fencing_token if held is not None else 0
             preconditions.append(Precondition(Duty.RENT.key, held[1] if held is not None else 0))
         try:
-            version = await self.shard_leader.store.compare_and_swap(
-                preconditions, [Put(SCALE_OUT + name, stored)]
-            )
+            version = await self.context.store.commit([Put(SCALE_OUT + name, stored)], preconditions)
         except ServiceError as fault:
             log.info("hire %s not recorded: %s", name, fault)
             self.pending.pop(name, None)
             return
         self._note_version(name, version)
-        if name in self.shard_leader.scale_outs:
+        if name in self.context.intents.scale_outs:
             return  # told by the watch already
-        self.shard_leader.scale_outs[name] = stored
+        self.context.intents.scale_outs[name] = stored
         if not delegated:
             self._carry_out_beside(name, stored)
 
     def _await_machines(self, name: str, stored: StoredScaleOut) -> None:
         """Reckon with what a request will bring."""
-        machine_type = self.shard_leader.machine_types.get(
+        machine_type = self.context.machine_types.get(
             stored.type_name
         ) or unknown_machine_type(stored.type_name)
         now = now_us()
@@ -129,7 +127,7 @@
     # Carrying out under the shard's own lease
 
     def _carry_out_beside(self, name: str, stored: StoredScaleOut) -> None:
-        self.carrying[name] = self.shard_leader.spawn(self._carry_out(name, stored), f"hire {name}")
+        self.carrying[name] = self.context.spawn(self._carry_out(name, stored), f"hire {name}")
 
     async def _carry_out(self, name: str, stored: StoredScaleOut) -> None:
         if name not in self.pending:
@@ -138,7 +136,7 @@
             names = await self.machine_rental.ask(
                 name, stored, lambda why: self._refused(name, why)
             )
-            version = self.shard_leader.versions.pop(SCALE_OUT + name, 0)
+            version = self.context.store.versions.pop(SCALE_OUT + name, 0)
             if names is None:
                 self._no_capacity(name)
                 await self.machine_rental.settle(name, None, version)
@@ -154,59 +152,59 @@
 
     async def _refused(self, name: str, reason: str) -> None:
         """Nobody counts on its machines, and nobody waits for it: others are asked for."""
-        self.shard_leader.scale_outs[name].refused = reason[:MOST_REASON]
+        self.context.intents.scale_outs[name].refused = reason[:MOST_REASON]
         self.pending.pop(name, None)
 
     # What became of requests
 
     def _settled(self, name: str, stored: StoredScaleOut) -> None:
-        self.shard_leader.scale_outs[name] = stored
+        self.context.intents.scale_outs[name] = stored
         self._expect(stored, stored.names or [])
         offer = Offer(stored.type_name, stored.zone, stored.spot)
         if name in self.pending and len(stored.names or ()) < stored.number:
             self.offer_book.refused(offer, self.held().get(offer, 0), now_us())
 
     def _no_capacity(self, name: str) -> None:
-        stored = self.shard_leader.scale_outs.pop(name, None)
+        stored = self.context.intents.scale_outs.pop(name, None)
         if name in self.pending and stored is not None:
             offer = Offer(stored.type_name, stored.zone, stored.spot)
             self.offer_book.refused(offer, self.held().get(offer, 0), now_us())
 
     def _expect(self, stored: StoredScaleOut, names: list[str]) -> None:
         now = now_us()
-        returning = self.shard_leader.returning
-        machine_type = self.shard_leader.machine_types.get(
+        returning = self.context.intents.returning
+        machine_type = self.context.machine_types.get(
             stored.type_name
         ) or unknown_machine_type(stored.type_name)
         for name in names:
-            if name in self.shard_leader.shard.gone:
+            if name in self.context.shard.gone:
                 continue
             machine = Machine(name, machine_type, stored.zone, stored.spot, now)
             machine.made_at = now - age_us(stored.at)
             machine.terminating = name in returning
-            self.shard_leader.shard.add_machine(machine)
+            self.context.shard.add_machine(machine)
 
     # Following what the holder of the duty does
 
     async def _follow(self) -> None:
-        store, watch_ms = self.shard_leader.store, self.shard_leader.membership.watch_ms
-        known = [SCALE_OUT + name for name in self.shard_leader.scale_outs]
+        store, watch_ms = self.context.store.client, self.context.membership.watch_ms
+        known = [SCALE_OUT + name for name in self.context.intents.scale_outs]
         await follow_rows(store, SCALE_OUT, watch_ms, self._put, self._dropped, known)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         name = key[len(SCALE_OUT) :]
         stored = msgspec.json.decode(raw, type=StoredScaleOut)
-        if stored.shard != self.shard_leader.number or name in self.carrying:
+        if stored.shard != self.context.number or name in self.carrying:
             return
         self._note_version(name, version)
-        known = self.shard_leader.scale_outs.get(name)
+        known = self.context.intents.scale_outs.get(name)
         if stored.names is not None:
             if known is None or known.names is None:
                 self._settled(name, stored)
                 self.pending.pop(name, None)
-                self.shard_leader.wake.set()
+                self.context.wake.set()
             return
-        self.shard_leader.scale_outs[name] = stored
+        self.context.intents.scale_outs[name] = stored
         if stored.refused is not msgspec.UNSET:
             self.pending.pop(name, None)
         elif name not in self.pending:
@@ -216,16 +214,16 @@
         name = key[len(SCALE_OUT) :]
         if name in self.carrying:
             return
-        self.shard_leader.versions.pop(SCALE_OUT + name, None)
-        stored = self.shard_leader.scale_outs.get(name)
+        self.context.store.versions.pop(SCALE_OUT + name, None)
+        stored = self.context.intents.scale_outs.get(name)
         if stored is not None and stored.names is None:
             self._no_capacity(name)
             self.pending.pop(name, None)
         else:
-            self.shard_leader.scale_outs.pop(name, None)
+            self.context.intents.scale_outs.pop(name, None)
 
     def _note_version(self, name: str, version: int) -> None:
-        versions = self.shard_leader.versions
+        versions = self.context.store.versions
         versions[SCALE_OUT + name] = max(versions.get(SCALE_OUT + name, 0), version)
 
     async def _carry_out_unclaimed(self) -> None:
@@ -233,18 +231,18 @@
         while True:
             await asyncio.sleep(UNCLAIMED_PAUSE_S)
             if (
-                self.shard_leader.membership.duties_granted
-                or not self.shard_leader.holds_valid_lease
+                self.context.membership.duties_granted
+                or not self.context.lease.holds_valid_lease
             ):
                 continue
-            for name, stored in list(self.shard_leader.scale_outs.items()):
+            for name, stored in list(self.context.intents.scale_outs.items()):
                 if stored.names is None and name not in self.carrying:
                     self._carry_out_beside(name, stored)
 
     async def tidy(self) -> None:
         """Records of requests whose machines are all up or gone are not needed any more."""
-        shard = self.shard_leader.shard
-        for name, stored in list(self.shard_leader.scale_outs.items()):
+        shard = self.context.shard
+        for name, stored in list(self.context.intents.scale_outs.items()):
             if stored.names is None:
                 continue
             waiting = [
@@ -253,9 +251,7 @@
             if not waiting:
                 try:
                     drop = [Drop(SCALE_OUT + name)]
-                    await self.shard_leader.store.compare_and_swap(
-                        self.shard_leader.preconditions(), drop, low_priority=True
-                    )
-                    self.shard_leader.scale_outs.pop(name, None)
+                    await self.context.store.commit(drop, low_priority=True)
+                    self.context.intents.scale_outs.pop(name, None)
                 except ServiceError:
                     return
--- /dev/null
+++ b/basaltlead/shard/context.py
@@ -0,0 +1,70 @@
+"""What the parts of a shard leader share."""
+
+import asyncio
+from collections.abc import Coroutine
+from dataclasses import dataclass, field
+from typing import Any
+
+from basaltlead.clients.workers import Workers
+from basaltlead.cluster.membership import Membership
+from basaltlead.config.settings import Settings
+from basaltlead.core.entities import US, MachineType
+from basaltlead.core.shard import Shard
+from basaltlead.runtime.tasks import BackgroundTasks
+from basaltlead.shard.lease import ShardLease
+from basaltlead.shard.store import ShardStore
+from basaltlead.storage.records import StoredScaleIn, StoredScaleOut
+from basaltlead.storage.result_rows import ResultLayout
+
+UNKNOWN_BOOT_US = 60 * US
+
+
+@dataclass
+class ScalingIntents:
+    """Recorded decisions about machines: `scale_outs` by request name, `scale_ins` by key."""
+
+    scale_outs: dict[str, StoredScaleOut] = field(default_factory=dict)
+    scale_ins: dict[str, StoredScaleIn] = field(default_factory=dict)
+
+    @property
+    def returning(self) -> set[str]:
+        """Names of the machines that are recorded as to be returned."""
+        return {name for scale_in in self.scale_ins.values() for name in scale_in.names}
+
+
+@dataclass(frozen=True)
+class ShardContext:
+    """The lease to check, the store to write to, and the jobs and machines of one shard."""
+
+    settings: Settings
+    membership: Membership
+    lease: ShardLease
+    store: ShardStore
+    shard: Shard
+    layout: ResultLayout
+    machine_types: dict[str, MachineType]
+    tasks: BackgroundTasks
+    workers: Workers
+    intents: ScalingIntents = field(default_factory=ScalingIntents)
+    wake: asyncio.Event = field(default_factory=asyncio.Event)  # something may be startable now
+
+    @property
+    def number(self) -> int:
+        """The number of the shard."""
+        return self.lease.number
+
+    @property
+    def sharded(self) -> bool:
+        """Is the work divided among several shards?"""
+        return self.settings.operator.shards > 1
+
+    def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
+        """Run something until it ends or the shard is released."""
+        return self.tasks.spawn(coroutine, name)
+
+    def machine_type(self, name: str) -> MachineType:
+        """The machine type of that name. One that the cloud has not listed holds no task."""
+        known = self.machine_types.get(name)
+        if known is not None:
+            return known
+        return MachineType(name, 0.0, 0.0, 0.0, 0.0, None, UNKNOWN_BOOT_US, 1.0, 1.0, ())
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -1,211 +1,212 @@
-"""The direct ways to a shard's machines: orders that can't wait for a report, questions whether a
-machine hears us, and the record that must stand before its first task."""
+"""Commands that are pushed to a shard's machines, outside the answers to their heartbeats.
+
+It also probes machines that may not receive our commands, and writes the record that must stand
+before the first task is started on a machine.
+"""
 
 import asyncio
-from typing import TYPE_CHECKING
 
 import msgspec
 
-from basaltlead.clients.workers import Workers
 from basaltlead.config.settings import Settings
 from basaltlead.core.entities import US, Attempt, Machine
 from basaltlead.core.shard import TaskCommand
 from basaltlead.errors import PreconditionFailed, RequestFailed, ServiceError
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
+from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import MACHINE, StoredMachine
 from basaltlead.wire.store import Precondition, Put
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
 
-if TYPE_CHECKING:
-    from basaltlead.shard.leader import ShardLeader
-
-
-LEAST_SOCKETS = 8  # to workers, whoever else needs some
+MIN_WORKER_SOCKETS = 8  # to workers, whoever else needs some
+WORKER_SOCKETS_DIVISOR = 5  # of our sockets, the part that may go to workers
+PUSH_BACKOFF_US = 2 * US  # a machine that did not answer gets no pushed command for so long
+MAX_PROBES = 6
+PROBE_PAUSE_S = 0.5
 
 
 def to_worker_command(command: TaskCommand) -> WorkerCommand:
     """A task command as it is sent to a worker."""
-    return WorkerCommand(
-        command.verb, f"{command.ref}/{command.index}", command.attempt_number, command.grace_s
-    )
+    task = f"{command.ref}/{command.index}"
+    return WorkerCommand(command.verb, task, command.attempt_number, command.grace_s)
 
 
 def worker_sockets(settings: Settings) -> int:
-    """How many of our sockets may go to workers at most; they share with those who come to us,
-    and give way to them."""
-    return max(LEAST_SOCKETS, settings.facts.quota.fd_limit // 5)
+    """How many of our sockets may go to workers at most.
 
+    They share the limit with incoming connections, and give way to them.
+    """
+    return max(MIN_WORKER_SOCKETS, settings.facts.quota.fd_limit // WORKER_SOCKETS_DIVISOR)
 
-class WorkerDispatcher:
-    """Runs beside an Owner and ends with it."""
 
-    def __init__(self, shard_leader: "ShardLeader") -> None:
-        self.shard_leader = shard_leader
-        most = worker_sockets(shard_leader.settings)
-        self.workers = Workers(most, lambda: shard_leader.sockets_left())
-        # Questions to silent machines take their whole time: with hundreds of those, orders for
+class WorkerDispatcher:
+    """Pushes commands to machines, probes them, and records them."""
+
+    def __init__(self, context: ShardContext) -> None:
+        self.context = context
+        self.lease = context.lease
+        self.shard = context.shard
+        self.workers = context.workers
+        # Probes of silent machines take their whole timeout: with hundreds of those, commands for
         # the others would have to wait behind them.
-        self.asking = asyncio.Semaphore(max(2, most // 2))
-        self.pushing: set[str] = set()  # machines with direct orders under way
-        self.probing: set[str] = set()  # machines that are being asked whether they hear us
-        self.recording: set[str] = set()  # machines that are being written down
-        self.heard_at = 0  # the last word of any machine that shows our fencing token
+        self._probe_slots = asyncio.Semaphore(max(2, worker_sockets(context.settings) // 2))
+        self._pushing: set[str] = set()  # names of machines with pushed commands in flight
+        self._probing: set[str] = set()
+        self._recording: set[str] = set()
+        self.heard_at = 0  # when any machine last showed our fencing token
 
     def _holds_valid_lease(self) -> bool:
-        return self.shard_leader.holds_valid_lease
+        return self.lease.holds_valid_lease
 
     def close(self) -> None:
+        """Close the connections to all workers."""
         for address in list(self.workers.pools):
             self.workers.forget(address)
 
     def push_all(self, now: int) -> None:
-        """Send what can't wait for the next report straight to the workers."""
-        shard = self.shard_leader.shard
+        """Push what can't wait for the next heartbeat."""
+        shard = self.shard
         for name in list(shard.urgent):
             machine = shard.machines.get(name)
             if machine is None:
                 del shard.urgent[name]
                 continue
-            if name in self.pushing or now < machine.push_backoff_until:
+            if name in self._pushing or now < machine.push_backoff_until:
                 continue
-            commands, pushed_starts = shard.take_push_commands(machine, now)
+            commands, starts = shard.take_push_commands(machine, now)
             if not shard.has_pending_commands(machine):
                 del shard.urgent[name]
             if commands:
-                self.pushing.add(machine.name)
-                self.shard_leader.spawn(
-                    self._push(machine, commands, pushed_starts), f"push {machine.name}"
-                )
+                self._pushing.add(machine.name)
+                self.context.spawn(self._push(machine, commands, starts), f"push {machine.name}")
 
     async def _push(
-        self, machine: Machine, commands: list[TaskCommand], pushed_starts: list[Attempt]
+        self, machine: Machine, commands: list[TaskCommand], starts: list[Attempt]
     ) -> None:
-        executed: bool | None = None
+        executed: bool | None = None  # None: nobody knows
         try:
-            worker_commands = [to_worker_command(command) for command in commands]
-            command = DirectCommand(
-                self.shard_leader.grant.fencing_token, machine.epoch, worker_commands
-            )
-            executed, heartbeat = await self.workers.command(
-                machine.address, command, self._holds_valid_lease
-            )
-            if self.shard_leader.stepped_down or heartbeat.machine != machine.name:
-                executed = None
-            else:
-                self.shard_leader.shard.answer(
-                    heartbeat, now_us(), pushed_starts if executed else ()
-                )
+            executed = await self._send(machine, commands, starts)
         except RequestFailed as fault:
-            log.debug("orders for %s: %s", machine.name, fault)
+            log.debug("pushing commands to %s: %s", machine.name, fault)
             executed = None if fault.sent else False
         finally:
-            self.pushing.discard(machine.name)
-            self.shard_leader.shard.acknowledge_starts(pushed_starts, executed)
-            if executed is not True:  # its reports still reach us, if it lives
-                machine.push_backoff_until = now_us() + 2 * US
+            self._pushing.discard(machine.name)
+            self.shard.acknowledge_starts(starts, executed)
+            if executed is not True:  # its heartbeats still reach us, if it is alive
+                machine.push_backoff_until = now_us() + PUSH_BACKOFF_US
             if executed is None:
-                self.shard_leader.shard.mark_unreachable(machine, now_us())
-            self.shard_leader.wake.set()
+                self.shard.mark_unreachable(machine, now_us())
+            self.context.wake.set()
+
+    async def _send(
+        self, machine: Machine, commands: list[TaskCommand], starts: list[Attempt]
+    ) -> bool | None:
+        """Send commands and take in the answer; whether they were executed, None if unknown."""
+        worker_commands = [to_worker_command(command) for command in commands]
+        request = DirectCommand(self.lease.fencing_token, machine.epoch, worker_commands)
+        executed, heartbeat = await self.workers.command(
+            machine.address, request, self._holds_valid_lease
+        )
+        if self.lease.stepped_down or heartbeat.machine != machine.name:
+            return None
+        self.shard.answer(heartbeat, now_us(), starts if executed else ())
+        return executed
 
     def record(self, machine: Machine) -> None:
-        """A machine must stand in the key-value store before its first task, so that the next
-        shard leader knows where tasks may be. Only one that has shown our fencing token: a late
-        copy must not bring back a machine that is gone."""
-        if machine.name not in self.recording:
-            self.recording.add(machine.name)
-            self.shard_leader.spawn(self._store_machine(machine), f"record {machine.name}")
-
-    async def _store_machine(self, machine: Machine) -> None:
+        """Record a machine that has shown our fencing token.
+
+        A machine must stand in the key-value store before its first task, so that the next shard
+        leader knows where tasks may be. A late heartbeat must not bring back a machine that is
+        gone: hence only one that has shown the token.
+        """
+        if machine.name not in self._recording:
+            self._recording.add(machine.name)
+            self.context.spawn(self._record(machine), f"record {machine.name}")
+
+    async def _record(self, machine: Machine) -> None:
+        key = MACHINE + machine.name
         stored = StoredMachine(
             machine.machine_type.name,
             machine.zone,
             machine.spot,
             machine.address,
             wall_us(),
-            self.shard_leader.number,
+            self.context.number,
         )
+        store = self.context.store
         try:
-            # Guarded on there being no such record: a machine belongs to the first shard that
-            # writes it down.
-            preconditions = [
-                *self.shard_leader.preconditions(),
-                Precondition(MACHINE + machine.name, 0),
-            ]
-            puts = [Put(MACHINE + machine.name, stored)]
-            version = await self.shard_leader.store.compare_and_swap(
-                preconditions, puts, low_priority=True
-            )
-            self.shard_leader.versions[MACHINE + machine.name] = version
+            # It depends on there being no such record: a machine belongs to the first shard that
+            # records it.
+            changes, unrecorded = [Put(key, stored)], [Precondition(key, 0)]
+            store.versions[key] = await store.commit(changes, unrecorded, low_priority=True)
         except PreconditionFailed as conflict:
-            if MACHINE + machine.name not in conflict.failed or not await self._is_ours(machine):
+            if key not in conflict.failed or not await self._recorded_by_us(machine):
                 return
         except ServiceError as fault:
-            log.info("recording %s: %s", machine.name, fault)
-            return  # its next report tries again
+            log.info("machine %s not recorded, its next heartbeat retries: %s", machine.name, fault)
+            return
         finally:
-            self.recording.discard(machine.name)
+            self._recording.discard(machine.name)
         if not machine.terminating:
             machine.recorded = True
-            self.shard_leader.shard.dirty = True
-            self.shard_leader.wake.set()
+            self.shard.dirty = True
+            self.context.wake.set()
             log.info(
-                "machine %s (%s in %s) is up", machine.name, machine.machine_type.name, machine.zone
+                "machine %s (%s in %s) ready", machine.name, machine.machine_type.name, machine.zone
             )
 
-    async def _is_ours(self, machine: Machine) -> bool:
-        """Does the record that stands name this shard? An unanswered write of ours may have
-        been executed. A machine of another shard's is none of our business."""
+    async def _recorded_by_us(self, machine: Machine) -> bool:
+        """Does the record that stands name this shard? An unanswered write of ours may have been
+        executed. A machine of another shard is dropped."""
         try:
-            row = await self.shard_leader.store.get(MACHINE + machine.name)
+            row = await self.context.store.get(MACHINE + machine.name)
         except ServiceError:
             return False
         if row is None:
             return False
-        if msgspec.json.decode(row.value, type=StoredMachine).shard == self.shard_leader.number:
-            self.shard_leader.versions[row.key] = row.version
+        if msgspec.json.decode(row.value, type=StoredMachine).shard == self.context.number:
+            self.context.store.versions[row.key] = row.version
             return True
-        log.info("machine %s belongs to another block", machine.name)
-        self.shard_leader.shard.machines.pop(machine.name, None)
+        log.info("machine %s belongs to another shard", machine.name)
+        self.shard.machines.pop(machine.name, None)
         return False
 
     def probe(self, machine: Machine) -> None:
         """Ask a machine directly, so that it shows our fencing token, and that our commands reach
-        it, before its next report."""
-        if machine.name not in self.probing and now_us() >= machine.push_backoff_until:
-            self.probing.add(machine.name)
-            self.shard_leader.spawn(self._probe(machine), f"probe {machine.name}")
+        it, before its next heartbeat."""
+        if machine.name not in self._probing and now_us() >= machine.push_backoff_until:
+            self._probing.add(machine.name)
+            self.context.spawn(self._probe(machine), f"probe {machine.name}")
 
     async def _probe(self, machine: Machine) -> None:
         epoch = machine.epoch or 1
         try:
-            for _ in range(6):
-                if (
-                    not self.shard_leader.holds_valid_lease
-                    or self.shard_leader.shard.machines.get(machine.name) is not machine
-                ):
+            for _ in range(MAX_PROBES):
+                known = self.shard.machines.get(machine.name) is machine
+                if not self.lease.holds_valid_lease or not known:
                     return
                 try:
-                    command = DirectCommand(self.shard_leader.grant.fencing_token, epoch, [])
-                    async with self.asking:
+                    request = DirectCommand(self.lease.fencing_token, epoch, [])
+                    async with self._probe_slots:
                         executed, heartbeat = await self.workers.command(
-                            machine.address, command, self._holds_valid_lease
+                            machine.address, request, self._holds_valid_lease
                         )
                 except RequestFailed:
-                    if machine.name not in self.shard_leader.shard.unsynced:
-                        machine.push_backoff_until = now_us() + 2 * US
-                        return  # its next report asks again
-                    await asyncio.sleep(0.5)
+                    if machine.name not in self.shard.unsynced:
+                        machine.push_backoff_until = now_us() + PUSH_BACKOFF_US
+                        return  # its next heartbeat has it probed again
+                    await asyncio.sleep(PROBE_PAUSE_S)
                     continue
                 if heartbeat.machine != machine.name:
                     return
                 epoch = heartbeat.epoch
-                if executed and self.shard_leader.holds_valid_lease:
-                    self.shard_leader.shard.answer(heartbeat, now_us())
+                if executed and self.lease.holds_valid_lease:
+                    self.shard.answer(heartbeat, now_us())
                     self.heard_at = now_us()
                     if machine.synced and not machine.recorded:
                         self.record(machine)
-                    self.shard_leader.wake.set()
+                    self.context.wake.set()
                     return
         finally:
-            self.probing.discard(machine.name)
+            self._probing.discard(machine.name)
--- /dev/null
+++ b/basaltlead/shard/heartbeats.py
@@ -0,0 +1,74 @@
+"""Answers to the heartbeats of a shard's workers."""
+
+from basaltlead.clients.base import encode
+from basaltlead.core.entities import Machine
+from basaltlead.core.shard import TaskCommand
+from basaltlead.net.http import Response
+from basaltlead.runtime.clock import now_us
+from basaltlead.shard.context import ShardContext
+from basaltlead.shard.dispatcher import WorkerDispatcher, to_worker_command
+from basaltlead.wire.workers import Heartbeat, HeartbeatResponse
+
+
+class HeartbeatHandler:
+    """Takes in heartbeats; each answer renews the worker's lease and carries its commands."""
+
+    def __init__(self, context: ShardContext, dispatcher: WorkerDispatcher) -> None:
+        self.context = context
+        self.lease = context.lease
+        self.shard = context.shard
+        self.dispatcher = dispatcher
+        self.loaded = False
+        # When machines were answered before the shard was loaded.
+        self.answered_at: dict[str, int] = {}
+
+    def handle(self, heartbeat: Heartbeat) -> Response | None:
+        """The answer to a worker, or None when another controller must give it."""
+        if not self.lease.holds_valid_lease:
+            return None
+        now = now_us()
+        if heartbeat.fencing_token > self.lease.fencing_token:
+            return None
+        if not self.loaded:
+            self.answered_at[heartbeat.machine] = now
+            return self._renewal(self.shard.halt_orphans(heartbeat))
+        shows_token = heartbeat.fencing_token == self.lease.fencing_token
+        machine = self.shard.machines.get(heartbeat.machine)
+        if machine is None:
+            if heartbeat.machine in self.shard.gone:
+                return None
+            if not shows_token:
+                # A machine that stands in no record: a rental request that was executed late, or a
+                # late copy from a machine that an earlier shard leader returned. Tasks are started
+                # on recorded machines only, so it holds none. That it exists is certain only once
+                # it shows our fencing token.
+                return self._renewal(self.shard.halt_orphans(heartbeat))
+            machine = self._register_machine(heartbeat, now)
+        commands = self.shard.heartbeat(heartbeat, now)
+        if commands is None:
+            return None
+        if machine.heard_at == now:
+            self._after_heartbeat(machine, shows_token, now)
+        if self.shard.dirty:
+            self.context.wake.set()
+        return self._renewal(commands)
+
+    def _register_machine(self, heartbeat: Heartbeat, now: int) -> Machine:
+        machine_type = self.context.machine_type(heartbeat.type)
+        machine = Machine(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, now)
+        self.shard.add_machine(machine)
+        return machine
+
+    def _after_heartbeat(self, machine: Machine, shows_token: bool, now: int) -> None:
+        """Record a machine that is new, and probe one that may not receive our commands."""
+        if shows_token:
+            self.dispatcher.heard_at = now
+            if not machine.recorded:
+                self.dispatcher.record(machine)
+        if machine.unreachable_since or not machine.synced:
+            self.dispatcher.probe(machine)
+
+    def _renewal(self, commands: list[TaskCommand]) -> Response:
+        worker_commands = [to_worker_command(command) for command in commands]
+        body = HeartbeatResponse(self.lease.fencing_token, worker_commands)
+        return Response(200, encode(body))
--- /dev/null
+++ b/basaltlead/shard/loader.py
@@ -0,0 +1,107 @@
+"""Failover: what a new shard leader reads from the key-value store before it acts."""
+
+import asyncio
+from collections.abc import Mapping
+
+import msgspec
+
+from basaltlead.core.entities import Machine
+from basaltlead.core.market import Market, TeamRecord
+from basaltlead.runtime.clock import age_us, now_us
+from basaltlead.runtime.logs import log
+from basaltlead.shard.context import ShardContext
+from basaltlead.shard.open_jobs import OpenJobs
+from basaltlead.shard.rebalancer import Rebalancer
+from basaltlead.storage.records import (
+    ASSIGNMENT,
+    MACHINE,
+    OPEN,
+    SCALE_IN,
+    SCALE_OUT,
+    TEAM,
+    StoredMachine,
+    StoredScaleIn,
+    StoredScaleOut,
+)
+from basaltlead.wire.store import Row
+
+
+class ShardLoader:
+    """Reads the records of a shard once, in an order that misses nothing."""
+
+    def __init__(
+        self, context: ShardContext, open_jobs: OpenJobs, rebalancer: Rebalancer, market: Market
+    ) -> None:
+        self.context = context
+        self.open_jobs = open_jobs
+        self.rebalancer = rebalancer
+        self.market = market
+
+    async def load(self, answered_at: Mapping[str, int]) -> int:
+        """Read everything; the revision from which the open jobs are to be followed.
+
+        `answered_at` tells when machines were answered before they were loaded. Raises
+        ServiceError: the caller tries again.
+        """
+        store, intents = self.context.store, self.context.intents
+        requested_at = now_us()
+        # Scale-ins beside the jobs, so that they cost a failover no time, and before the machines:
+        # one that is returned meanwhile stands in neither listing or in both.
+        (jobs, revision), (scale_ins, _) = await asyncio.gather(
+            store.rows(OPEN), store.rows(SCALE_IN)
+        )
+        self.open_jobs.load(jobs, requested_at)
+        for row in scale_ins:
+            intents.scale_ins[row.key] = msgspec.json.decode(row.value, type=StoredScaleIn)
+        returning = intents.returning
+        machines, _ = await store.rows(MACHINE)
+        scale_outs, _ = await store.rows(SCALE_OUT)
+        teams, _ = await store.rows(TEAM)
+        assignments, watch_from = ([], 0)
+        if self.context.sharded:
+            assignments, watch_from = await store.rows(ASSIGNMENT)
+        self._load_machines(machines, returning, answered_at)
+        self._load_scale_outs(scale_outs)
+        self.rebalancer.load(assignments, watch_from)
+        self._load_teams(teams)
+        log.info(
+            "shard %d loaded: %d jobs, %d machines, %d scale-out requests",
+            self.context.number,
+            len(self.context.shard.job_states),
+            len(self.context.shard.machines),
+            len(intents.scale_outs),
+        )
+        return revision
+
+    def _load_machines(
+        self, rows: list[Row], returning: set[str], answered_at: Mapping[str, int]
+    ) -> None:
+        shard = self.context.shard
+        now = now_us()
+        for row in rows:
+            stored = msgspec.json.decode(row.value, type=StoredMachine)
+            if stored.shard != self.context.number:
+                continue
+            machine_type = self.context.machine_type(stored.type_name)
+            name = row.key[len(MACHINE) :]
+            machine = Machine(name, machine_type, stored.zone, stored.spot, now)
+            machine.address = stored.address
+            machine.made_at = now - age_us(stored.at)
+            machine.answered_at = answered_at.get(name, shard.took_at)
+            machine.terminating = name in returning
+            self.context.store.versions[row.key] = row.version
+            shard.load_machine(machine)
+
+    def _load_scale_outs(self, rows: list[Row]) -> None:
+        for row in rows:
+            scale_out = msgspec.json.decode(row.value, type=StoredScaleOut)
+            if scale_out.shard == self.context.number:
+                self.context.intents.scale_outs[row.key[len(SCALE_OUT) :]] = scale_out
+                self.context.store.versions[row.key] = row.version
+
+    def _load_teams(self, rows: list[Row]) -> None:
+        for row in rows:
+            team, _, number = row.key[len(TEAM) :].rpartition("/")
+            if number == str(self.context.number):
+                self.context.store.versions[row.key] = row.version
+                self.market.load(team, msgspec.json.decode(row.value, type=TeamRecord))
--- /dev/null
+++ b/basaltlead/shard/open_jobs.py
@@ -0,0 +1,114 @@
+"""The open jobs of a shard: taken in from the key-value store, and closed when they are over."""
+
+from collections.abc import Callable
+
+import msgspec
+
+from basaltlead.core.market import Market
+from basaltlead.runtime.clock import age_us, now_us
+from basaltlead.runtime.logs import log
+from basaltlead.shard.arrivals import ArrivalHistory
+from basaltlead.shard.context import ShardContext
+from basaltlead.shard.rebalancer import Rebalancer
+from basaltlead.shard.results import ResultWriter
+from basaltlead.storage.records import OPEN, StoredJob, job_of
+from basaltlead.storage.result_rows import CHUNK_SHARDS, load_results, split_open
+from basaltlead.storage.watch import follow
+from basaltlead.wire.store import Change, Row
+
+
+class OpenJobs:
+    """Follows the rows under `open/`: jobs, and results that any shard has recorded."""
+
+    def __init__(
+        self,
+        context: ShardContext,
+        market: Market,
+        results: ResultWriter,
+        rebalancer: Rebalancer,
+        is_cancelled: Callable[[str], bool],
+    ) -> None:
+        """`is_cancelled` tells whether a job is known to be cancelled, whatever the rows say."""
+        self.context = context
+        self.shard = context.shard
+        self.market = market
+        self.results = results
+        self.rebalancer = rebalancer
+        self.is_cancelled = is_cancelled
+        self.arrivals = ArrivalHistory()
+        self.loaded = False
+        self.orphaned_rows: list[str] = []  # results of jobs that are over, found while loading
+
+    def load(self, rows: list[Row], requested_at: int) -> None:
+        """Take in the first listing, which was requested at that time."""
+        for row in rows:
+            self.take_row(row.key, row.value, row.version, now_us())
+        self.context.lease.cancellations_as_of = requested_at
+
+    async def follow(self, since: int) -> None:
+        """Follow the rows from a revision on, until the shard is released."""
+        await follow(
+            self.context.store.client,
+            OPEN,
+            self.context.membership.watch_ms,
+            self._relist,
+            self._apply,
+            self._up_to_date,
+            since,
+        )
+
+    def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
+        """Take in a row under `open/`: a job, or results of some of its tasks."""
+        ref, part = split_open(key)
+        job_state = self.shard.job_states.get(ref)
+        if part is None:
+            if job_state is None:
+                self._add_job(ref, raw, version, now)
+            return
+        own = part[0] in (self.context.number, CHUNK_SHARDS + self.context.number)
+        if job_state is None:
+            if not self.loaded:
+                self.orphaned_rows.append(key)
+        elif not (self.loaded and own):  # else we wrote it ourselves
+            if own:
+                self.context.store.versions[key] = version
+            load_results(job_state, self.context.number, *part, raw, self.context.layout)
+
+    def _add_job(self, ref: str, raw: msgspec.Raw, version: int, now: int) -> None:
+        stored = msgspec.json.decode(raw, type=StoredJob)
+        if self.is_cancelled(ref):
+            return  # its user was told so already, and the watch will show it too
+        age = age_us(stored.at)
+        job = job_of(stored.sent)
+        job_state = self.shard.add_job(job, version, now, age)
+        if self.context.sharded:
+            job_state.assign(self.rebalancer.ranges_of(ref))
+        job_state.bid = self.market.first_bid(job_state, now)
+        job_state.has_objective = job.gang or self.market.has_objective(job_state, now)
+        self.arrivals.note(job, now - age)
+        log.info("job %s (%s, %d tasks) acquired", ref, job.job_class, job.tasks)
+        self.context.wake.set()
+
+    def _apply(self, change: Change) -> None:
+        if change.put is not None:
+            self.take_row(change.put, change.value, change.version, now_us())
+        elif change.drop is not None:
+            ref, part = split_open(change.drop)
+            if part is None:
+                self.close(ref)
+
+    def _relist(self, rows: list[Row]) -> None:
+        listed = {split_open(row.key)[0] for row in rows}
+        for row in rows:
+            self.take_row(row.key, row.value, row.version, now_us())
+        for ref in [ref for ref in self.shard.job_states if ref not in listed]:
+            self.close(ref)
+
+    def _up_to_date(self, requested_at: int, changed: bool) -> None:
+        self.context.lease.cancellations_read(requested_at)
+
+    def close(self, ref: str) -> None:
+        """A job is over or cancelled: stop what runs of it, and clean up after it."""
+        job_state = self.shard.job_states.get(ref)
+        if job_state is not None:
+            self.results.close(job_state)
--- /dev/null
+++ b/basaltlead/shard/planning_loop.py
@@ -0,0 +1,99 @@
+"""The loops that bind waiting tasks to machines and run the market's rounds."""
+
+import asyncio
+
+from basaltlead.clients.base import encode
+from basaltlead.core.entities import US
+from basaltlead.core.market import Market, TeamRecord
+from basaltlead.core.planning import plan
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.events import wait_for_event
+from basaltlead.runtime.logs import log
+from basaltlead.shard.context import ShardContext
+from basaltlead.shard.dispatcher import WorkerDispatcher
+from basaltlead.shard.results import attempt_write
+from basaltlead.storage.records import TEAM
+
+PLAN_INTERVAL_US = US // 2  # some starts become possible by the mere passing of time
+ADVANCE_INTERVAL_US = US // 10  # how exactly lease expiries are noticed
+WAKE_TIMEOUT_S = 0.25
+MIN_PAUSE_S = 0.04  # machines come and go many times a second: passes over all of them are spaced
+PAUSE_FACTOR = 3  # a large plan leaves that many times what it takes to everything else
+
+
+class PlanningLoop:
+    """Binds waiting tasks to machines soon after anything has changed."""
+
+    def __init__(self, context: ShardContext, dispatcher: WorkerDispatcher) -> None:
+        self.context = context
+        self.dispatcher = dispatcher
+
+    async def run(self) -> None:
+        """Plan until the shard is released."""
+        shard, lease = self.context.shard, self.context.lease
+        planned_at = advanced_at = 0
+        while True:
+            await wait_for_event(self.context.wake, WAKE_TIMEOUT_S)
+            now = now_us()
+            if now - advanced_at >= ADVANCE_INTERVAL_US:
+                advanced_at = now
+                shard.advance(now)
+            if lease.holds_valid_lease:
+                if shard.dirty or now - planned_at > PLAN_INTERVAL_US:
+                    planned_at = now
+                    plan(shard, now)
+                self.dispatcher.push_all(now)
+            await asyncio.sleep(max(MIN_PAUSE_S, PAUSE_FACTOR * (now_us() - now) / US))
+
+
+class MarketRounds:
+    """Runs the market's rounds, and stores the teams' budgets and bids after each."""
+
+    def __init__(self, context: ShardContext, market: Market) -> None:
+        self.context = context
+        self.market = market
+        self._storing: asyncio.Task[None] | None = None
+
+    async def run(self) -> None:
+        """Run rounds until the shard is released."""
+        while True:
+            self.market.round(self.context.shard, now_us())
+            self._log_round()
+            self.context.wake.set()
+            if self.context.lease.holds_valid_lease:
+                self._store_teams()
+            await asyncio.sleep(self.market.terms.round_us / US)
+
+    def _store_teams(self) -> None:
+        """Store beside the rounds: behind the records of a growing fleet it may take a while."""
+        if self._storing is not None and not self._storing.done():
+            return
+        rows = {
+            f"{TEAM}{team}/{self.context.number}": self.market.record(
+                team, self.context.shard.job_states
+            )
+            for team in self.market.budgets
+        }
+        self._storing = self.context.spawn(self._write(rows), "store budgets")
+
+    async def _write(self, rows: dict[str, TeamRecord]) -> None:
+        store = self.context.store
+        sizes = {key: len(encode(row)) for key, row in rows.items()}
+        for keys in store.limits.batches(sizes):
+            await attempt_write(store.put({key: rows[key] for key in keys}))
+
+    def _log_round(self) -> None:
+        """One line a round: how full the fleet is, and what waits."""
+        shard = self.context.shard
+        machines = [machine for machine in shard.machines.values() if machine.synced]
+        open_jobs = [job for job in shard.job_states.values() if not job.closed]
+        log.info(
+            "market round: %d jobs, %.0f of %.0f CPUs in use, %.0f CPUs waiting, "
+            "%d machines ready, %d surplus",
+            len(open_jobs),
+            sum(used[0] for used in shard.team_used.values()),
+            sum(machine.machine_type.cpus for machine in machines),
+            sum(job.waiting * job.job.cpus for job in open_jobs),
+            len(machines),
+            sum(1 for machine in machines if not machine.needed),
+        )
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -1,7 +1,6 @@
-"""Several shards: which of the jobs' tasks are this shard's to start, and handing some over."""
+"""Several shards: which of the jobs' tasks this shard starts, and handing some over to another."""
 
 import asyncio
-from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -9,183 +8,180 @@
 from basaltlead.core.cluster_view import Load, load_key
 from basaltlead.core.entities import US, JobState
 from basaltlead.core.shard_state import TeamQuota
-from basaltlead.errors import (
-    PreconditionFailed,
-    RequestFailed,
-    ServiceError,
-    SessionLeaseExpired,
-    TransactionTooLarge,
-    Unavailable,
-)
+from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
+from basaltlead.shard.context import ShardContext
+from basaltlead.shard.results import attempt_write
 from basaltlead.storage.records import ASSIGNMENT, OPEN, TaskAssignment
 from basaltlead.storage.watch import follow
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
-if TYPE_CHECKING:
-    from basaltlead.shard.leader import ShardLeader
-
 
 class Rebalancer:
-    """Runs beside an Owner and ends with it."""
+    """Follows the assignments of jobs, and moves waiting tasks to shards with free machines."""
 
-    def __init__(self, shard_leader: "ShardLeader") -> None:
-        self.shard_leader = shard_leader
-        self.assignments: dict[str, tuple[TaskAssignment, int]] = {}
-        self.since = 0
-        self.giving: set[str] = set()  # jobs of which we are handing tasks over
+    def __init__(self, context: ShardContext, round_us: int) -> None:
+        self.context = context
+        self.shard = context.shard
+        self._interval_s = round_us / US / 2
+        self._assignments: dict[str, tuple[TaskAssignment, int]] = {}
+        self._watch_from = 0
+        self._handing_over: set[str] = set()  # jobs of which tasks are being handed over
 
     def ranges_of(self, ref: str) -> list[tuple[int, int]]:
-        """The job's tasks that are leased to this shard."""
-        return (
-            self.assignments[ref][0].ranges_of(self.shard_leader.number)
-            if ref in self.assignments
-            else []
-        )
+        """The job's tasks that are assigned to this shard."""
+        known = self._assignments.get(ref)
+        return known[0].ranges_of(self.context.number) if known is not None else []
 
-    def take(self, key: str, raw: msgspec.Raw, version: int) -> None:
-        ref = key[len(ASSIGNMENT) :]
-        known = self.assignments.get(ref)
-        if known is not None and known[1] > version:
-            return  # told late: we have changed it ourselves meanwhile
-        assignment = msgspec.json.decode(raw, type=TaskAssignment)
-        self.assignments[ref] = (assignment, version)
-        job_state = self.shard_leader.shard.job_states.get(ref)
-        if job_state is not None and ref not in self.giving:
-            job_state.assign(assignment.ranges_of(self.shard_leader.number))
-            self.shard_leader.shard.dirty = True
-            self.shard_leader.wake.set()
-
-    async def watch(self) -> None:
+    def load(self, rows: list[Row], watch_from: int) -> None:
+        """Take in the stored assignments, which are to be followed from a revision on."""
+        self._watch_from = watch_from
+        self._take_all(rows)
+
+    async def follow(self) -> None:
         """Follow which of the jobs' tasks are ours to start."""
         await follow(
-            self.shard_leader.store,
+            self.context.store.client,
             ASSIGNMENT,
-            self.shard_leader.membership.watch_ms,
-            self.load,
-            self._change,
-            since=self.since,
+            self.context.membership.watch_ms,
+            self._take_all,
+            self._apply,
+            since=self._watch_from,
         )
 
-    def load(self, rows: list[Row]) -> None:
+    def _take_all(self, rows: list[Row]) -> None:
         for row in rows:
-            self.take(row.key, row.value, row.version)
+            self._take(row.key, row.value, row.version)
 
-    def _change(self, change: Change) -> None:
+    def _apply(self, change: Change) -> None:
         if change.put is not None:
-            self.take(change.put, change.value, change.version)
+            self._take(change.put, change.value, change.version)
         elif change.drop is not None:
-            self.assignments.pop(change.drop[len(ASSIGNMENT) :], None)
+            self._assignments.pop(change.drop[len(ASSIGNMENT) :], None)
 
-    async def give(self, job_state: JobState, to: int) -> None:
+    def _take(self, key: str, raw: msgspec.Raw, version: int) -> None:
+        ref = key[len(ASSIGNMENT) :]
+        known = self._assignments.get(ref)
+        if known is not None and known[1] > version:
+            return  # an old message: we have changed the assignment ourselves meanwhile
+        assignment = msgspec.json.decode(raw, type=TaskAssignment)
+        self._assignments[ref] = (assignment, version)
+        job_state = self.shard.job_states.get(ref)
+        if job_state is not None and ref not in self._handing_over:
+            job_state.assign(assignment.ranges_of(self.context.number))
+            self.shard.dirty = True
+            self.context.wake.set()
+
+    async def _hand_over(self, job_state: JobState, target: int) -> None:
         """Hand the later half of a job's unstarted tasks to another shard.
 
-        We stop regarding them as ours before we ask, and until the lease's record has changed:
-        a request that went unanswered may still be executed later, so it is repeated until it
-        either was, or can't be any more since the record is a newer one.
+        They stop being ours before the request is sent, and until the assignment's record has
+        changed: an unanswered request may still be executed later, so it is repeated until it
+        was executed, or can't be any more since the record is a newer one.
         """
         ref = job_state.job.ref
         tail = job_state.spare_tail()
-        known = self.assignments.get(ref)
-        unsure = any(
-            key[0] == ref
-            for m in self.shard_leader.shard.machines.values()
-            for key in m.orphaned_attempts
-        )
-        if (
-            tail is None
-            or known is None
-            or ref in self.giving
-            or self.shard_leader.shard.unsynced
-            or unsure
-        ):
+        known = self._assignments.get(ref)
+        if tail is None or known is None or ref in self._handing_over:
             return
+        if self.shard.unsynced or self._has_orphaned_attempts(ref):
+            return  # some of the tasks may have been started
         assignment, version = known
-        given = self._split(assignment, tail, to)
-        self.giving.add(ref)
-        job_state.assign(given.ranges_of(self.shard_leader.number))
+        changed = self._split(assignment, tail, target)
+        self._handing_over.add(ref)
+        job_state.assign(changed.ranges_of(self.context.number))
         preconditions = [
-            *self.shard_leader.preconditions(),
             Precondition(OPEN + ref, job_state.version),
             Precondition(ASSIGNMENT + ref, version),
         ]
         try:
-            await self._record(ref, given, preconditions)
-            row = await self.shard_leader.store.get(ASSIGNMENT + ref)
+            await self._record(ref, changed, preconditions)
+            row = await self.context.store.get(ASSIGNMENT + ref)
         except ServiceError:
             row = None
         finally:
-            self.giving.discard(ref)
-        if row is not None and ref in self.shard_leader.shard.job_states:
-            self.take(row.key, row.value, row.version)
+            self._handing_over.discard(ref)
+        if row is not None and ref in self.shard.job_states:
+            self._take(row.key, row.value, row.version)
 
-    def _split(self, assignment: TaskAssignment, tail: tuple[int, int], to: int) -> TaskAssignment:
+    def _has_orphaned_attempts(self, ref: str) -> bool:
+        return any(
+            key[0] == ref
+            for machine in self.shard.machines.values()
+            for key in machine.orphaned_attempts
+        )
+
+    def _split(
+        self, assignment: TaskAssignment, tail: tuple[int, int], target: int
+    ) -> TaskAssignment:
         """The assignment once the tasks of `tail` are another shard's."""
         low, high = tail
         parts: list[tuple[int, int, int]] = []
         for first, end, shard in assignment.parts:
-            if shard == self.shard_leader.number and first <= low < end:
+            if shard == self.context.number and first <= low < end:
                 parts += [(first, low, shard)] if first < low else []
-                parts += [(low, high, to)]
+                parts += [(low, high, target)]
                 parts += [(high, end, shard)] if high < end else []
             else:
                 parts.append((first, end, shard))
         return TaskAssignment(parts)
 
     async def _record(
-        self, ref: str, given: TaskAssignment, preconditions: list[Precondition]
+        self, ref: str, changed: TaskAssignment, preconditions: list[Precondition]
     ) -> None:
-        """Write the new assignment, until it is certain whether it stands."""
-        backoff = Backoff(100_000, 1_000_000, self.shard_leader.membership.chance)
-        while not self.shard_leader.stepped_down:
+        """Write the new assignment until it is certain whether it stands."""
+        backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
+        key = ASSIGNMENT + ref
+        while not self.context.lease.stepped_down:
             try:
-                version = await self.shard_leader.store.compare_and_swap(
-                    preconditions, [Put(ASSIGNMENT + ref, given)]
-                )
-                self.assignments[ref] = (given, version)
-                log.info("leases of %s are now %s", ref, given.parts)
-                return
+                version = await self.context.store.commit([Put(key, changed)], preconditions)
             except PreconditionFailed as conflict:
-                if ASSIGNMENT + ref in conflict.failed or OPEN + ref in conflict.failed:
-                    return  # the record is another: the watch tells what it says
+                if key in conflict.failed or OPEN + ref in conflict.failed:
+                    return  # the record is another one: the watch shows it
                 await backoff.rest()
             except TransactionTooLarge:
                 return  # it can never be written: the tasks stay here
-            except (RequestFailed, Unavailable, SessionLeaseExpired):
+            except ServiceError:
                 await backoff.rest()
+            else:
+                self._assignments[ref] = (changed, version)
+                log.info("tasks of job %s reassigned: %s", ref, changed.parts)
+                return
 
     async def balance(self) -> None:
-        """Each round: say how much waits here and how much is free, and hand tasks that wait
-        to the shard with most free room."""
+        """Publish each round how much waits here and how much is free, and hand waiting tasks to
+        the shard with most free room."""
         while True:
-            await asyncio.sleep(self.shard_leader.market.terms.round_us / US / 2)
-            if not self.shard_leader.holds_valid_lease:
-                continue
-            job_states = [
-                w
-                for w in self.shard_leader.shard.job_states.values()
-                if not w.closed and not w.job.whole and not self._is_limited(w.job.team)
-            ]
-            waiting = sum(w.waiting * w.job.cpus for w in job_states)
-            free = sum(
-                max(0.0, m.free.cpus)
-                for m in self.shard_leader.shard.machines.values()
-                if m.usable(now_us())
-            )
-            load = Load(round(waiting, 1), round(free, 1))
-            await self.shard_leader.results.attempt_write(self._store_load(load))
-            others = {
-                number: other
-                for number, other in self.shard_leader.membership.cluster.loads.items()
-                if number != self.shard_leader.number and other.waiting == 0 and other.free > 0
-            }
-            if waiting > free and others and job_states:
-                to = max(others, key=lambda number: others[number].free)
-                await self.give(max(job_states, key=lambda w: w.waiting * w.job.cpus), to)
+            await asyncio.sleep(self._interval_s)
+            if self.context.lease.holds_valid_lease:
+                await self._balance_once()
+
+    async def _balance_once(self) -> None:
+        movable = [
+            job_state
+            for job_state in self.shard.job_states.values()
+            if not job_state.closed
+            and not job_state.job.whole
+            and not self._is_limited(job_state.job.team)
+        ]
+        waiting = sum(job_state.waiting * job_state.job.cpus for job_state in movable)
+        free = sum(
+            max(0.0, machine.free.cpus)
+            for machine in self.shard.machines.values()
+            if machine.usable(now_us())
+        )
+        load = Load(round(waiting, 1), round(free, 1))
+        await attempt_write(self.context.store.put({load_key(self.context.number): load}))
+        idle_shards = {
+            number: other
+            for number, other in self.context.membership.cluster.loads.items()
+            if number != self.context.number and other.waiting == 0 and other.free > 0
+        }
+        if waiting > free and idle_shards and movable:
+            target = max(idle_shards, key=lambda number: idle_shards[number].free)
+            largest = max(movable, key=lambda job_state: job_state.waiting * job_state.job.cpus)
+            await self._hand_over(largest, target)
 
     def _is_limited(self, team: str) -> bool:
-        return self.shard_leader.shard.teams.get(team, TeamQuota()).is_limited
-
-    async def _store_load(self, load: Load) -> None:
-        await self.shard_leader.put({load_key(self.shard_leader.number): load})
+        return self.shard.teams.get(team, TeamQuota()).is_limited
