--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -11,8 +11,8 @@
 from basaltlead.cluster import versions
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.entities import MachineType
-from basaltlead.core.shard_state import TeamQuota
+from basaltlead.core.jobs import MachineType
+from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import (
     PreconditionFailed,
     RequestFailed,
--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from basaltlead.core.entities import US, Job, JobState, Machine, Shape, allowed
+from basaltlead.core.entities import JobState, Machine
+from basaltlead.core.jobs import US, Job, Shape, allowed
 
 MARGIN = 0.85  # of the time left: guesses are often wrong by half
 BEGIN_US = 60 * US  # a job that has waited for so long is to begin, however late it is due
--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -5,17 +5,8 @@
 
 from msgspec import Struct
 
-from basaltlead.core.entities import (
-    EPS,
-    US,
-    Attempt,
-    Job,
-    JobState,
-    Machine,
-    MachineType,
-    Resources,
-    allowed,
-)
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import EPS, US, Job, MachineType, Resources, allowed
 
 # For how long a machine must be of use, in boots. Spot machines are cheap enough to be there early
 # and to wait for work; ordinary ones are for backlogs that outlast their boots.
--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -9,7 +9,8 @@
 from basaltlead.core.auction import Bid, allocate, price
 from basaltlead.core.bidding import BidDirection, Budget, ceiling, vertical
 from basaltlead.core.demand import NO_DUE, Due
-from basaltlead.core.entities import US, JobState, Shape
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US, Shape
 from basaltlead.core.shard import Shard
 
 # Of the capacity: what jobs without a promise may always bid for, however much with_objective jobs
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable, Iterable
 from heapq import heapify, heappop, heappush
 
-from basaltlead.core.entities import Attempt, Job, JobState, Machine, Resources
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import Job, Resources
 
 REPLICA_LOSS_S = 30.0  # what stopping a replica of lower rank is reckoned to cost
 
--- a/basaltlead/core/planning.py
+++ b/basaltlead/core/planning.py
@@ -8,10 +8,12 @@
 from functools import cached_property
 
 from basaltlead.core import gang_placement, placement
-from basaltlead.core.entities import RANKS, US, Attempt, Job, JobState, Machine, Shape, allowed
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.failures import TRIALS_OF_ITS_OWN
+from basaltlead.core.jobs import RANKS, US, Job, Shape, allowed
 from basaltlead.core.replica_placement import ReplicaChoice
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import TRIALS_OF_ITS_OWN, TeamQuota
+from basaltlead.core.teams import TeamQuota
 
 MOST_STARTS = 2000  # of one job in one plan
 GATHER_US = 20 * US  # a gang that has waited for so long has room kept free for it
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -9,7 +9,8 @@
 from typing import NamedTuple
 
 from basaltlead.core import placement
-from basaltlead.core.entities import Attempt, Job, JobState, Machine
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import Job
 
 # A second without the replica weighs as much as so many seconds of other work of its size.
 DELAY_WEIGHT = 20.0
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterable
 
-from msgspec import Struct
-
-from basaltlead.core.entities import US, Attempt, JobState, Machine
+from basaltlead.core.commands import TaskCommand
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import US
 from basaltlead.core.shard_state import Message, ShardState
 
 SLOW_TIMES = 6  # a machine is slow if a task takes that many times what others took
@@ -15,16 +15,6 @@
 MAX_COMMANDS = 250  # in one message: keeps a line far below 64 KiB
 
 
-class TaskCommand(Struct):
-    """An order for a worker."""
-
-    verb: str
-    ref: str
-    index: int
-    attempt_number: int
-    grace_s: float | None = None
-
-
 class Shard(ShardState):
     """Takes in reports and gives orders."""
 
--- a/basaltlead/core/shard_state.py
+++ b/basaltlead/core/shard_state.py
@@ -8,55 +8,18 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from msgspec import Struct
-
-from basaltlead.core.entities import (
-    LASTING_US,
-    STANDING_US,
-    US,
-    Attempt,
-    Job,
-    JobState,
-    Machine,
-    OrphanedAttempt,
-)
+from basaltlead.core.entities import Attempt, JobState, Machine, OrphanedAttempt
+from basaltlead.core.failures import TRIALS_OF_ITS_OWN
+from basaltlead.core.fleet import NAMES_KEPT
+from basaltlead.core.jobs import LASTING_US, STANDING_US, US, Job
+from basaltlead.core.teams import TeamQuota
+from basaltlead.core.timing import Timing
 
 KEEP_OFF_US = 30 * US  # for how long a job keeps off a machine on which it failed
-TRIALS_OF_ITS_OWN = 2  # after so many a job that only fails is itself at fault
 TRIALS_BEFORE_PAUSE = 3  # after so many a job that only fails waits between two tries
-# Names of machines that are gone, or hired, are kept for as long as lists and late reports may
-# show them. Three fleets of 6,000: some 2 MB.
-NAMES_KEPT = 18_000
 TOKEN_BITS = 24  # attempts a shard leader can start under one fencing token: 16 million
 
 
-class Timing(Struct, frozen=True):
-    """Spans that the platform's settings prescribe."""
-
-    lease_us: int
-    heartbeat_interval_us: int
-
-    @property
-    def lease_expiry_us(self) -> int:
-        """After this long without an answer of ours a worker's lease is over for sure: the
-        lease, the drift of both clocks, and a margin for the resolution of timers."""
-        return self.lease_us + self.lease_us // 500 + 250_000
-
-
-class TeamQuota(Struct, frozen=True):
-    """A team's guarantee and limit; 0: none."""
-
-    cpus: float = 0.0
-    gpus: float = 0.0
-    cpus_max: float = 0.0
-    gpus_max: float = 0.0
-
-    @property
-    def is_limited(self) -> bool:
-        """Must the tasks of the team be counted together at every instant?"""
-        return bool(self.cpus or self.gpus or self.cpus_max or self.gpus_max)
-
-
 class ReportedTask(Protocol):
     """A task in a worker's report."""
 
--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from basaltlead.core.entities import US
+from basaltlead.core.jobs import US
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import Duty
--- a/basaltlead/duties/model.py
+++ b/basaltlead/duties/model.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from basaltlead.core.cluster_view import duty_key
-from basaltlead.core.entities import US
+from basaltlead.core.jobs import US
 from basaltlead.wire.store import Precondition
 
 
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from basaltlead.core.cluster_view import member_key, shard_key
-from basaltlead.core.entities import US
 from basaltlead.core.fleet_sizing import Offer
+from basaltlead.core.jobs import US
 from basaltlead.duties.history import Event, event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.machine_deletion import MOST_NAMES
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -5,8 +5,9 @@
 from basaltlead.clients.cloud import Cloud
 from basaltlead.config.settings import Settings
 from basaltlead.core import demand, fleet_sizing
-from basaltlead.core.entities import US, Machine, Shape
+from basaltlead.core.entities import Machine
 from basaltlead.core.fleet_sizing import Demand, Offer, OfferBook, WarmSpare
+from basaltlead.core.jobs import US, Shape
 from basaltlead.core.market import Market
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.duties.unknown_machines import FAILED
--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -8,7 +8,7 @@
 from basaltlead.clients.base import Backoff, encode
 from basaltlead.clients.cloud import Cloud
 from basaltlead.cluster.membership import Membership
-from basaltlead.core.entities import MachineType
+from basaltlead.core.jobs import MachineType
 from basaltlead.errors import RequestFailed, ServiceError, Unavailable
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from basaltlead.core.entities import US
+from basaltlead.core.jobs import US
 
 if TYPE_CHECKING:
     from basaltlead.scaling.quiet_times import QuietTime
--- a/basaltlead/scaling/quiet_times.py
+++ b/basaltlead/scaling/quiet_times.py
@@ -14,7 +14,7 @@
 from icalendar.parser import Contentline
 
 from basaltlead.config.settings import SettingsError
-from basaltlead.core.entities import US
+from basaltlead.core.jobs import US
 from basaltlead.runtime.clock import wall_us
 from basaltlead.runtime.logs import log
 
--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -2,7 +2,8 @@
 
 from typing import TYPE_CHECKING
 
-from basaltlead.core.entities import US, Machine
+from basaltlead.core.entities import Machine
+from basaltlead.core.jobs import US
 from basaltlead.core.silent_zones import SILENT_COUNT
 from basaltlead.runtime.clock import now_us
 
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -8,7 +8,8 @@
 from basaltlead.clients.base import Backoff
 from basaltlead.clients.cloud import Cloud
 from basaltlead.core import fleet_sizing
-from basaltlead.core.entities import US, Machine
+from basaltlead.core.entities import Machine
+from basaltlead.core.jobs import US
 from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
 from basaltlead.errors import (
     PreconditionFailed,
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -8,8 +8,9 @@
 
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.cluster_view import LEADER
-from basaltlead.core.entities import STANDING_US, Job
-from basaltlead.core.shard_state import NAMES_KEPT, TeamQuota
+from basaltlead.core.fleet import NAMES_KEPT
+from basaltlead.core.jobs import STANDING_US, Job
+from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.events import wait_for_event
 from basaltlead.runtime.logs import log
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -8,8 +8,9 @@
 
 from basaltlead.clients.workers import Workers
 from basaltlead.config.settings import Settings
-from basaltlead.core.entities import US, Attempt, Machine
-from basaltlead.core.shard import TaskCommand
+from basaltlead.core.commands import TaskCommand
+from basaltlead.core.entities import Attempt, Machine
+from basaltlead.core.jobs import US
 from basaltlead.errors import PreconditionFailed, RequestFailed, ServiceError
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -14,11 +14,14 @@
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
 from basaltlead.core.cluster_view import Grant, shard_key
-from basaltlead.core.entities import US, Job, Machine, MachineType
+from basaltlead.core.commands import TaskCommand
+from basaltlead.core.entities import Machine
+from basaltlead.core.jobs import US, Job, MachineType
 from basaltlead.core.market import Market, TeamRecord
 from basaltlead.core.planning import plan
-from basaltlead.core.shard import Shard, TaskCommand
-from basaltlead.core.shard_state import TeamQuota, Timing
+from basaltlead.core.shard import Shard
+from basaltlead.core.teams import TeamQuota
+from basaltlead.core.timing import Timing
 from basaltlead.errors import PreconditionFailed, ServiceError
 from basaltlead.net.http import Response
 from basaltlead.runtime.clock import age_us, now_us
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -7,8 +7,9 @@
 
 from basaltlead.clients.base import Backoff
 from basaltlead.core.cluster_view import Load, load_key
-from basaltlead.core.entities import US, JobState
-from basaltlead.core.shard_state import TeamQuota
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
+from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import (
     PreconditionFailed,
     RequestFailed,
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -4,7 +4,8 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from basaltlead.core.entities import US, JobState
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import UNSET, Struct, UnsetType
 
-from basaltlead.core.entities import RANKS, US, Job, MachineType, Shape
+from basaltlead.core.jobs import RANKS, US, Job, MachineType, Shape
 from basaltlead.wire.cloud import MachineTypeInfo
 from basaltlead.wire.users import Submission
 
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -14,7 +14,8 @@
 import msgspec
 from msgspec import Struct
 
-from basaltlead.core.entities import JobState, Shape
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import Shape
 from basaltlead.storage.records import OPEN
 
 STRETCH = 24_576  # tasks whose results share a stretch row: 4 KiB of text
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from basaltlead.core.entities import US
 from basaltlead.core.fleet_sizing import Offer
+from basaltlead.core.jobs import US
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import Duty
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -1,8 +1,8 @@
 """What is rented for what waits."""
 
 from basaltlead.core import fleet_sizing
-from basaltlead.core.entities import US
 from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.jobs import US
 from tests.fakes import World
 from tests.simulation import Loop, play
 from tests.test_shard import KIND, Story, a_job
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -1,10 +1,12 @@
 """Bids: what moves them, and what a job that can keep no promise any more may bid."""
 
 from basaltlead.config.settings import Objective
-from basaltlead.core.entities import US, Job, JobState, Machine, MachineType, Shape
+from basaltlead.core.entities import JobState, Machine
+from basaltlead.core.jobs import US, Job, MachineType, Shape
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import TeamQuota, Timing
+from basaltlead.core.teams import TeamQuota
+from basaltlead.core.timing import Timing
 from tests.test_shard import a_job
 
 TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -13,7 +13,7 @@
 
 from basaltlead import cli
 from basaltlead.config.settings import SettingsError
-from basaltlead.core.entities import US
+from basaltlead.core.jobs import US
 from basaltlead.duties.history import PAGES, HistoryPage, event
 from basaltlead.duties.model import Duty
 from basaltlead.operators import client
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -3,7 +3,8 @@
 import msgspec
 
 from basaltlead.core import demand
-from basaltlead.core.entities import RANKS, STANDING_US, US, JobState, Shape
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import RANKS, STANDING_US, US, Shape
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.core.planning import plan
 from basaltlead.storage.result_rows import ResultLayout, load_results
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -8,9 +8,10 @@
 import pytest
 
 from basaltlead.core import demand, fleet_sizing, planning
-from basaltlead.core.entities import US, JobState, Machine, Resources, Shape
+from basaltlead.core.entities import JobState, Machine
 from basaltlead.core.fleet_sizing import Demand, Offer
-from basaltlead.core.shard_state import TeamQuota
+from basaltlead.core.jobs import US, Resources, Shape
+from basaltlead.core.teams import TeamQuota
 from tests.test_shard import KIND, TIMING, Story, a_job, listed
 
 MACHINES = 930
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -7,10 +7,13 @@
 import pytest
 
 from basaltlead.core import fleet_sizing, planning, replica_placement
-from basaltlead.core.entities import RANKS, US, Machine, Resources, Shape
+from basaltlead.core.entities import Machine
+from basaltlead.core.fleet import NAMES_KEPT
 from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.jobs import RANKS, US, Resources, Shape
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import NAMES_KEPT, ShardState, TeamQuota
+from basaltlead.core.shard_state import ShardState
+from basaltlead.core.teams import TeamQuota
 from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
 from tests.fakes import World
 from tests.simulation import Loop, play
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -2,10 +2,12 @@
 
 import pytest
 
-from basaltlead.core.entities import US, Attempt, Job, JobState, Machine, MachineType, Shape
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import US, Job, MachineType, Shape
 from basaltlead.core.planning import plan
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import TeamQuota, Timing
+from basaltlead.core.teams import TeamQuota
+from basaltlead.core.timing import Timing
 from basaltlead.wire.workers import Heartbeat, TaskStatus
 
 KIND = MachineType("k", 4.0, 0.0, 16.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a", "b"))
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -10,7 +10,8 @@
 from basaltlead import cli
 from basaltlead.clients.base import encode
 from basaltlead.controller import most_bids
-from basaltlead.core.entities import US, JobState
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.errors import TransactionTooLarge
 from basaltlead.scaling.machine_type_catalog import pages_of
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 from basaltlead.cluster import versions
 from basaltlead.cluster.peers import decoder
 from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant
-from basaltlead.core.entities import Shape
+from basaltlead.core.jobs import Shape
 from basaltlead.core.market import TeamRecord
 from basaltlead.storage.records import Final, StoredJob, StoredMachine, StoredScaleOut, job_of
 from basaltlead.storage.result_rows import Progress
