--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -6,8 +6,9 @@
 
 from basaltlead.clients.cloud import Cloud
 from basaltlead.core import demand, fleet_sizing
-from basaltlead.core.entities import US, Machine, Shape
+from basaltlead.core.entities import Machine
 from basaltlead.core.fleet_sizing import Demand, Offer, OfferBook, WarmSpare
+from basaltlead.core.jobs import US, Shape
 from basaltlead.core.market import Market
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.duties.unknown_machines import FAILED
