--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -10,8 +10,9 @@
     Claim,
     Counter,
     Grant,
+    Versioned,
+    grant_label,
     member_key,
-    spoken,
 )
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.clock import now_us, wall_us
@@ -73,9 +74,9 @@
             *self.membership.shard_keys,
             *(self.membership.duty_keys if self.membership.duties_granted else ()),
         ]
-        for key in self.membership.cluster.orphans(keys):
+        for key in self.membership.cluster.without_holder(keys):
             held = self.membership.cluster.grants.get(key)
-            if held is None or self.membership.may_replace(held[0]):
+            if held is None or self.membership.may_replace(held.value):
                 await self._grant(key)
 
     def _claim_turn_us(self) -> int:
@@ -83,7 +84,7 @@
         a key may outlive its process for a while."""
         if self.vacant_since is None:
             self.vacant_since = now_us()
-        if not self.membership.cluster.previous_leader:
+        if not self.membership.cluster.previous_shard_leader:
             return self.vacant_since
         place = self.membership.cluster.failover_order().index(self.membership.name)
         return self.vacant_since + place * CLAIM_STEP_US
@@ -94,8 +95,8 @@
         if cluster.leader is None:
             preconditions.append(Precondition(LEADER, 0))
         else:
-            claim, version = cluster.leader
-            preconditions.append(Precondition(LEADER, version))
+            claim = cluster.leader.value
+            preconditions.append(Precondition(LEADER, cluster.leader.version))
             if (
                 claim.name != self.membership.name
             ):  # this key is the proof that the old leader's lease ended
@@ -108,26 +109,26 @@
         version = await self.membership.store.compare_and_swap(
             preconditions, [Put(LEADER, claim, self.membership.session_lease)]
         )
-        self.membership.cluster.leader = (claim, version)
+        self.membership.cluster.leader = Versioned(claim, version)
         log.info("leading as %s/%s", self.membership.name, self.membership.incarnation)
         self.membership.wake.set()
 
     async def _grant(self, key: str) -> None:
         cluster = self.membership.cluster
         assert cluster.leader is not None
-        counter, fencing_token_version = cluster.fencing_token or (Counter(0), 0)
+        last_token = cluster.fencing_token or Versioned(Counter(0), 0)
         preconditions = [
             self.membership.precondition(),
-            Precondition(LEADER, cluster.leader[1]),
-            Precondition(FENCING_TOKEN, fencing_token_version),
+            Precondition(LEADER, cluster.leader.version),
+            Precondition(FENCING_TOKEN, last_token.version),
         ]
         held = cluster.grants.get(key)
-        preconditions.append(Precondition(key, held[1] if held else 0))
+        preconditions.append(Precondition(key, held.version if held else 0))
         target = cluster.next_holder(key, self.membership.name) or self.membership.name
-        named = {held[0].name if held is not None else "", target} - {"", self.membership.name}
+        named = {held.value.name if held is not None else "", target} - {"", self.membership.name}
         for name in sorted(named):  # the old shard leader's lease has ended; the new one lives
             preconditions.append(Precondition(member_key(name), cluster.member_version(name)))
-        grant = Grant(target, cluster.members[target][0].incarnation, counter.last + 1)
+        grant = Grant(target, cluster.members[target].value.incarnation, last_token.value.last + 1)
         if key in self.membership.duty_keys:
             # An older member that joins in this very moment makes the grant fail.
             preconditions += versions.member_preconditions(
@@ -137,9 +138,12 @@
         version = await self.membership.store.compare_and_swap(
             preconditions, [Put(FENCING_TOKEN, Counter(grant.fencing_token)), Put(key, grant)]
         )
-        cluster.fencing_token = (Counter(grant.fencing_token), version)
+        cluster.fencing_token = Versioned(Counter(grant.fencing_token), version)
         cluster.note_grant(key, grant, version)
         log.info(
-            "%s leased to %s with fencing token %d", spoken(key), grant.name, grant.fencing_token
+            "%s leased to %s with fencing token %d",
+            grant_label(key),
+            grant.name,
+            grant.fencing_token,
         )
         self.membership.changed()
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -15,9 +15,10 @@
     Claim,
     ClusterView,
     Grant,
+    Versioned,
+    grant_label,
     member_key,
     shard_key,
-    spoken,
 )
 from basaltlead.errors import (
     PreconditionFailed,
@@ -101,7 +102,7 @@
         """
         member = self.cluster.members.get(name)
         replaced = bool(self.cluster.members) and (
-            member is None or member[0].incarnation != incarnation
+            member is None or member.value.incarnation != incarnation
         )
         if not self.partitioned or replaced or not incarnation or span_us <= 0:
             return 0
@@ -116,7 +117,7 @@
         have made included? One that was replaced by its own next incarnation has no use for any."""
         member = self.cluster.members.get(held.name)
         if held.name == self.name or (
-            member is not None and member[0].incarnation != held.incarnation
+            member is not None and member.value.incarnation != held.incarnation
         ):
             return True
         now = now_us()
@@ -128,13 +129,13 @@
         """What every write of this process is guarded on."""
         return Precondition(member_key(self.name), self.version)
 
-    def held_grant(self, key: str) -> tuple[Grant, int] | None:
+    def held_grant(self, key: str) -> Versioned[Grant] | None:
         """The grant of a shard or duty to this very incarnation."""
         held = self.cluster.grants.get(key)
         if (
             held is None
-            or held[0].name != self.name
-            or held[0].incarnation != self.incarnation
+            or held.value.name != self.name
+            or held.value.incarnation != self.incarnation
             or not self.incarnation
         ):
             return None
@@ -154,7 +155,7 @@
         leader = self.cluster.leader
         return (
             leader is not None
-            and leader[0].incarnation == self.incarnation
+            and leader.value.incarnation == self.incarnation
             and bool(self.incarnation)
         )
 
@@ -202,7 +203,7 @@
         self.session_lease, self.incarnation, self.version = session_lease, incarnation, version
         self.renewed_until = cluster_view.session_validity_end(sent, self.ttl_us)
         self.contact_at = now_us()
-        self.cluster.members[self.name] = (claim, version)
+        self.cluster.members[self.name] = Versioned(claim, version)
         log.info("joined as %s/%s, version %d", self.name, incarnation, self.record_version)
         self.wake.set()
         self.changed()
@@ -226,8 +227,8 @@
         mine = self.cluster.members.get(self.name)
         if (
             self.version
-            and (mine is None or mine[0].incarnation != self.incarnation)
-            and (mine is None or mine[1] > self.version)
+            and (mine is None or mine.value.incarnation != self.incarnation)
+            and (mine is None or mine.version > self.version)
         ):
             log.info("our member key is gone, joining anew")
             self.leave()
@@ -253,7 +254,7 @@
             self.cluster.leader = None
         elif key.startswith(MEMBER_PREFIX):
             known = self.cluster.members.get(key.removeprefix(MEMBER_PREFIX))
-            if known is not None and known[1] <= version:
+            if known is not None and known.version <= version:
                 del self.cluster.members[key.removeprefix(MEMBER_PREFIX)]
 
     async def release(self, key: str, leader_too: bool) -> bool:
@@ -264,11 +265,11 @@
             return True
         if leader_too:
             self.no_claim_until = now_us() + 15_000_000
-        preconditions = [self.precondition(), Precondition(key, held[1])]
-        free = Grant("", "", held[0].fencing_token, avoid=self.name)
+        preconditions = [self.precondition(), Precondition(key, held.version)]
+        free = Grant("", "", held.value.fencing_token, avoid=self.name)
         apply: list[Put | Drop] = [Put(key, free)]
         if leader_too and self.leads and self.cluster.leader is not None:
-            preconditions.append(Precondition(LEADER, self.cluster.leader[1]))
+            preconditions.append(Precondition(LEADER, self.cluster.leader.version))
             apply.append(Drop(LEADER))
         try:
             version = await self.store.compare_and_swap(preconditions, apply)
@@ -276,5 +277,5 @@
             log.info("stepping down: %s", fault)
             return False
         self.cluster.note_grant(key, free, version)
-        log.info("%s handed back", spoken(key))
+        log.info("%s handed back", grant_label(key))
         return True
--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -40,7 +40,7 @@
 
 
 def _all_know(cluster: ClusterView, version: int) -> bool:
-    versions = [claim.version for claim, _ in cluster.members.values()]
+    versions = [member.value.version for member in cluster.members.values()]
     return bool(versions) and min(versions) >= version
 
 
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -162,12 +162,12 @@
                 self.membership.held_grant(shard_key(number)) if self.membership.version else None
             )
             shard_leader = self.shard_leaders.get(number)
-            if shard_leader is not None and (held is None or held[1] != shard_leader.version):
+            if shard_leader is not None and (held is None or held.version != shard_leader.version):
                 log.info("block %d let go", number)
                 shard_leader.stop()
                 shard_leader = self.shard_leaders.pop(number) and None
             if shard_leader is None and held is not None:
-                self._acquire_shard(number, held[0], held[1])
+                self._acquire_shard(number, held.value, held.version)
 
     def _acquire_shard(self, number: int, grant: Grant, version: int) -> None:
         op = self.settings.operator
--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -1,12 +1,14 @@
-"""Who leads, who owns which shard and who holds which duty, read off the records in the state
-service.
+"""Who leads, who leads which shard and who holds which duty, as the records in the key-value store
+say.
 
-A lease belongs to one incarnation of one member. It has provably ended once the member's key is
-gone (its session lease ran out) or names another incarnation (the process restarted). Every claim
-is guarded on the very keys that prove this, so a claim from an old view fails.
+A grant belongs to one incarnation of one member. It has provably ended once the member's key is
+gone (its session lease expired) or names another incarnation (the process was restarted). Every
+write that replaces a holder has the very keys that prove this as preconditions, so one that is
+based on an outdated view fails.
 """
 
 from collections.abc import Iterable
+from typing import Generic, TypeVar
 
 import msgspec
 from msgspec import UNSET, Struct, UnsetType
@@ -15,46 +17,52 @@
 LEADER = "c/leader"
 MEMBER_PREFIX = "c/member/"
 LOAD_PREFIX = "c/load/"
+SHARD_PREFIX = "c/block/"
+DUTY_PREFIX = "c/duty/"
 FENCING_TOKEN = "c/baton"
 
+# Taken off what is left of a session lease: a part of its duration, for the drift of our clock
+# against the key-value store's, and the resolution of timers.
+CLOCK_DRIFT_DIVISOR = 500
+TIMER_RESOLUTION_US = 20_000
+
+V = TypeVar("V")
+
 
 def member_key(name: str) -> str:
-    """The key that stands for as long as a controller's session lease."""
+    """The key that exists for as long as a controller's session lease is valid."""
     return f"{MEMBER_PREFIX}{name}"
 
 
 def load_key(shard: int) -> str:
-    """The key under which a shard leader tells its load."""
+    """The key under which a shard leader publishes the load of its shard."""
     return f"{LOAD_PREFIX}{shard}"
 
 
-SHARD_PREFIX = "c/block/"
-DUTY_PREFIX = "c/duty/"
-
-
 def shard_key(shard: int) -> str:
-    """The key that says who owns a shard."""
+    """The key of the grant of a shard: who leads it."""
     return f"{SHARD_PREFIX}{shard}"
 
 
 def duty_key(duty: str) -> str:
-    """The key that says who holds a duty (see duties)."""
+    """The key of the grant of a duty: who holds it (see `duties`)."""
     return f"{DUTY_PREFIX}{duty}"
 
 
 def is_grant_key(key: str) -> bool:
-    """Is it the key of something that the leader grants?"""
+    """Whether it is the key of something that the leader grants: a shard or a duty."""
     return key.startswith((SHARD_PREFIX, DUTY_PREFIX))
 
 
-def spoken(key: str) -> str:
-    """What a grant's key stands for, in the log: "shard 0", "duty rent"."""
-    _, grant_kind, name = key.split("/")
-    return f"{grant_kind} {name}"
+def grant_label(key: str) -> str:
+    """The name of what a grant's key stands for, for the log: "shard 0", "duty rent"."""
+    if key.startswith(SHARD_PREFIX):
+        return f"shard {key.removeprefix(SHARD_PREFIX)}"
+    return f"duty {key.removeprefix(DUTY_PREFIX)}"
 
 
 def _grant_kind(key: str) -> str:
-    """Blocks and duties are spread over the members each for themselves."""
+    """What a key grants. Shards and duties are spread over the members independently."""
     return key.rpartition("/")[0]
 
 
@@ -63,24 +71,26 @@
 
     name: str
     incarnation: str
-    version: int = 0  # of the records that the member reads and writes (see upgrade)
+    version: int = 0  # of the records that the member reads and writes (see cluster/versions.py)
 
 
 class Grant(Struct, rename={"incarnation": "life", "fencing_token": "baton", "granted_at": "at"}):
-    """The value of the key of a shard or a duty. One that was handed back names nobody, and whom
-    to avoid."""
+    """The value of the key of a shard or a duty.
+
+    A grant that was released names nobody, and in `avoid` the member that released it.
+    """
 
     name: str
     incarnation: str
     fencing_token: int
     avoid: str = ""
-    granted_at: int | UnsetType = UNSET  # time of day, of duties
+    granted_at: int | UnsetType = UNSET  # microseconds since 1970; of duties only
 
 
 class Load(Struct):
-    """What a shard leader tells the others each round, in CPUs: tasks that wait, free room."""
+    """What a shard leader publishes about its shard each round, in CPUs."""
 
-    waiting: float
+    waiting: float  # of tasks that wait
     free: float
 
 
@@ -90,26 +100,36 @@
     last: int
 
 
+class Versioned(Struct, Generic[V], frozen=True):
+    """The value of a key, and the version of the key's last change."""
+
+    value: V
+    version: int
+
+
 class ClusterView:
-    """The picture: values and versions of the keys under PREFIX."""
+    """What is known of the keys under `PREFIX`: their values and versions."""
 
     def __init__(self) -> None:
-        self.members: dict[str, tuple[Claim, int]] = {}
-        self.leader: tuple[Claim, int] | None = None
-        self.grants: dict[str, tuple[Grant, int]] = {}  # by the keys of shards and duties
-        self.fencing_token: tuple[Counter, int] | None = None
-        self.loads: dict[int, Load] = {}
+        self.members: dict[str, Versioned[Claim]] = {}  # by name
+        self.leader: Versioned[Claim] | None = None
+        self.grants: dict[str, Versioned[Grant]] = {}  # by the keys of shards and duties
+        self.fencing_token: Versioned[Counter] | None = None
+        self.loads: dict[int, Load] = {}  # by shard
 
     def put(self, key: str, raw: msgspec.Raw, version: int) -> None:
-        """Take in a row. What was told late changes nothing. Raises if it can't be read."""
+        """Note the value of a key. An older one than is known of a member or a grant is ignored.
+
+        Raises `msgspec.DecodeError` or `ValueError` for a key or a value that can't be read.
+        """
         if key == LEADER:
-            self.leader = (msgspec.json.decode(raw, type=Claim), version)
+            self.leader = Versioned(msgspec.json.decode(raw, type=Claim), version)
         elif key == FENCING_TOKEN:
-            self.fencing_token = (msgspec.json.decode(raw, type=Counter), version)
+            self.fencing_token = Versioned(msgspec.json.decode(raw, type=Counter), version)
         elif key.startswith(MEMBER_PREFIX):
             name = key.removeprefix(MEMBER_PREFIX)
             if self.member_version(name) <= version:
-                self.members[name] = (msgspec.json.decode(raw, type=Claim), version)
+                self.members[name] = Versioned(msgspec.json.decode(raw, type=Claim), version)
         elif key.startswith(LOAD_PREFIX):
             shard = int(key.removeprefix(LOAD_PREFIX))
             self.loads[shard] = msgspec.json.decode(raw, type=Load)
@@ -117,102 +137,119 @@
             self.note_grant(key, msgspec.json.decode(raw, type=Grant), version)
 
     def note_grant(self, key: str, grant: Grant, version: int) -> None:
-        """Take in a grant. The answer to our own write and the watch tell the same in any order."""
+        """Note a grant. The answer to our own write and the watch report it in any order."""
         known = self.grants.get(key)
-        if known is None or known[1] <= version:
-            self.grants[key] = (grant, version)
+        if known is None or known.version <= version:
+            self.grants[key] = Versioned(grant, version)
 
     def is_alive(self, name: str, incarnation: str) -> bool:
+        """Whether this incarnation of a member has a member key, as far as is known."""
         member = self.members.get(name)
-        return member is not None and member[0].incarnation == incarnation
+        return member is not None and member.value.incarnation == incarnation
 
     def member_version(self, name: str) -> int:
+        """The version of a member's key, for preconditions; 0 if there is no such key."""
         member = self.members.get(name)
-        return member[1] if member is not None else 0
+        return member.version if member is not None else 0
 
     @property
     def leader_alive(self) -> bool:
+        """Whether there is a leader, and the incarnation that became leader has a member key."""
         return self.leader is not None and self.is_alive(
-            self.leader[0].name, self.leader[0].incarnation
+            self.leader.value.name, self.leader.value.incarnation
         )
 
     def holder(self, key: str) -> str | None:
         """The living member that a shard or duty is granted to."""
         held = self.grants.get(key)
-        if held is None or not self.is_alive(held[0].name, held[0].incarnation):
+        if held is None or not self.is_alive(held.value.name, held.value.incarnation):
             return None
-        return held[0].name
-
-    def next_holder(self, key: str, me: str) -> str | None:
-        """Whom to grant a shard or duty to: the living member with fewest of its kind, then with
-        fewest grants at all, the leader itself among equals, and not whoever has just handed it
-        back if there is anybody else."""
-        alike = dict.fromkeys(self.members, 0)
-        count = dict.fromkeys(self.members, 0)
+        return held.value.name
+
+    def next_holder(self, key: str, leader: str) -> str | None:
+        """The member that a shard or duty should be granted to by the leader; None if there is no
+        member.
+
+        The one with fewest grants of this kind, then with fewest grants of any kind; among equals
+        the leader itself. The member that released it last is taken only if there is no other.
+        """
+        same_kind = dict.fromkeys(self.members, 0)
+        any_kind = dict.fromkeys(self.members, 0)
         for other in self.grants:
             name = self.holder(other)
             if name is not None:
-                count[name] += 1
-                alike[name] += _grant_kind(other) == _grant_kind(key)
+                any_kind[name] += 1
+                same_kind[name] += _grant_kind(other) == _grant_kind(key)
         held = self.grants.get(key)
-        avoid = held[0].avoid if held is not None else ""
+        avoid = held.value.avoid if held is not None else ""
         return min(
-            count,
-            key=lambda name: (name == avoid, alike[name], count[name], name != me, name),
+            any_kind,
+            key=lambda name: (
+                name == avoid,
+                same_kind[name],
+                any_kind[name],
+                name != leader,
+                name,
+            ),
             default=None,
         )
 
-    def grant_to_hand_over(self, me: str) -> str | None:
-        """The key of a grant of ours that a member without any of its kind should have."""
-        mine: dict[str, list[str]] = {}
+    def grant_to_hand_over(self, member: str) -> str | None:
+        """The key of one of this member's grants that another one, which has none of this kind,
+        should have; None if nothing is to be handed over."""
+        own_keys: dict[str, list[str]] = {}
         holders: dict[str, set[str]] = {}
         for key in self.grants:
             name = self.holder(key)
             if name is not None:
                 holders.setdefault(_grant_kind(key), set()).add(name)
-            if name == me:
-                mine.setdefault(_grant_kind(key), []).append(key)
-        for grant_kind, keys in mine.items():
+            if name == member:
+                own_keys.setdefault(_grant_kind(key), []).append(key)
+        for grant_kind, keys in own_keys.items():
             if len(keys) > 1 and self.members.keys() - holders[grant_kind]:
-                # Of duties the first by name is clean-up, which also a member can do that does
-                # not reach the cloud. The first shard is what machines of no shard fall to.
+                # The first duty by name is clean-up, which also a member can do that does not
+                # reach the cloud. The first shard stays: machines of no shard belong to it.
                 return min(keys) if keys[0].startswith(DUTY_PREFIX) else max(keys)
         return None
 
     @property
-    def previous_leader(self) -> str:
-        """Who owned the first shard last, whether it was lost or handed back."""
+    def previous_shard_leader(self) -> str:
+        """The last leader of the first shard, whether it was lost or has released the shard; empty
+        if there was none."""
         held = self.grants.get(shard_key(0))
         if held is None:
             return ""
-        return held[0].name or held[0].avoid
+        return held.value.name or held.value.avoid
 
     def failover_order(self) -> list[str]:
         """The members in the order in which they should replace the last shard leader: those listed
         after it first.
 
-        A worker whose node falls silent tries the next one in its list. If that one is the new
-        shard leader, the worker loses no time there; if it is a node that has been away for longer,
-        the worker waits for another 4 s, and a short lease is over before it has tried a third.
-        Taking turns in the order of the list keeps nodes that are away behind the shard leader, not
-        before it. The order of the workers' lists is not specified: numbered names are taken to be
-        listed by number. Nothing but the time that a failover takes depends on it.
+        A worker whose controller falls silent tries the next one in its list. If that one is the
+        new shard leader, the worker loses no time there; if it is one that has been away for
+        longer, the worker waits for another 4 s, and a short lease is over before it has tried a
+        third. Following the order of the list keeps controllers that are away behind the shard
+        leader, not before it. The order of the workers' lists is not specified: numbered names are
+        taken to be listed by number. Nothing but the time that a failover takes depends on it.
         """
         names = sorted(self.members, key=list_order)
-        last = list_order(self.previous_leader)
+        last = list_order(self.previous_shard_leader)
         return sorted(names, key=lambda name: (list_order(name) <= last, list_order(name)))
 
-    def orphans(self, keys: Iterable[str]) -> list[str]:
+    def without_holder(self, keys: Iterable[str]) -> list[str]:
         """Those of the shards and duties that have no living holder."""
         return [key for key in keys if self.holder(key) is None]
 
 
 def list_order(name: str) -> tuple[int, str]:
-    """Sorts numbered names by number: "node-9" before "node-10"."""
+    """Sort key that puts numbered names in order of number: "node-9" before "node-10"."""
     return (len(name), name)
 
 
 def session_validity_end(sent_us: int, ttl_us: int) -> int:
-    """Until when a renewal sent at `sent_us` provably keeps a session lease: less the drift of our
-    clock against the key-value store's, and less the resolution of timers."""
-    return sent_us + ttl_us - ttl_us // 500 - 20_000
+    """Until when a renewal sent at `sent_us` provably keeps a session lease of `ttl_us` valid, in
+    microseconds of our clock.
+
+    The key-value store counts from when it handles the renewal, which is later than `sent_us`.
+    """
+    return sent_us + ttl_us - ttl_us // CLOCK_DRIFT_DIVISOR - TIMER_RESOLUTION_US
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -132,12 +132,14 @@
                 ownerless.setdefault(shard, []).append(name)
         for shard, names in ownerless.items():
             held = self.membership.cluster.grants.get(shard_key(shard))
-            preconditions = [Precondition(shard_key(shard), held[1] if held is not None else 0)]
-            if held is not None and held[0].name:
+            preconditions = [
+                Precondition(shard_key(shard), held.version if held is not None else 0)
+            ]
+            if held is not None and held.value.name:
                 if self.membership.cluster.holder(shard_key(shard)) is not None:
                     continue  # its last shard leader may still act
-                version = self.membership.cluster.member_version(held[0].name)
-                preconditions.append(Precondition(member_key(held[0].name), version))
+                version = self.membership.cluster.member_version(held.value.name)
+                preconditions.append(Precondition(member_key(held.value.name), version))
             some = names[: self.store.limits.preconditions // 2]
             preconditions += [Precondition(MACHINE + n, records.version_of(n)) for n in some]
             await self._record(some, "no owner", preconditions)
--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -50,13 +50,18 @@
         for duty in Duty:
             held = self.membership.held_grant(duty.key) if self.membership.version else None
             holder = self.holders.get(duty)
-            if holder is not None and (held is None or held[1] != holder.version):
+            if holder is not None and (held is None or held.version != holder.version):
                 log.info("duty %s let go", duty)
                 self.holders.pop(duty).stop()
                 holder = None
             if holder is None and held is not None:
                 self.holders[duty] = HOLDERS[duty](
-                    self.settings, self.membership, self.store, self.cloud, *held
+                    self.settings,
+                    self.membership,
+                    self.store,
+                    self.cloud,
+                    held.value,
+                    held.version,
                 )
                 self.holders[duty].quiet_times = self.quiet_times
                 self.cloud.unanswered_since = 0  # it has its own time to find out
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -72,7 +72,7 @@
     held = cluster.grants.get(duty.key)
     if held is None:
         return HeldDuty(duty, "", 0, 0)
-    grant, _ = held
+    grant = held.value
     holder = cluster.holder(duty.key)
     if holder is None:
         return HeldDuty(duty, "", grant.fencing_token, 0)
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -98,8 +98,10 @@
         delegated = self.shard_leader.membership.duties_granted
         if delegated:
             held = self.shard_leader.membership.cluster.grants.get(Duty.RENT.key)
-            stored.duty_token = held[0].fencing_token if held is not None else 0
-            preconditions.append(Precondition(Duty.RENT.key, held[1] if held is not None else 0))
+            stored.duty_token = held.value.fencing_token if held is not None else 0
+            preconditions.append(
+                Precondition(Duty.RENT.key, held.version if held is not None else 0)
+            )
         try:
             version = await self.shard_leader.store.compare_and_swap(
                 preconditions, [Put(SCALE_OUT + name, stored)]
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -156,7 +156,7 @@
         assignment = TaskAssignment(assignment_parts(job, limits, self.shards, self._loads()))
         preconditions = [
             self.membership.precondition(),
-            Precondition(LEADER, leader[1]),
+            Precondition(LEADER, leader.version),
             Precondition(OPEN + ref, version),
             Precondition(ASSIGNMENT + ref, 0),
         ]
--- a/tests/test_failover_order.py
+++ b/tests/test_failover_order.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from basaltlead.core.cluster_view import Claim, ClusterView, Grant, shard_key
+from basaltlead.core.cluster_view import Claim, ClusterView, Grant, Versioned, shard_key
 from tests.fakes import World
 from tests.simulation import Loop, play
 
 
 def _cluster(last_owner: str, *names: str) -> ClusterView:
     cluster = ClusterView()
-    cluster.grants[shard_key(0)] = (Grant(last_owner, "gone", 1), 1)
-    cluster.members = {name: (Claim(name, "here"), 2) for name in names}
+    cluster.grants[shard_key(0)] = Versioned(Grant(last_owner, "gone", 1), 1)
+    cluster.members = {name: Versioned(Claim(name, "here"), 2) for name in names}
     return cluster
 
 
@@ -34,7 +34,7 @@
 
 def test_an_owner_that_handed_its_block_back_comes_last() -> None:
     cluster = _cluster("n-1", "n-0", "n-1", "n-2")
-    cluster.grants[shard_key(0)] = (Grant("", "", 1, avoid="n-1"), 1)
+    cluster.grants[shard_key(0)] = Versioned(Grant("", "", 1, avoid="n-1"), 1)
     assert cluster.failover_order() == ["n-2", "n-0", "n-1"]
 
 
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -5,7 +5,13 @@
 import pytest
 
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.cluster_view import Claim, Grant, session_validity_end, shard_key
+from basaltlead.core.cluster_view import (
+    Claim,
+    Grant,
+    Versioned,
+    session_validity_end,
+    shard_key,
+)
 from basaltlead.wire.peers import DeferralRequest
 from tests.fakes import World
 from tests.simulation import Loop, play
@@ -102,7 +108,7 @@
         await world.start()
         await world.until(lambda: world.shard_leader() is not None)
         member = world.parts["node-0"].membership
-        incarnation = member.cluster.members["node-1"][0].incarnation
+        incarnation = member.cluster.members["node-1"].value.incarnation
         assert member.defer_failover("node-1", incarnation, 1_000_000) == 0
         world.store.down = True
         await asyncio.sleep(member.ttl_us / 1e6)
@@ -128,7 +134,7 @@
         assert member.may_replace(gone)
         world.store.down = True
         await asyncio.sleep(member.ttl_us / 2e6)
-        member.cluster.members["node-x"] = (Claim("node-x", "incarnation"), 1)
+        member.cluster.members["node-x"] = Versioned(Claim("node-x", "incarnation"), 1)
         assert member.defer_failover("node-x", "incarnation", member.ttl_us) > 0
         del member.cluster.members["node-x"]  # its hold has ended
         assert not member.may_replace(gone)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 
 from basaltlead.cluster import versions
 from basaltlead.cluster.peers import decoder
-from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant
+from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant, Versioned
 from basaltlead.core.entities import Shape
 from basaltlead.core.market import TeamRecord
 from basaltlead.storage.records import Final, StoredJob, StoredMachine, StoredScaleOut, job_of
@@ -152,7 +152,7 @@
 def _cluster(**versions: int) -> ClusterView:
     cluster = ClusterView()
     for name, version in versions.items():
-        cluster.members[name] = (Claim(name, "ab", version), 5)
+        cluster.members[name] = Versioned(Claim(name, "ab", version), 5)
     return cluster
 
 
