--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import encode
+from basaltlead.clients.codec import encode
 from basaltlead.cluster import versions
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.cancellations import Cancellations
@@ -92,7 +92,7 @@
                 sent = msgspec.json.decode(request.body, type=Submission)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
                 return refusal(400, str(fault)[:200])
-        if self.store.behind_s(writing=request.method == "POST") > MOST_QUEUED_S:
+        if self.store.queue_delay_s(writing=request.method == "POST") > MOST_QUEUED_S:
             return refusal(503, "busy", MUCH_LATER)
         if not self.limiter.enter():
             return refusal(503, "busy", LATER)
--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -3,7 +3,8 @@
 from collections.abc import Callable
 from urllib.parse import quote
 
-from basaltlead.clients.base import Budget, decode, encode
+from basaltlead.clients.codec import decode, encode
+from basaltlead.clients.rate_budget import RateBudget
 from basaltlead.errors import NoCapacity, RequestFailed, RequestRejected, Unavailable
 from basaltlead.net.http import Pool
 from basaltlead.runtime.clock import now_us
@@ -30,7 +31,7 @@
 
     def use_rate(self, rps: float) -> None:
         """From now on take this part of the cloud's rate."""
-        self.budget = Budget(max(0.2, rps * 0.85), burst=max(1.0, rps * 1.5))
+        self.budget = RateBudget(max(0.2, rps * 0.85), burst=max(1.0, rps * 1.5))
 
     async def _call(
         self, method: str, path: str, body: bytes = b"", still: Callable[[], bool] = lambda: True
--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from basaltlead.clients.base import decode, encode
+from basaltlead.clients.codec import decode, encode
 from basaltlead.errors import RequestFailed
 from basaltlead.net.http import Pool
 from basaltlead.wire.workers import DirectCommand, Heartbeat
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.cluster import versions
 from basaltlead.core import cluster_view
 from basaltlead.core.cluster_view import (
@@ -179,7 +179,7 @@
                 self.leave()
             except (RequestFailed, Unavailable, PreconditionFailed) as fault:
                 log.debug("session lease: %s", fault)
-                await backoff.rest()
+                await backoff.wait()
 
     def leave(self) -> None:
         self.version = 0
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import encode
+from basaltlead.clients.codec import encode
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Peer
 from basaltlead.core.cancellations import Cancellations
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from basaltlead.api.users import UserApi, refusal
-from basaltlead.clients.base import encode
 from basaltlead.clients.cloud import Cloud
+from basaltlead.clients.codec import encode
 from basaltlead.cluster.election import LeaderElection
 from basaltlead.cluster.membership import Membership
 from basaltlead.cluster.peers import Peers
--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from basaltlead.clients.base import encode
+from basaltlead.clients.codec import encode
 from basaltlead.duties.model import Duty, GrantHolder
 from basaltlead.errors import PreconditionFailed, RequestFailed, Unavailable
 from basaltlead.runtime.clock import wall_us
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.clients.cloud import Cloud
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
@@ -79,7 +79,7 @@
                 break
             except ServiceError as fault:
                 log.info("taking up duty %s: %s", self.duty, fault)
-                await backoff.rest()
+                await backoff.wait()
         log.info("duty %s taken up with fencing token %d", self.duty, self.grant.fencing_token)
         await self.run()
 
--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 from random import Random
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.clients.cloud import Cloud
 from basaltlead.duties.model import GrantHolder
 from basaltlead.errors import (
@@ -71,7 +71,7 @@
                 await asyncio.sleep(REFUSED_PAUSE_S)
             except (RequestFailed, Unavailable) as fault:
                 log.info("hire %s: %s", name, fault)
-                await backoff.rest()
+                await backoff.wait()
             else:
                 log.info("hired %s: %s", name, ", ".join(names))
                 return names
@@ -95,7 +95,7 @@
             except TransactionTooLarge:
                 return  # without the names, the next holder asks for them again
             except (RequestFailed, Unavailable):
-                await backoff.rest()
+                await backoff.wait()
 
     async def _write(
         self, preconditions: list[Precondition], changes: Sequence[Put | Drop]
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Struct
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
@@ -65,7 +65,7 @@
                 backoff.reset()
             except ServiceError as fault:
                 log.info("deleting machines: %s", fault)
-                await backoff.rest()
+                await backoff.wait()
                 continue
             for key in [key for key, one in self.open.items() if not one.left]:
                 await self._settle(key)
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import encode
+from basaltlead.clients.codec import encode
 from basaltlead.config.settings import Settings, SettingsError
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import Machine
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
@@ -37,7 +37,7 @@
                 row = await self.shard_leader.store.get(self.key)
             except (RequestFailed, Unavailable) as fault:
                 log.info("reading quiet times: %s", fault)
-                await backoff.rest()
+                await backoff.wait()
                 continue
             if row is not None:
                 self.shard_leader.versions[self.key] = row.version
--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -5,8 +5,9 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff, encode
+from basaltlead.clients.backoff import Backoff
 from basaltlead.clients.cloud import Cloud
+from basaltlead.clients.codec import encode
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.entities import MachineType
 from basaltlead.errors import RequestFailed, ServiceError, Unavailable
@@ -76,7 +77,7 @@
             except ServiceError as fault:
                 log.info("machine types: %s", fault)
                 await self._load()
-                await backoff.rest()
+                await backoff.wait()
 
     async def _store(self, types: list[MachineTypeInfo]) -> None:
         """Whoever starts while the cloud is in trouble finds the types in the key-value store."""
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.clients.cloud import Cloud
 from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import US, Machine
@@ -131,7 +131,7 @@
                 backoff.reset()
             except ServiceError as fault:
                 log.info("deleting machines: %s", fault)
-                await backoff.rest()
+                await backoff.wait()
 
     async def _record(self, names: list[str]) -> None:
         """Have machines returned. Guarded on the record of each as we know it, and on our grant:
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff, encode
+from basaltlead.clients.backoff import Backoff
+from basaltlead.clients.codec import encode
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
 from basaltlead.core.cluster_view import Grant, shard_key
@@ -187,7 +188,7 @@
                 break
             except ServiceError as fault:
                 log.info("loading block %d: %s", self.number, fault)
-                await backoff.rest()
+                await backoff.wait()
         self.loaded = True
         self.on_loaded()
         self.spawn(self._watch(revision), "loop watch")
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.core.cluster_view import Load, load_key
 from basaltlead.core.entities import US, JobState
 from basaltlead.core.shard_state import TeamQuota
@@ -149,11 +149,11 @@
             except PreconditionFailed as conflict:
                 if ASSIGNMENT + ref in conflict.failed or OPEN + ref in conflict.failed:
                     return  # the record is another: the watch tells what it says
-                await backoff.rest()
+                await backoff.wait()
             except TransactionTooLarge:
                 return  # it can never be written: the tasks stay here
             except (RequestFailed, Unavailable, SessionLeaseExpired):
-                await backoff.rest()
+                await backoff.wait()
 
     async def balance(self) -> None:
         """Each round: say how much waits here and how much is free, and hand tasks that wait
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -5,7 +5,8 @@
 
 import msgspec
 
-from basaltlead.clients.base import Budget, decode, encode
+from basaltlead.clients.codec import decode, encode
+from basaltlead.clients.rate_budget import RateBudget
 from basaltlead.errors import (
     PreconditionFailed,
     RequestFailed,
@@ -42,15 +43,15 @@
         self.pool = Pool(address, limit=24)
         self.watches = Pool(address, limit=8)
         self.renewals = Pool(address, limit=4)
-        self.requests = Budget(max(1.0, limits.rps * 0.8 / nodes))
+        self.requests = RateBudget(max(1.0, limits.rps * 0.8 / nodes))
         # Owners store results; all others only what users ask for now and then.
         rate = limits.write_rps * 0.85 * (0.6 if writers == 1 else 1 / writers)
-        self.writes = Budget(max(0.5, rate), burst=max(1.0, rate))
+        self.writes = RateBudget(max(0.5, rate), burst=max(1.0, rate))
 
-    def behind_s(self, writing: bool) -> float:
+    def queue_delay_s(self, writing: bool) -> float:
         """How long a user's request would have to wait for its turn."""
-        waits = self.requests.behind_s()
-        return max(waits, self.writes.behind_s()) if writing else waits
+        waits = self.requests.queue_delay_s()
+        return max(waits, self.writes.queue_delay_s()) if writing else waits
 
     async def _call(
         self, method: str, path: str, raw: bytes = b"", timeout_us: int = 1_500_000
@@ -103,7 +104,7 @@
         Bookkeeping can wait: with hundreds of machines it alone would fill the limit on writes,
         and users' submissions and cancellations go first."""
         raw = self._encoded(preconditions, apply)
-        turn = self.writes.spare if low_priority else self.writes.take
+        turn = self.writes.take_low_priority if low_priority else self.writes.take
         await turn(max(1, len(apply)))
         status, body = await self._call("POST", "/multi", raw)
         if status == 200:
--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.errors import RevisionCompacted, ServiceError
 from basaltlead.runtime.clock import chance, now_us
 from basaltlead.runtime.logs import log
@@ -42,7 +42,7 @@
             since = None
         except ServiceError as fault:
             log.debug("following %s: %s", prefix, fault)
-            await backoff.rest()
+            await backoff.wait()
 
 
 async def follow_rows(
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from basaltlead.clients.base import Budget
+from basaltlead.clients.rate_budget import RateBudget
 from basaltlead.clients.workers import Workers
 from basaltlead.errors import RequestFailed
 from basaltlead.net.http import Pool, Request, Response, Server
@@ -325,8 +325,8 @@
     """Hundreds of machines and results fill the limit on writes by themselves."""
 
     async def story(loop: Loop) -> None:
-        budget = Budget(rate=20.0)
-        records = [loop.create_task(budget.spare(4)) for _ in range(50)]
+        budget = RateBudget(rate=20.0)
+        records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
         for _ in range(10):
             await asyncio.sleep(0.5)
             asked = loop.time()
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -120,7 +120,7 @@
         name = await world.busy(8, 4.0)
         await world.submit(world.job(2, Pieces=40, RunS=4.0))  # has results to store all the time
         writes = world.parts[name].shard_leaders[0].store.writes
-        records = [loop.create_task(writes.spare(4)) for _ in range(100)]
+        records = [loop.create_task(writes.take_low_priority(4)) for _ in range(100)]
         await world.submit(world.job(3, RunS=2.0, Rank="high"))
         await world.until(lambda: "req-000003/0" in world.rule_checker.results, seconds=40)
         await asyncio.sleep(3)
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from basaltlead import cli
-from basaltlead.clients.base import encode
+from basaltlead.clients.codec import encode
 from basaltlead.controller import most_bids
 from basaltlead.core.entities import US, JobState
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
