--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -1,4 +1,4 @@
-"""The leader's place: claimed in turn, and what is granted from it."""
+"""Leader election, and the grants of shards and duties that the leader makes."""
 
 import asyncio
 
@@ -7,37 +7,41 @@
 from basaltlead.core.cluster_view import (
     FENCING_TOKEN,
     LEADER,
-    Claim,
     Counter,
     Grant,
     member_key,
     spoken,
 )
-from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
+from basaltlead.errors import PreconditionFailed, ServiceError
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.events import wait_for_event
 from basaltlead.runtime.logs import log
 from basaltlead.wire.store import Precondition, Put
 
-# A candidate for the leader's place waits for that long for each one before it in the order of
-# succession: well above the time by which watches differ, well below what a failover may take.
+# A candidate waits for that long for each one before it in the failover order: well above the time
+# by which the watches of controllers differ, well below what a failover may take.
 CLAIM_STEP_US = 150_000
-LEAD_PAUSE_S = 0.5  # between two looks at the cluster, should nothing have changed
+PAUSE_S = 0.5  # between two passes, should nothing have changed
+# Pauses after a transaction that failed, drawn at random so that candidates do not collide again.
+CONFLICT_PAUSE_S = (0.02, 0.1)
+FAULT_PAUSE_S = (0.1, 0.4)
 
 
 class LeaderElection:
-    """Claims the leader's key when nobody living has it, and grants shards and duties."""
+    """Claims the leader's key when no living controller has it, and as leader grants shards and
+    duties."""
 
     def __init__(self, membership: Membership) -> None:
         self.membership = membership
         self.vacant_since: int | None = None  # since when no leader is known to live
 
     async def run(self) -> None:
-        """Claim the leader's key when nobody living has it; as leader, grant what nobody has."""
-        pause_s = LEAD_PAUSE_S
+        """Claim the leader's key whenever it is vacant, and as leader grant what nobody holds;
+        never returns."""
+        pause_s = PAUSE_S
         while True:
             await wait_for_event(self.membership.wake, pause_s)
-            pause_s = LEAD_PAUSE_S
+            pause_s = PAUSE_S
             if self.membership.cluster.leader_alive:
                 self.vacant_since = None
             if (
@@ -51,36 +55,25 @@
                 elif self.membership.leads:
                     await self._grant_orphans()
             except PreconditionFailed as conflict:
-                log.debug("claim lost on %s", conflict)
-                await asyncio.sleep(self.membership.chance.uniform(0.02, 0.1))
-            except (RequestFailed, Unavailable, SessionLeaseExpired) as fault:
-                log.debug("claim: %s", fault)
-                await asyncio.sleep(self.membership.chance.uniform(0.1, 0.4))
+                log.debug("claim or grant not made: %s changed meanwhile", conflict)
+                await asyncio.sleep(self.membership.chance.uniform(*CONFLICT_PAUSE_S))
+            except ServiceError as fault:
+                log.debug("claim or grant not made: %s", fault)
+                await asyncio.sleep(self.membership.chance.uniform(*FAULT_PAUSE_S))
 
     async def _claim_in_turn(self) -> float:
-        """Claim the leader's place once it is our turn; how long to wait until then."""
+        """Claim the leadership if it is our turn; how many seconds to wait until the next pass."""
         if now_us() < self.membership.no_claim_until and len(self.membership.cluster.members) > 1:
-            return LEAD_PAUSE_S
-        turn_in_us = self._claim_turn_us() - now_us()
+            return PAUSE_S
+        turn_in_us = self._turn_us() - now_us()
         if turn_in_us > 0:
-            return min(LEAD_PAUSE_S, turn_in_us / 1e6)
+            return min(PAUSE_S, turn_in_us / 1e6)
         await self._claim()
-        return LEAD_PAUSE_S
+        return PAUSE_S
 
-    async def _grant_orphans(self) -> None:
-        """As leader: the shards that nobody owns, then the duties that nobody holds."""
-        keys = [
-            *self.membership.shard_keys,
-            *(self.membership.duty_keys if self.membership.duties_granted else ()),
-        ]
-        for key in self.membership.cluster.orphans(keys):
-            held = self.membership.cluster.grants.get(key)
-            if held is None or self.membership.may_replace(held[0]):
-                await self._grant(key)
-
-    def _claim_turn_us(self) -> int:
-        """When it is this candidate's turn to claim the leader's place. All may claim in the end:
-        a key may outlive its process for a while."""
+    def _turn_us(self) -> int:
+        """When it is this candidate's turn to claim the leadership. Every member's turn comes in
+        the end, since the member key of one before it may outlive its process for a while."""
         if self.vacant_since is None:
             self.vacant_since = now_us()
         if not self.membership.cluster.previous_leader:
@@ -94,39 +87,47 @@
         if cluster.leader is None:
             preconditions.append(Precondition(LEADER, 0))
         else:
-            claim, version = cluster.leader
+            previous, version = cluster.leader
             preconditions.append(Precondition(LEADER, version))
-            if (
-                claim.name != self.membership.name
-            ):  # this key is the proof that the old leader's lease ended
+            if previous.name != self.membership.name:
+                # Its member key, gone or changed, is the proof that the old leader's lease ended.
                 preconditions.append(
-                    Precondition(member_key(claim.name), cluster.member_version(claim.name))
+                    Precondition(member_key(previous.name), cluster.member_version(previous.name))
                 )
-        claim = Claim(
-            self.membership.name, self.membership.incarnation, self.membership.record_version
-        )
+        claim = self.membership.session.claim()
         version = await self.membership.store.compare_and_swap(
-            preconditions, [Put(LEADER, claim, self.membership.session_lease)]
+            preconditions, [Put(LEADER, claim, self.membership.session.lease)]
         )
-        self.membership.cluster.leader = (claim, version)
+        self.membership.watch.note_leader(claim, version)
         log.info("leading as %s/%s", self.membership.name, self.membership.incarnation)
         self.membership.wake.set()
 
+    async def _grant_orphans(self) -> None:
+        """Grant the shards that no living controller holds, then such duties."""
+        keys = list(self.membership.shard_keys)
+        if self.membership.duties_granted:
+            keys += self.membership.duty_keys
+        for key in self.membership.cluster.orphans(keys):
+            held = self.membership.cluster.grants.get(key)
+            if held is None or self.membership.deferrals.may_replace(held[0]):
+                await self._grant(key)
+
     async def _grant(self, key: str) -> None:
+        """Grant a shard or duty with the next fencing token."""
         cluster = self.membership.cluster
         assert cluster.leader is not None
         counter, fencing_token_version = cluster.fencing_token or (Counter(0), 0)
+        held = cluster.grants.get(key)
+        target = cluster.next_holder(key, self.membership.name) or self.membership.name
         preconditions = [
             self.membership.precondition(),
             Precondition(LEADER, cluster.leader[1]),
             Precondition(FENCING_TOKEN, fencing_token_version),
+            Precondition(key, held[1] if held else 0),
         ]
-        held = cluster.grants.get(key)
-        preconditions.append(Precondition(key, held[1] if held else 0))
-        target = cluster.next_holder(key, self.membership.name) or self.membership.name
+        # The old holder's lease has provably ended, and the new holder lives.
         named = {held[0].name if held is not None else "", target} - {"", self.membership.name}
-        for name in sorted(named):  # the old shard leader's lease has ended; the new one lives
-            preconditions.append(Precondition(member_key(name), cluster.member_version(name)))
+        preconditions += versions.member_preconditions(cluster, sorted(named))
         grant = Grant(target, cluster.members[target][0].incarnation, counter.last + 1)
         if key in self.membership.duty_keys:
             # An older member that joins in this very moment makes the grant fail.
@@ -137,9 +138,9 @@
         version = await self.membership.store.compare_and_swap(
             preconditions, [Put(FENCING_TOKEN, Counter(grant.fencing_token)), Put(key, grant)]
         )
-        cluster.fencing_token = (Counter(grant.fencing_token), version)
+        self.membership.watch.note_fencing_token(Counter(grant.fencing_token), version)
         cluster.note_grant(key, grant, version)
         log.info(
             "%s leased to %s with fencing token %d", spoken(key), grant.name, grant.fencing_token
         )
-        self.membership.changed()
+        self.membership.on_change()
--- /dev/null
+++ b/basaltlead/cluster/lease_extension.py
@@ -0,0 +1,108 @@
+"""Failover deferrals of the other controllers, which carry a shard leader over an outage of the
+key-value store.
+
+A shard leader that can't renew its session lease requests of every other controller not to replace
+it for a short span. Only one that has lost the key-value store too grants that, so a shard leader
+that alone is cut off is replaced as usual. The span counts from when it was requested, on the
+requester's own clock, and only prolongs a validity that has not ended yet: once it has, another may
+lead the shard. A controller that has just started, and may have forgotten a deferral, waits for the
+longest possible one before it replaces a shard leader whose lease ran out (see failover_deferrals).
+"""
+
+import asyncio
+from collections.abc import Iterable
+
+from basaltlead.cluster.cancellation_exchange import LONGEST_EXCHANGE_US, CancellationExchange
+from basaltlead.cluster.peer_link import ConfirmedSpan, MessageReader, PeerLink, SentRequest
+from basaltlead.cluster.session_lease import SessionLeaseKeeper
+from basaltlead.config.settings import Peer
+from basaltlead.runtime.clock import now_us
+from basaltlead.wire.peers import DeferralRequest, FailoverDeferral
+
+
+class LeaseExtension:
+    """Requests deferrals of all peers, and extends the validity of our lease by what they grant."""
+
+    def __init__(
+        self,
+        peers: Iterable[Peer],
+        reader: MessageReader,
+        session: SessionLeaseKeeper,
+        exchange: CancellationExchange,
+    ) -> None:
+        self.session = session
+        self.exchange = exchange
+        self.links = [PeerLink(peer, reader, self._answered) for peer in peers]
+        self.sequence = 0  # of the last request
+
+    async def request_deferrals(self) -> None:
+        """Request deferrals while our lease can't be renewed; never returns.
+
+        A shard leader needs them to go on. The other controllers request them since a controller is
+        as healthy as any while the key-value store is away for all, and the load balancer is slow
+        to trust one again that has called itself unhealthy.
+        """
+        while True:
+            await asyncio.sleep(self.session.ttl_us / 10e6)
+            if self.session.partitioned:
+                calls = [self._request(link) for link in self.links]
+            else:  # be ready to announce cancellations
+                calls = [link.connect() for link in self.links]
+            await asyncio.gather(*calls, return_exceptions=True)
+
+    def all_peers_partitioned(self) -> bool:
+        """Whether peers have answered lately, and all of these have lost the key-value store."""
+        recent = now_us() - self.session.ttl_us
+        answers = [link.answers for link in self.links if link.answers.heard_at > recent]
+        return bool(answers) and all(answer.partitioned for answer in answers)
+
+    async def _request(self, link: PeerLink) -> None:
+        await link.connect()
+        if not link.connected:
+            return
+        self.sequence += 1
+        now, as_of = now_us(), self.exchange.as_of()
+        link.answers.note_request(self.sequence, SentRequest(now, as_of))
+        link.send(
+            DeferralRequest(
+                self.sequence,
+                self.session.name,
+                self.session.incarnation,
+                span_us=self.session.ttl_us,
+                unconfirmed_us=None if as_of is None else max(0, now - as_of),
+            )
+        )
+
+    def _answered(self, link: PeerLink, deferral: FailoverDeferral) -> None:
+        answers = link.answers
+        answers.note_heard(deferral.partitioned)
+        if deferral.incarnation != self.session.incarnation or not self.session.version:
+            return  # the answer to an earlier incarnation of ours
+        request = answers.requests.pop(deferral.seq, None)
+        if request is None:
+            return
+        if deferral.cancelled is not None and request.cancellations_as_of is not None:
+            self.exchange.learn(deferral.cancelled)
+            if now_us() - request.sent_at <= LONGEST_EXCHANGE_US:
+                answers.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
+                self._merge_confirmations()
+        # Deferrals prolong a lease; they can't bring back one that another may have by now.
+        if now_us() < self.session.valid_until and deferral.span_us > 0:
+            answers.note_deferral(request.sent_at, deferral)
+            self._extend_lease()
+
+    def _merge_confirmations(self) -> None:
+        """Pass on the span of which *all* peers have named their cancellations, if there is one."""
+        spans = [span for link in self.links if (span := link.answers.confirmed_span) is not None]
+        if spans and len(spans) == len(self.links):
+            self.exchange.on_confirmed(
+                max(span.since for span in spans), min(span.until for span in spans)
+            )
+
+    def _extend_lease(self) -> None:
+        """Extend our validity to the earliest end among all peers' deferrals: one that has granted
+        none may replace us."""
+        incarnation = self.session.incarnation
+        answers = [link.answers for link in self.links]
+        if answers and all(answer.deferred_incarnation == incarnation for answer in answers):
+            self.session.defer_until(min(answer.deferred_until for answer in answers))
--- /dev/null
+++ b/basaltlead/cluster/peer_link.py
@@ -0,0 +1,136 @@
+"""Outgoing connections to other controllers, and the reading of their messages."""
+
+import asyncio
+from collections.abc import Callable
+from typing import NamedTuple
+
+import msgspec
+
+from basaltlead.clients.codec import encode
+from basaltlead.config.settings import Peer
+from basaltlead.core.cluster_view import session_validity_end
+from basaltlead.net.netstring import FrameProtocol
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import LogRateLimiter, log
+from basaltlead.wire.peers import FailoverDeferral, Message
+
+decoder = msgspec.json.Decoder(Message)
+CONNECT_TIMEOUT_S = 1.0
+MOST_REQUESTS_KEPT = 20  # unanswered ones; an answer to an older one is of no use
+
+
+class MessageReader:
+    """Decodes messages of peers, and logs malformed ones at a bounded rate."""
+
+    def __init__(self) -> None:
+        self.log_limiter = LogRateLimiter()
+
+    def read(self, body: bytes) -> Message | None:
+        """The message, or None if it is malformed."""
+        try:
+            return decoder.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
+            if self.log_limiter.ok(now_us()):
+                log.info("malformed message of a peer: %s", fault)
+            return None
+
+
+class SentRequest(NamedTuple):
+    """A deferral request that is not answered so far."""
+
+    sent_at: int
+    cancellations_as_of: int | None  # from when on it asked for cancellations, if it did
+
+
+class ConfirmedSpan(NamedTuple):
+    """From when until when a peer has named every cancellation that it confirmed."""
+
+    since: int
+    until: int
+
+
+class PeerAnswers:
+    """What the answers of one peer are good for."""
+
+    def __init__(self) -> None:
+        self.requests: dict[int, SentRequest] = {}  # by sequence number
+        self.deferred_until = 0
+        # A deferral that was granted to an earlier incarnation of ours is worth nothing.
+        self.deferred_incarnation = ""
+        self.heard_at = 0  # the last answer
+        self.partitioned = False  # whether it said that the peer has lost the key-value store
+        self.confirmed_span: ConfirmedSpan | None = None
+
+    def note_request(self, sequence: int, request: SentRequest) -> None:
+        """Keep a request until its answer comes."""
+        self.requests[sequence] = request
+        while len(self.requests) > MOST_REQUESTS_KEPT:
+            del self.requests[next(iter(self.requests))]
+
+    def note_heard(self, partitioned: bool) -> None:
+        """Note an answer, and whether the peer has lost the key-value store."""
+        self.heard_at, self.partitioned = now_us(), partitioned
+
+    def note_confirmed(self, span: ConfirmedSpan) -> None:
+        """Note that the peer has named all cancellations of a span."""
+        self.confirmed_span = span
+
+    def note_deferral(self, sent_at: int, deferral: FailoverDeferral) -> None:
+        """Note a granted deferral. Its span counts from when it was requested, on our own clock."""
+        if self.deferred_incarnation != deferral.incarnation:
+            self.deferred_incarnation, self.deferred_until = deferral.incarnation, 0
+        until = session_validity_end(sent_at, deferral.span_us)
+        self.deferred_until = max(self.deferred_until, until)
+
+
+class PeerLink:
+    """Our outgoing connection to one peer."""
+
+    def __init__(
+        self,
+        peer: Peer,
+        reader: MessageReader,
+        on_answer: Callable[["PeerLink", FailoverDeferral], None],
+    ) -> None:
+        self.peer = peer
+        self.reader = reader
+        self.on_answer = on_answer
+        self.answers = PeerAnswers()
+        self.protocol: FrameProtocol | None = None
+        self.connecting = False
+
+    @property
+    def connected(self) -> bool:
+        """Whether there is a connection, as far as known."""
+        return self.protocol is not None
+
+    def send(self, message: Message) -> None:
+        """Send a message if there is a connection. One whose other end does not read is closed."""
+        if self.protocol is not None and not self.protocol.send(encode(message)):
+            self.protocol.close()
+
+    async def connect(self) -> None:
+        """Connect unless there is a connection; after a failure `connected` is still False."""
+        if self.connecting or self.protocol is not None:
+            return
+        self.connecting = True
+        host, port = self.peer.address.rsplit(":", 1)
+        loop = asyncio.get_running_loop()
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, self.protocol = await loop.create_connection(
+                    lambda: FrameProtocol(self._received, self._lost), host, int(port)
+                )
+        except (OSError, TimeoutError) as fault:
+            log.debug("no connection to peer %s: %s", self.peer.member, fault or "no answer")
+        finally:
+            self.connecting = False
+
+    def _lost(self, protocol: FrameProtocol) -> None:
+        if self.protocol is protocol:
+            self.protocol = None
+
+    def _received(self, _protocol: FrameProtocol, body: bytes) -> None:
+        message = self.reader.read(body)
+        if isinstance(message, FailoverDeferral) and message.name == self.peer.member:
+            self.on_answer(self, message)
--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -1,17 +1,17 @@
-"""Which versions of this program may be at work side by side, and what depends on it.
+"""Which versions of this program may run side by side, and what depends on it.
 
 A controller names the version of its records in its member key. Controllers from before services
-name none, which reads as 0. Whatever a controller does for the others hangs on its session lease,
-and so on that key: one whose key is gone leads nothing and owns nothing, whatever it is.
+name none, which reads as 0. Whatever a controller does for the others depends on its session lease,
+and so on that key: one whose key is gone leads nothing and holds nothing, whatever its version.
 
-So a service is accepted while no member key names an older version, in a transaction that is
-guarded on the member keys of all controllers. Its record can't be read by a version that would
-take it for an array. Should such a process join later and get the shard, it fails to load it and
+So a service is accepted while no member key names an older version, in a transaction that has the
+member keys of all controllers as preconditions. Its record can't be read by a version that would
+take it for an array. Should such a controller join later and get the shard, it fails to load it and
 hands it back, to one that can.
 
 Duties are granted to holders of their own while no member key names a version that does not know
-them. Beside an older member the shard leaders carry them out, as they did before; what the holders
-had recorded and not carried out stays recorded, and is carried out by whoever may.
+them. Beside an older member the shard leaders carry them out, as they did before; intents that the
+holders had recorded and not carried out stay recorded, and are carried out by whoever may.
 
 Once no controller of version 0 is left anywhere, `services_allowed` and `member_preconditions` can
 go, and so can the chunk rows' empty field in `result_rows`.
@@ -28,28 +28,30 @@
 
 
 def record_version(duties: bool) -> int:
-    """What a member key names. A controller on which duties are switched off leaves them to the
-    shard leaders, like one from before duties."""
+    """The version that a member key names. A controller on which duties are switched off leaves
+    them to the shard leaders, like one from before duties, and so names that one's version."""
     return CURRENT if duties else SERVICES
 
 
 def duties_allowed(cluster: ClusterView) -> bool:
-    """May duties be granted on their own, as far as we know? Beside a member that does not know
-    them they stay with the shard leaders: it would neither read an intent nor leave it alone."""
-    return _all_know(cluster, DUTIES)
+    """Whether duties may be granted on their own, as far as known. Beside a member that does not
+    know them they stay with the shard leaders: it would neither read an intent nor leave it
+    alone."""
+    return _all_members_know(cluster, DUTIES)
 
 
-def _all_know(cluster: ClusterView, version: int) -> bool:
+def _all_members_know(cluster: ClusterView, version: int) -> bool:
     versions = [claim.version for claim, _ in cluster.members.values()]
     return bool(versions) and min(versions) >= version
 
 
 def services_allowed(cluster: ClusterView) -> bool:
-    """May services be accepted, as far as we know? Not beside a member that can't read them."""
-    return _all_know(cluster, SERVICES)
+    """Whether services may be accepted, as far as known: not beside a member that can't read
+    them."""
+    return _all_members_know(cluster, SERVICES)
 
 
 def member_preconditions(cluster: ClusterView, names: Iterable[str]) -> list[Precondition]:
-    """Conditions that the members are still those that were looked at: one of another version
-    that has joined meanwhile makes the transaction fail."""
+    """Conditions that the member keys are still those of the view: a member of another version that
+    has joined meanwhile makes the transaction fail."""
     return [Precondition(member_key(name), cluster.member_version(name)) for name in names]
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -11,6 +11,7 @@
 from basaltlead.api.users import UserApi, refusal
 from basaltlead.clients.cloud import Cloud
 from basaltlead.clients.codec import encode
+from basaltlead.cluster.cancellation_exchange import CancellationExchange
 from basaltlead.cluster.election import LeaderElection
 from basaltlead.cluster.membership import Membership
 from basaltlead.cluster.peers import Peers
@@ -60,26 +61,21 @@
         self.store = KeyValueStore(settings.services.state, limits, facts.nodes, spread)
         self.cloud = Cloud(settings.services.cloud, facts.cloud.rps / spread)
         self.membership = Membership(
-            settings.member,
-            [peer.member for peer in settings.known],
-            self.store,
-            settings.session_lease_us,
-            settings.operator.shards,
-            DUTY_KEYS if settings.operator.duties else (),
+            settings, self.store, DUTY_KEYS if settings.operator.duties else (), self._changed
         )
-        self.membership.changed = self._changed
         self.election = LeaderElection(self.membership)
         self.cancellations = Cancellations(now_us())
         self.peers = Peers(
+            settings,
             self.membership,
-            settings.internal_addr,
-            settings.known,
-            self.cancellations,
+            CancellationExchange(
+                self.cancellations,
+                self._cancellations_as_of,
+                self._over,
+                self._confirm_cancellations,
+            ),
             DutyReports(self.store, self.membership).answer,
         )
-        self.peers.cancellations_as_of = self._cancellations_as_of
-        self.peers.over = self._over
-        self.peers.confirm_cancellations = self._confirm_cancellations
         shards = settings.operator.shards
         self.shard_assigner = ShardAssigner(
             self.membership, self.store, team_quotas(settings), shards
@@ -119,8 +115,8 @@
         await self.peers.serve()
         log.info("%s listens on %s", self.settings.member, self.settings.front)
         for name, loop in (
-            ("keep", self.membership.keep),
-            ("watch", self.membership.watch),
+            ("keep", self.membership.session.keep),
+            ("watch", self.membership.watch.follow),
             ("lead", self.election.run),
             ("types", self.types.follow),
             ("supervise", self._supervise),
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -26,7 +26,7 @@
     job_of,
 )
 from basaltlead.storage.result_rows import split_open
-from basaltlead.storage.watch import follow
+from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
 
@@ -73,13 +73,8 @@
 
     async def follow(self, prefix: str) -> None:
         """Keep one of our tables like the keys under a prefix."""
-        await follow(
-            self.store,
-            prefix,
-            self.membership.watch_ms,
-            partial(self._load, prefix),
-            partial(self._take, prefix),
-        )
+        watch = KeyWatch(self.store, prefix, self.membership.watch_ms)
+        await watch.run(partial(self._load, prefix), partial(self._take, prefix))
 
     def _take(self, prefix: str, change: Change) -> None:
         if change.put is not None:
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -44,7 +44,7 @@
     job_of,
 )
 from basaltlead.storage.result_rows import CHUNK_SHARDS, ResultLayout, load_results, split_open
-from basaltlead.storage.watch import follow
+from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Drop, Precondition, Put, Row
 from basaltlead.wire.workers import Heartbeat, HeartbeatResponse
 
@@ -299,15 +299,8 @@
 
     async def _watch(self, since: int) -> None:
         """Follow the open jobs: new ones, and those that are cancelled."""
-        await follow(
-            self.store,
-            OPEN,
-            self.membership.watch_ms,
-            self._relist,
-            self._change,
-            self._seen,
-            since,
-        )
+        watch = KeyWatch(self.store, OPEN, self.membership.watch_ms, since)
+        await watch.run(self._relist, self._change, self._seen)
 
     def _seen(self, asked: int, news: bool) -> None:
         self.cancellations_as_of = max(self.cancellations_as_of or asked, asked)
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -20,7 +20,7 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.storage.records import ASSIGNMENT, OPEN, TaskAssignment
-from basaltlead.storage.watch import follow
+from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
 if TYPE_CHECKING:
@@ -59,14 +59,8 @@
 
     async def watch(self) -> None:
         """Follow which of the jobs' tasks are ours to start."""
-        await follow(
-            self.shard_leader.store,
-            ASSIGNMENT,
-            self.shard_leader.membership.watch_ms,
-            self.load,
-            self._change,
-            since=self.since,
-        )
+        store, watch_ms = self.shard_leader.store, self.shard_leader.membership.watch_ms
+        await KeyWatch(store, ASSIGNMENT, watch_ms, self.since).run(self.load, self._change)
 
     def load(self, rows: list[Row]) -> None:
         for row in rows:
--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -1,4 +1,4 @@
-"""Keeping a picture of the keys under a prefix like the key-value store has them."""
+"""Following the keys under a prefix of the key-value store: list them, then watch for changes."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,38 +11,60 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Change, Row
 
+SHORTEST_RETRY_US = 100_000
+LONGEST_RETRY_US = 1_000_000
 
-async def follow(
-    store: KeyValueStore,
-    prefix: str,
-    hold_ms: int,
-    load: Callable[[list[Row]], None],
-    take: Callable[[Change], None],
-    seen: Callable[[int, bool], None] = lambda asked, news: None,
-    since: int | None = None,
-) -> None:
-    """List, then watch, for ever: `load` gets all rows, `take` each change, and `seen` when a
-    good look was asked for and whether it brought news."""
-    backoff = Backoff(100_000, 1_000_000, chance)
-    while True:
-        try:
-            asked = now_us()
-            if since is None:
-                rows, since = await store.rows(prefix)
-                load(rows)
-                seen(asked, True)
-                asked = now_us()
-            changes = await store.changes(prefix, since, hold_ms)
-            for change in changes.log:
-                take(change)
-            since = max(since, changes.revision)
-            seen(asked, bool(changes.log))
-            backoff.reset()
-        except RevisionCompacted:
-            since = None
-        except ServiceError as fault:
-            log.debug("following %s: %s", prefix, fault)
-            await backoff.wait()
+LoadRows = Callable[[list[Row]], None]
+ApplyChange = Callable[[Change], None]
+AfterRead = Callable[[int, bool], None]
+
+
+def _ignore_read(sent_at: int, has_changes: bool) -> None:
+    """For followers that do not need to know how old their view is."""
+
+
+class KeyWatch:
+    """Follows the keys under one prefix, and lists them again whenever changes were missed."""
+
+    def __init__(
+        self, store: KeyValueStore, prefix: str, hold_ms: int, revision: int | None = None
+    ) -> None:
+        """`hold_ms` is how long the store may hold a request without news. With a `revision`, that
+        of a list which the caller has read itself, the watch begins there, without a list."""
+        self.store = store
+        self.prefix = prefix
+        self.hold_ms = hold_ms
+        self.revision = revision
+
+    async def run(
+        self, load: LoadRows, apply: ApplyChange, after_read: AfterRead = _ignore_read
+    ) -> None:
+        """Follow the keys; never returns.
+
+        `load` gets all rows of a list, and `apply` each change after it. `after_read` is called
+        after each list or watch that was answered, with the time at which it was *sent* and
+        whether it brought changes: only what was recorded before that time is known for certain.
+        """
+        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, chance)
+        while True:
+            try:
+                if self.revision is None:
+                    sent_at = now_us()
+                    rows, self.revision = await self.store.rows(self.prefix)
+                    load(rows)
+                    after_read(sent_at, True)
+                sent_at = now_us()
+                changes = await self.store.changes(self.prefix, self.revision, self.hold_ms)
+                for change in changes.log:
+                    apply(change)
+                self.revision = max(self.revision, changes.revision)
+                after_read(sent_at, bool(changes.log))
+                backoff.reset()
+            except RevisionCompacted:
+                self.revision = None
+            except ServiceError as fault:
+                log.debug("watch of %s failed: %s", self.prefix, fault)
+                await backoff.wait()
 
 
 async def follow_rows(
@@ -53,8 +75,11 @@
     drop: Callable[[str], None],
     known: Iterable[str] = (),
 ) -> None:
-    """The same, row by row: `put` gets key, value and version of each that is there or changes,
-    and `drop` the key of each that is gone, also of those that were `known` before."""
+    """Follow the keys under a prefix row by row; never returns.
+
+    `put` gets key, value and version of each row that is there or changes, and `drop` the key of
+    each that is gone, also of those that the caller has `known` before.
+    """
     keys = set(known)
 
     def load(rows: list[Row]) -> None:
@@ -65,7 +90,7 @@
             keys.add(row.key)
             put(row.key, row.value, row.version)
 
-    def take(change: Change) -> None:
+    def apply(change: Change) -> None:
         if change.put is not None:
             keys.add(change.put)
             put(change.put, change.value, change.version)
@@ -73,4 +98,4 @@
             keys.discard(change.drop)
             drop(change.drop)
 
-    await follow(store, prefix, hold_ms, load, take)
+    await KeyWatch(store, prefix, hold_ms).run(load, apply)
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -36,7 +36,7 @@
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
-        self.membership.record_version = 0
+        self.membership.session.record_version = 0
         self.membership.duty_keys = []
 
     def _acquire_shard(self, number: int, grant: Grant, version: int) -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -170,7 +170,7 @@
         member = world.parts[name].membership
         stale = world.parts[name].duties.holders[Duty.SCALE_IN]
         others = [node for node in world.nodes if node != name]
-        assert await member.step_down(Duty.SCALE_IN.key, leader_too=False)
+        assert await member.release(Duty.SCALE_IN.key, leader_too=False)
         for other in others:  # so that it can only come back
             world.crash(other)
         held = world.parts[name].duties.holders
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -103,11 +103,11 @@
         await world.until(lambda: world.shard_leader() is not None)
         member = world.parts["node-0"].membership
         incarnation = member.cluster.members["node-1"][0].incarnation
-        assert member.defer_failover("node-1", incarnation, 1_000_000) == 0
+        assert member.deferrals.defer_failover("node-1", incarnation, 1_000_000) == 0
         world.store.down = True
         await asyncio.sleep(member.ttl_us / 1e6)
-        assert member.defer_failover("node-1", "an earlier incarnation", 1_000_000) == 0
-        span = member.defer_failover("node-1", incarnation, 10**12)
+        assert member.deferrals.defer_failover("node-1", "an earlier incarnation", 1_000_000) == 0
+        span = member.deferrals.defer_failover("node-1", incarnation, 10**12)
         assert 0 < span <= member.ttl_us
         assert DeferralRequest(1, "node-1", "incarnation", 5).span_us == 5
 
@@ -121,18 +121,18 @@
         await world.until(lambda: world.shard_leader() is not None)
         member = world.parts["node-0"].membership
         gone = Grant("node-x", "incarnation", 1)
-        assert not member.may_replace(
+        assert not member.deferrals.may_replace(
             gone
         )  # just started: may have promised in an earlier incarnation
         await asyncio.sleep(member.ttl_us * 1.02 / 1e6)
-        assert member.may_replace(gone)
+        assert member.deferrals.may_replace(gone)
         world.store.down = True
         await asyncio.sleep(member.ttl_us / 2e6)
         member.cluster.members["node-x"] = (Claim("node-x", "incarnation"), 1)
-        assert member.defer_failover("node-x", "incarnation", member.ttl_us) > 0
+        assert member.deferrals.defer_failover("node-x", "incarnation", member.ttl_us) > 0
         del member.cluster.members["node-x"]  # its hold has ended
-        assert not member.may_replace(gone)
-        assert member.may_replace(
+        assert not member.deferrals.may_replace(gone)
+        assert member.deferrals.may_replace(
             Grant("node-1", "an earlier incarnation", 1)
         )  # replaced by itself
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 import pytest
 
 from basaltlead.cluster import versions
-from basaltlead.cluster.peers import decoder
+from basaltlead.cluster.peer_link import decoder
 from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant
 from basaltlead.core.entities import Shape
 from basaltlead.core.market import TeamRecord
