--- /dev/null
+++ b/basaltlead/api/responses.py
@@ -0,0 +1,18 @@
+"""Answers that several parts of the interface give."""
+
+from basaltlead.clients.codec import encode
+from basaltlead.net.http import Response
+from basaltlead.wire.users import JobAnswer, Refusal
+
+RETRY_SOON = "Retry-After: 1\r\n"
+RETRY_LATER = "Retry-After: 3\r\n"
+
+
+def refusal(status: int, text: str, headers: str = "") -> Response:
+    """An answer without a result; `text` says why there is none."""
+    return Response(status, encode(Refusal(text)), headers)
+
+
+def job_answer(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
+    """An answer with the state of a job."""
+    return Response(status, encode(JobAnswer(ref, stage, done, running)))
--- /dev/null
+++ b/basaltlead/api/routing.py
@@ -0,0 +1,80 @@
+"""Which part of a controller answers which request."""
+
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+import msgspec
+
+from basaltlead.api.responses import refusal
+from basaltlead.api.users import UserApi
+from basaltlead.clients.codec import encode
+from basaltlead.cluster.membership import Membership
+from basaltlead.net.http import Request, Response
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import LogRateLimiter, log
+from basaltlead.shard.assignment import ShardAssigner
+from basaltlead.shard.registry import ShardRegistry
+from basaltlead.wire.workers import Heartbeat, Redirect
+
+HEARTBEAT_PATH = "/agent/beat"
+HEALTH_PATH = "/healthz"
+JOBS_PATH = "/api/jobs"
+
+heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
+
+
+class HeartbeatApi:
+    """Passes heartbeats on to the leader of the worker's shard, or redirects the worker."""
+
+    def __init__(
+        self, registry: ShardRegistry, assigner: ShardAssigner, membership: Membership
+    ) -> None:
+        self.registry = registry
+        self.assigner = assigner
+        self.membership = membership
+        self._log_limiter = LogRateLimiter()
+
+    def handle(self, body: bytes) -> Response:
+        """Answer a heartbeat: 200 from the shard's leader, 421 naming it, or 503."""
+        try:
+            heartbeat = heartbeat_decoder.decode(body)
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
+            if self._log_limiter.ok(now_us()):
+                log.info("malformed heartbeat: %s", fault)
+            return refusal(400, "malformed report")
+        number = self.assigner.shard_of(heartbeat.machine) or 0
+        leader = self.registry.leaders.get(number)
+        if leader is not None:
+            answer = leader.heartbeat(heartbeat)
+            if answer is not None:
+                return answer
+        other = self.membership.shard_leader(number)
+        if other is None or other == self.membership.name:
+            return refusal(503, "no owner known")
+        return Response(421, encode(Redirect(other)))
+
+
+class Router:
+    """Routes requests to the users' interface, the heartbeats, and the health check."""
+
+    def __init__(
+        self, user_api: UserApi, heartbeat_api: HeartbeatApi, is_healthy: Callable[[], bool]
+    ) -> None:
+        self.user_api = user_api
+        self.heartbeat_api = heartbeat_api
+        self.is_healthy = is_healthy
+
+    def handle(self, request: Request) -> "Response | Coroutine[Any, Any, Response]":
+        """Answer any request."""
+        path = request.path
+        if path == HEARTBEAT_PATH:
+            if request.method != "POST":
+                return refusal(405, "use POST")
+            return self.heartbeat_api.handle(request.body)
+        if path == HEALTH_PATH:
+            if request.method != "GET":
+                return refusal(405, "use GET")
+            return Response(200, b"{}") if self.is_healthy() else refusal(503, "not ready")
+        if path == JOBS_PATH or path.startswith(f"{JOBS_PATH}/"):
+            return self.user_api.handle(request)
+        return refusal(404, "no such path")
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -15,10 +15,10 @@
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
+from basaltlead.scaling.idle_retention import QuietSchedule
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.scaling.scale_in import ScaleIn, provisioning_overdue
 from basaltlead.scaling.scale_out import ScaleOut
-from basaltlead.scaling.idle_retention import QuietSchedule
 from basaltlead.shard.arrivals import ArrivalHistory
 from basaltlead.shard.context import ShardContext
 from basaltlead.wire.cloud import RentedMachine
@@ -229,14 +229,10 @@
             if one.name in shard.gone:
                 continue
             machine = shard.machines.get(one.name)
-            if machine is None and (
-                self._is_of_other_shard(one.name) or self._not_yet(one)
-            ):
+            if machine is None and (self._is_of_other_shard(one.name) or self._not_yet(one)):
                 continue
             if machine is None:
-                machine_type = self.context.machine_types.get(
-                    one.type
-                ) or unknown_machine_type(one.type)
+                machine_type = self.context.machine_type(one.type)
                 machine = Machine(one.name, machine_type, one.zone, one.spot, now)
                 machine.made_at = now - int(one.age_s * US)
                 shard.add_machine(machine)
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import Machine
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
@@ -43,7 +43,7 @@
                 row = await self.context.store.get(self.key)
             except (RequestFailed, Unavailable) as fault:
                 log.info("reading quiet times: %s", fault)
-                await backoff.rest()
+                await backoff.wait()
                 continue
             if row is not None:
                 self.context.store.versions[self.key] = row.version
--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -6,20 +6,25 @@
 """
 
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from msgspec import Struct
 
 from basaltlead.core.jobs import US
 
-if TYPE_CHECKING:
-    from basaltlead.scaling.quiet_times import QuietTime
-
 PARTS = 10  # of the bound, reserved one after the other
 HOUR_US = 3600 * US
 LONGEST_STEP_US = 5 * US  # between two passes; a process that stood still kept nobody
 
 
+class QuietTime(Protocol):
+    """An occurrence of the operators' calendar."""
+
+    @property
+    def start(self) -> int:
+        """When it begins: a time of day in microseconds."""
+
+
 class StoredQuiet(Struct):
     """How much is reserved for the quiet time that began at `start`."""
 
@@ -43,7 +48,7 @@
         """Go on after another shard leader."""
         self.start, self.reserved, self.spent = stored.start, stored.reserved, stored.reserved
 
-    def begin(self, quiet: "QuietTime | None", now: int) -> bool:
+    def begin(self, quiet: QuietTime | None, now: int) -> bool:
         """A pass over the machines begins; True if more should be reserved."""
         self.step_us = min(LONGEST_STEP_US, now - self.passed_at) if self.passed_at else 0
         self.passed_at = now
--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -1,6 +1,7 @@
 """Who is heard, and whether silence is more likely the machines' trouble or our own."""
 
-from basaltlead.core.entities import US, Machine
+from basaltlead.core.entities import Machine
+from basaltlead.core.jobs import US
 from basaltlead.core.silent_zones import SILENT_COUNT
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.context import ShardContext
@@ -26,9 +27,7 @@
         """Have several machines fallen silent, and nobody is heard? For a while that is more
         likely our own trouble than theirs, and we would not hear of new ones either."""
         lease = self.context.shard.timing.lease_us
-        heard = [
-            m.heard_at for m in self.context.shard.machines.values() if m.up and m.heard_at
-        ]
+        heard = [m.heard_at for m in self.context.shard.machines.values() if m.up and m.heard_at]
         silent = len(heard) >= SILENT_COUNT and not self.anybody_heard(now)
         return silent and now - max(heard) < BLIND_LEASES * lease
 
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -98,10 +98,14 @@
         delegated = self.context.membership.duties_granted
         if delegated:
             held = self.context.membership.cluster.grants.get(Duty.RENT.key)
-            stored.duty_token = held[0].fencing_token if held is not None else 0
-            preconditions.append(Precondition(Duty.RENT.key, held[1] if held is not None else 0))
+            stored.duty_token = held.value.fencing_token if held is not None else 0
+            preconditions.append(
+                Precondition(Duty.RENT.key, held.version if held is not None else 0)
+            )
         try:
-            version = await self.context.store.commit([Put(SCALE_OUT + name, stored)], preconditions)
+            version = await self.context.store.commit(
+                [Put(SCALE_OUT + name, stored)], preconditions
+            )
         except ServiceError as fault:
             log.info("hire %s not recorded: %s", name, fault)
             self.pending.pop(name, None)
@@ -115,9 +119,7 @@
 
     def _await_machines(self, name: str, stored: StoredScaleOut) -> None:
         """Reckon with what a request will bring."""
-        machine_type = self.context.machine_types.get(
-            stored.type_name
-        ) or unknown_machine_type(stored.type_name)
+        machine_type = self.context.machine_type(stored.type_name)
         now = now_us()
         self.pending[name] = [
             Machine(f"{name}/{i}", machine_type, stored.zone, stored.spot, now)
@@ -173,9 +175,7 @@
     def _expect(self, stored: StoredScaleOut, names: list[str]) -> None:
         now = now_us()
         returning = self.context.intents.returning
-        machine_type = self.context.machine_types.get(
-            stored.type_name
-        ) or unknown_machine_type(stored.type_name)
+        machine_type = self.context.machine_type(stored.type_name)
         for name in names:
             if name in self.context.shard.gone:
                 continue
@@ -230,10 +230,7 @@
         """What nobody else carries out is ours: an older member may have joined."""
         while True:
             await asyncio.sleep(UNCLAIMED_PAUSE_S)
-            if (
-                self.context.membership.duties_granted
-                or not self.context.lease.holds_valid_lease
-            ):
+            if self.context.membership.duties_granted or not self.context.lease.holds_valid_lease:
                 continue
             for name, stored in list(self.context.intents.scale_outs.items()):
                 if stored.names is None and name not in self.carrying:
--- a/basaltlead/shard/arrivals.py
+++ b/basaltlead/shard/arrivals.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from basaltlead.core.entities import Job
+from basaltlead.core.jobs import Job
 
 REMEMBERED_ARRIVALS = 200  # of each class
 
--- a/basaltlead/shard/context.py
+++ b/basaltlead/shard/context.py
@@ -8,7 +8,7 @@
 from basaltlead.clients.workers import Workers
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
-from basaltlead.core.entities import US, MachineType
+from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.shard import Shard
 from basaltlead.runtime.tasks import BackgroundTasks
 from basaltlead.shard.lease import ShardLease
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -1,8 +1,8 @@
 """Answers to the heartbeats of a shard's workers."""
 
-from basaltlead.clients.base import encode
+from basaltlead.clients.codec import encode
+from basaltlead.core.commands import TaskCommand
 from basaltlead.core.entities import Machine
-from basaltlead.core.shard import TaskCommand
 from basaltlead.net.http import Response
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.context import ShardContext
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -3,12 +3,13 @@
 import asyncio
 from collections.abc import Callable
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.config.settings import Settings
-from basaltlead.core.entities import US
+from basaltlead.core.jobs import US
 from basaltlead.core.market import Market
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import TeamQuota, Timing
+from basaltlead.core.teams import TeamQuota
+from basaltlead.core.timing import Timing
 from basaltlead.errors import ServiceError
 from basaltlead.net.http import Response
 from basaltlead.runtime.clock import now_us
@@ -79,9 +80,7 @@
         spawn(self.open_jobs.follow(revision), "loop watch")
         spawn(self.results.finish_jobs(), "loop finish")
         spawn(self.results.flush_progress(), "loop flush")
-        spawn(
-            self.results.sweep_orphaned_rows(self.open_jobs.orphaned_rows), "sweep orphaned rows"
-        )
+        spawn(self.results.sweep_orphaned_rows(self.open_jobs.orphaned_rows), "sweep orphaned rows")
         spawn(PlanningLoop(self.context, self.dispatcher).run(), "loop plan")
         spawn(MarketRounds(self.context, self.market).run(), "loop rounds")
         if self.context.sharded:
@@ -100,7 +99,7 @@
                 return await self.loader.load(self.heartbeats.answered_at)
             except ServiceError as fault:
                 log.info("loading shard %d failed, retrying: %s", self.context.number, fault)
-                await backoff.rest()
+                await backoff.wait()
 
     def heartbeat(self, heartbeat: Heartbeat) -> Response | None:
         """The answer to a worker, or None when another controller must give it."""
@@ -134,9 +133,7 @@
     """The picture of a shard that has just been granted: nothing is known of it so far."""
     workers = settings.facts.workers
     timing = Timing(int(workers.lease_s * US), int(workers.report_s * US))
-    shard = Shard(
-        lease.fencing_token, lease.version, now_us(), timing, team_quotas(settings)
-    )
+    shard = Shard(lease.fencing_token, lease.version, now_us(), timing, team_quotas(settings))
     shard.log = lambda text: log.info("%s", text)
     return shard
 
--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -57,7 +57,8 @@
         machines, _ = await store.rows(MACHINE)
         scale_outs, _ = await store.rows(SCALE_OUT)
         teams, _ = await store.rows(TEAM)
-        assignments, watch_from = ([], 0)
+        assignments: list[Row] = []
+        watch_from = 0
         if self.context.sharded:
             assignments, watch_from = await store.rows(ASSIGNMENT)
         self._load_machines(machines, returning, answered_at)
--- a/basaltlead/shard/open_jobs.py
+++ b/basaltlead/shard/open_jobs.py
@@ -13,7 +13,7 @@
 from basaltlead.shard.results import ResultWriter
 from basaltlead.storage.records import OPEN, StoredJob, job_of
 from basaltlead.storage.result_rows import CHUNK_SHARDS, load_results, split_open
-from basaltlead.storage.watch import follow
+from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Row
 
 
@@ -45,17 +45,11 @@
             self.take_row(row.key, row.value, row.version, now_us())
         self.context.lease.cancellations_as_of = requested_at
 
-    async def follow(self, since: int) -> None:
+    async def follow(self, revision: int) -> None:
         """Follow the rows from a revision on, until the shard is released."""
-        await follow(
-            self.context.store.client,
-            OPEN,
-            self.context.membership.watch_ms,
-            self._relist,
-            self._apply,
-            self._up_to_date,
-            since,
-        )
+        watch_ms = self.context.membership.watch_ms
+        watch = KeyWatch(self.context.store.client, OPEN, watch_ms, revision)
+        await watch.run(self._relist, self._apply, self._after_read)
 
     def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
         """Take in a row under `open/`: a job, or results of some of its tasks."""
@@ -104,8 +98,8 @@
         for ref in [ref for ref in self.shard.job_states if ref not in listed]:
             self.close(ref)
 
-    def _up_to_date(self, requested_at: int, changed: bool) -> None:
-        self.context.lease.cancellations_read(requested_at)
+    def _after_read(self, sent_at: int, _has_changes: bool) -> None:
+        self.context.lease.cancellations_read(sent_at)
 
     def close(self, ref: str) -> None:
         """A job is over or cancelled: stop what runs of it, and clean up after it."""
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from basaltlead.clients.base import encode
-from basaltlead.core.entities import US
+from basaltlead.clients.codec import encode
+from basaltlead.core.jobs import US
 from basaltlead.core.market import Market, TeamRecord
 from basaltlead.core.planning import plan
 from basaltlead.runtime.clock import now_us
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -4,17 +4,18 @@
 
 import msgspec
 
-from basaltlead.clients.base import Backoff
+from basaltlead.clients.backoff import Backoff
 from basaltlead.core.cluster_view import Load, load_key
-from basaltlead.core.entities import US, JobState
-from basaltlead.core.shard_state import TeamQuota
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
+from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
 from basaltlead.shard.results import attempt_write
 from basaltlead.storage.records import ASSIGNMENT, OPEN, TaskAssignment
-from basaltlead.storage.watch import follow
+from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
 
@@ -41,14 +42,9 @@
 
     async def follow(self) -> None:
         """Follow which of the jobs' tasks are ours to start."""
-        await follow(
-            self.context.store.client,
-            ASSIGNMENT,
-            self.context.membership.watch_ms,
-            self._take_all,
-            self._apply,
-            since=self._watch_from,
-        )
+        watch_ms = self.context.membership.watch_ms
+        watch = KeyWatch(self.context.store.client, ASSIGNMENT, watch_ms, self._watch_from)
+        await watch.run(self._take_all, self._apply)
 
     def _take_all(self, rows: list[Row]) -> None:
         for row in rows:
@@ -139,11 +135,11 @@
             except PreconditionFailed as conflict:
                 if key in conflict.failed or OPEN + ref in conflict.failed:
                     return  # the record is another one: the watch shows it
-                await backoff.rest()
+                await backoff.wait()
             except TransactionTooLarge:
                 return  # it can never be written: the tasks stay here
             except ServiceError:
-                await backoff.rest()
+                await backoff.wait()
             else:
                 self._assignments[ref] = (changed, version)
                 log.info("tasks of job %s reassigned: %s", ref, changed.parts)
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -4,7 +4,8 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from basaltlead.core.entities import US, JobState
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
 from basaltlead.errors import PreconditionFailed, ServiceError
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
@@ -21,7 +22,7 @@
 
 
 async def attempt_write(write: Coroutine[Any, Any, None]) -> None:
-    """Await a write that its caller repeats anyway: a failure is logged, and followed by a pause."""
+    """Await a write that its caller repeats anyway: a failure is logged, then there is a pause."""
     try:
         await write
     except PreconditionFailed as conflict:
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -9,16 +9,16 @@
 
 from basaltlead.config.settings import Settings
 from basaltlead.controller import Controller
-from basaltlead.core.cluster_view import Grant
 from basaltlead.shard.leader import ShardLeader
+from basaltlead.shard.open_jobs import OpenJobs
 from basaltlead.storage.result_rows import CHUNK_SHARDS, ResultLayout, split_open
 from tests.fakes import old_schemas
 
 
-class OldShardLeader(ShardLeader):
+class OldOpenJobs(OpenJobs):
     """Takes a service for an array, and of a chunk row sees an empty list."""
 
-    def _take_open(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
+    def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
         _, part = split_open(key)
         if part is None:
             stored = msgspec.json.decode(raw, type=old_schemas.StoredJob)
@@ -26,7 +26,13 @@
         elif part[0] >= CHUNK_SHARDS:
             assert not msgspec.json.decode(raw, type=old_schemas.Progress).done
             return
-        super()._take_open(key, raw, version, now)
+        super().take_row(key, raw, version, now)
+
+
+class OldShardLeader(ShardLeader):
+    """Reads open jobs as the old version did."""
+
+    open_jobs_class = OldOpenJobs
 
 
 class OldController(Controller):
@@ -36,9 +42,9 @@
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
-        self.membership.record_version = 0
+        self.membership.session.record_version = 0
         self.membership.duty_keys = []
 
-    def _acquire_shard(self, number: int, grant: Grant, version: int) -> None:
-        super()._acquire_shard(number, grant, version)
-        self.shard_leaders[number].layout = ResultLayout(1 << 30)
+    def result_layout(self) -> ResultLayout:
+        """Stretch rows only, whatever their size."""
+        return ResultLayout(1 << 30)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -175,9 +175,7 @@
             world.crash(other)
         held = world.parts[name].duties.holders
         await world.until(
-            lambda: (
-                held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name
-            ),
+            lambda: held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name,
             seconds=4 * TAKEOVER,
         )
         fresh = held[Duty.RETURN]
@@ -215,7 +213,7 @@
 
         node.membership.release = answered_late
         node.duties.holders[Duty.RETURN].step_down()
-        node.shard_leaders[0].stepped_down = True
+        node.shard_leaders[0].lease.stepped_down = True
         await asyncio.sleep(15)
         assert world.holder(Duty.RETURN) == name == world.shard_leader()
 
@@ -374,7 +372,7 @@
     start = ScaleIn.start
 
     def noting_start(scale_ins: ScaleIn) -> None:
-        machines = scale_ins.shard_leader.shard.machines.values()
+        machines = scale_ins.context.shard.machines.values()
         at_first.append({machine.name for machine in machines if machine.terminating})
         start(scale_ins)
 
@@ -673,7 +671,7 @@
 
 
 async def _send_at_once(requests: ScaleOut, name: str, stored: StoredScaleOut) -> None:
-    requests.shard_leader.scale_outs[name] = stored
+    requests.context.intents.scale_outs[name] = stored
     await requests._carry_out(name, stored)
 
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from basaltlead.clients.base import Budget
+from basaltlead.clients.rate_budget import RateBudget
 from basaltlead.clients.workers import Workers
 from basaltlead.errors import RequestFailed
 from basaltlead.net.http import Pool, Request, Response, Server
@@ -325,8 +325,8 @@
     """Hundreds of machines and results fill the limit on writes by themselves."""
 
     async def story(loop: Loop) -> None:
-        budget = Budget(rate=20.0)
-        records = [loop.create_task(budget.spare(4)) for _ in range(50)]
+        budget = RateBudget(rate=20.0)
+        records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
         for _ in range(10):
             await asyncio.sleep(0.5)
             asked = loop.time()
@@ -382,12 +382,12 @@
         halt = WorkerCommand("halt", "req-000001/0", attempt.attempt_number, 0.0)
         workers = Workers(most=1)
         async with workers.calls:
-            command = DirectCommand(shard_leader.grant.fencing_token, machine.epoch, [halt])
+            command = DirectCommand(shard_leader.lease.fencing_token, machine.epoch, [halt])
             asked = loop.create_task(
                 workers.command(machine.address, command, lambda: shard_leader.holds_valid_lease)
             )
             await asyncio.sleep(0.1)
-            shard_leader.stepped_down = True
+            shard_leader.lease.stepped_down = True
         with pytest.raises(RequestFailed) as caught:
             await asked
         assert not caught.value.sent and world.on("req-000001") == ["req-000001/0"]
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -176,7 +176,9 @@
             machine = Machine(_name(number), KIND, "a", False, 0)
             machine.recorded = True
             shard_leader.shard.add_machine(machine)
-        recordable = int((5.0 + RECORD_S) * shard_leader.store.writes.rate)  # types boot in 5 s
+        recordable = int(
+            (5.0 + RECORD_S) * shard_leader.context.store.client.writes.rate
+        )  # types boot in 5 s
         assert autoscaler._max_rentals() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
         for number in range(recordable - 100):
             shard_leader.shard.machines[_name(number)].recorded = False
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -8,8 +8,8 @@
 import pytest
 
 from basaltlead import cli
-from basaltlead.clients.base import encode
-from basaltlead.controller import most_bids
+from basaltlead.clients.codec import encode
+from basaltlead.controller import max_stored_bids
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import US
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
@@ -131,7 +131,7 @@
 
 def test_budgets_types_and_hires_fit_into_values_however_many_there_are() -> None:
     value_bytes = 2048
-    terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, most_bids(value_bytes))
+    terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, max_stored_bids(value_bytes))
     market = Market(terms, ["red"], ServiceLevelObjectives())
     job_states = {}
     for number in range(500):
