--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -105,23 +105,33 @@
             return _status_answer(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
             return refusal(503, "starting", RETRY_SOON)
+        refused = self._refusal_of(submission) or await self._try_to_store(submission)
+        if refused is None:
+            return job_answer(201, submission.ref, PENDING)
+        return await self._known_or(submission.ref, refused)
+
+    def _refusal_of(self, submission: Submission) -> Response | None:
+        """Why a submission can't be accepted, for good or for now; None if it can."""
         reason = self.admission.never_runs(submission)
         if reason:
-            return await self._known_or(submission.ref, refusal(422, reason))
+            return refusal(422, reason)
         is_service = submission.shape == SERVICE
         if is_service and not versions.services_allowed(self.membership.cluster):
-            not_upgraded = refusal(503, "not all upgraded", RETRY_LATER)
-            return await self._known_or(submission.ref, not_upgraded)
+            return refusal(503, "not all upgraded", RETRY_LATER)
+        return None
+
+    async def _try_to_store(self, submission: Submission) -> Response | None:
+        """Store a submission; None once it is stored, else the answer for a job that is not known
+        already. Raises ServiceError when it is not sure what happened."""
         try:
             await self._store(submission)
         except TransactionTooLarge as fault:
-            return await self._known_or(submission.ref, refusal(422, str(fault)))
+            return refusal(422, str(fault))
         except PreconditionFailed as conflict:
             if not _names_job(conflict, submission.ref):
                 raise
-            retry = refusal(503, "again, please", RETRY_SOON)
-            return await self._known_or(submission.ref, retry)
-        return job_answer(201, submission.ref, PENDING)
+            return refusal(503, "again, please", RETRY_SOON)
+        return None
 
     async def _store(self, submission: Submission) -> None:
         ref = submission.ref
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -158,7 +158,7 @@
         while True:
             try:
                 await loop()
-            except Exception:  # whatever it is: a controller without one of its loops is no use
+            except Exception:  # a controller without one of its loops is of no use
                 log.exception("loop %s failed, restarting it", name)
             await asyncio.sleep(RESTART_PAUSE_S)
 
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -32,32 +32,40 @@
         if not self.loaded:
             self.answered_at[heartbeat.machine] = now
             return self._renewal(self.shard.halt_orphans(heartbeat))
-        shows_token = heartbeat.fencing_token == self.lease.fencing_token
-        machine = self.shard.machines.get(heartbeat.machine)
-        if machine is None:
-            if heartbeat.machine in self.shard.gone:
-                return None
-            if not shows_token:
-                # A machine that stands in no record: a rental request that was executed late, or a
-                # late copy from a machine that an earlier shard leader returned. Tasks are started
-                # on recorded machines only, so it holds none. That it exists is certain only once
-                # it shows our fencing token.
-                return self._renewal(self.shard.halt_orphans(heartbeat))
-            machine = self._register_machine(heartbeat, now)
+        if heartbeat.machine in self.shard.machines:
+            return self._apply(heartbeat, now)
+        return self._handle_unknown(heartbeat, now)
+
+    def _handle_unknown(self, heartbeat: Heartbeat, now: int) -> Response | None:
+        """Answer a machine that stands in no record: one of a scale-out request that was executed
+        late, or a late copy from a machine that an earlier shard leader returned.
+
+        Tasks are started on recorded machines only, so it holds none that is wanted. That it exists
+        is certain only once it shows our fencing token.
+        """
+        if heartbeat.machine in self.shard.gone:
+            return None
+        if heartbeat.fencing_token < self.lease.fencing_token:
+            return self._renewal(self.shard.halt_orphans(heartbeat))
+        self._register_machine(heartbeat, now)
+        return self._apply(heartbeat, now)
+
+    def _apply(self, heartbeat: Heartbeat, now: int) -> Response | None:
         commands = self.shard.heartbeat(heartbeat, now)
         if commands is None:
             return None
-        if machine.heard_at == now:
+        machine = self.shard.machines[heartbeat.machine]
+        if machine.heard_at == now:  # else it was a late copy
+            shows_token = heartbeat.fencing_token == self.lease.fencing_token
             self._after_heartbeat(machine, shows_token, now)
         if self.shard.dirty:
             self.context.wake.set()
         return self._renewal(commands)
 
-    def _register_machine(self, heartbeat: Heartbeat, now: int) -> Machine:
+    def _register_machine(self, heartbeat: Heartbeat, now: int) -> None:
         machine_type = self.context.machine_type(heartbeat.type)
         machine = Machine(heartbeat.machine, machine_type, heartbeat.zone, heartbeat.spot, now)
         self.shard.add_machine(machine)
-        return machine
 
     def _after_heartbeat(self, machine: Machine, shows_token: bool, now: int) -> None:
         """Record a machine that is new, and probe one that may not receive our commands."""
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -92,9 +92,10 @@
 
     async def _load(self) -> int:
         backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
-        while not self.context.machine_types:  # without them no machine's room is known
-            await asyncio.sleep(MACHINE_TYPES_PAUSE_S)
         while True:
+            if not self.context.machine_types:  # without them no machine's room is known
+                await asyncio.sleep(MACHINE_TYPES_PAUSE_S)
+                continue
             try:
                 return await self.loader.load(self.heartbeats.answered_at)
             except ServiceError as fault:
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from basaltlead.clients.backoff import Backoff
-from basaltlead.core.cluster_view import Load, load_key
+from basaltlead.core.cluster_view import Load, Versioned, load_key
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import US
 from basaltlead.core.teams import TeamQuota
@@ -26,14 +26,14 @@
         self.context = context
         self.shard = context.shard
         self._interval_s = round_us / US / 2
-        self._assignments: dict[str, tuple[TaskAssignment, int]] = {}
+        self._assignments: dict[str, Versioned[TaskAssignment]] = {}
         self._watch_from = 0
         self._handing_over: set[str] = set()  # jobs of which tasks are being handed over
 
     def ranges_of(self, ref: str) -> list[tuple[int, int]]:
         """The job's tasks that are assigned to this shard."""
         known = self._assignments.get(ref)
-        return known[0].ranges_of(self.context.number) if known is not None else []
+        return known.value.ranges_of(self.context.number) if known is not None else []
 
     def load(self, rows: list[Row], watch_from: int) -> None:
         """Take in the stored assignments, which are to be followed from a revision on."""
@@ -59,10 +59,10 @@
     def _take(self, key: str, raw: msgspec.Raw, version: int) -> None:
         ref = key[len(ASSIGNMENT) :]
         known = self._assignments.get(ref)
-        if known is not None and known[1] > version:
+        if known is not None and known.version > version:
             return  # an old message: we have changed the assignment ourselves meanwhile
         assignment = msgspec.json.decode(raw, type=TaskAssignment)
-        self._assignments[ref] = (assignment, version)
+        self._assignments[ref] = Versioned(assignment, version)
         job_state = self.shard.job_states.get(ref)
         if job_state is not None and ref not in self._handing_over:
             job_state.assign(assignment.ranges_of(self.context.number))
@@ -83,13 +83,12 @@
             return
         if self.shard.unsynced or self._has_orphaned_attempts(ref):
             return  # some of the tasks may have been started
-        assignment, version = known
-        changed = self._split(assignment, tail, target)
+        changed = self._split(known.value, tail, target)
         self._handing_over.add(ref)
         job_state.assign(changed.ranges_of(self.context.number))
         preconditions = [
             Precondition(OPEN + ref, job_state.version),
-            Precondition(ASSIGNMENT + ref, version),
+            Precondition(ASSIGNMENT + ref, known.version),
         ]
         try:
             await self._record(ref, changed, preconditions)
@@ -141,7 +140,7 @@
             except ServiceError:
                 await backoff.wait()
             else:
-                self._assignments[ref] = (changed, version)
+                self._assignments[ref] = Versioned(changed, version)
                 log.info("tasks of job %s reassigned: %s", ref, changed.parts)
                 return
 
