--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: machines by the second."""
+"""The cloud: rents out machines by the second."""
 
 from collections.abc import Callable
 from urllib.parse import quote
@@ -7,6 +7,17 @@
 from basaltlead.clients.rate_budget import RateBudget
 from basaltlead.errors import NoCapacity, RequestFailed, RequestRejected, Unavailable
 from basaltlead.net.http import Pool
+from basaltlead.net.http.messages import (
+    STATUS_BAD_REQUEST,
+    STATUS_CONFLICT,
+    STATUS_FORBIDDEN,
+    STATUS_NOT_FOUND,
+    STATUS_OK,
+    STATUS_TOO_LARGE,
+    STATUS_TOO_MANY_REQUESTS,
+    STATUS_UNAVAILABLE,
+    STATUS_UNPROCESSABLE,
+)
 from basaltlead.runtime.clock import now_us
 from basaltlead.wire.cloud import (
     MachineNames,
@@ -18,52 +29,80 @@
 )
 
 TIMEOUT_US = 4_000_000
-REFUSALS = (400, 403, 404, 409, 413, 422)
+CONNECTIONS = 6
+RATE_SHARE = 0.85  # of the allowed rate, so that requests that are sent again fit in
+LEAST_RATE = 0.2
+BURST_S = 1.5  # of the allowed rate
+STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
+STATUSES_REJECTED = (
+    STATUS_BAD_REQUEST,
+    STATUS_FORBIDDEN,
+    STATUS_NOT_FOUND,
+    STATUS_CONFLICT,
+    STATUS_TOO_LARGE,
+    STATUS_UNPROCESSABLE,
+)
 
 
 class Cloud:
-    """Calls to the cloud, inside this node's part of its rate."""
+    """Calls to the cloud, inside this controller's part of its rate.
+
+    Every call raises `RequestFailed` if there was no usable answer, `RequestRejected` if the cloud
+    calls the request wrong, and `Unavailable` if it refused it for now.
+    """
 
     def __init__(self, address: str, rps: float) -> None:
-        self.pool = Pool(address, limit=6)
+        self.pool = Pool(address, limit=CONNECTIONS)
         self.unanswered_since = 0  # since when no call got any answer; 0: the last one did
         self.use_rate(rps)
 
     def use_rate(self, rps: float) -> None:
-        """From now on take this part of the cloud's rate."""
-        self.budget = RateBudget(max(0.2, rps * 0.85), burst=max(1.0, rps * 1.5))
+        """From now on make so many calls a second at most."""
+        self.budget = RateBudget(max(LEAST_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
 
     async def _call(
-        self, method: str, path: str, body: bytes = b"", still: Callable[[], bool] = lambda: True
+        self,
+        method: str,
+        path: str,
+        body: bytes = b"",
+        may_send: Callable[[], bool] = lambda: True,
     ) -> bytes:
         await self.budget.take()
         try:
-            status, answer = await self.pool.request(method, path, body, TIMEOUT_US, still)
+            status, answer = await self.pool.request(method, path, body, TIMEOUT_US, may_send)
         except RequestFailed:
             self.unanswered_since = self.unanswered_since or now_us()
             raise
         self.unanswered_since = 0
-        if status == 503 and b"no capacity" in answer:
+        if status == STATUS_UNAVAILABLE and b"no capacity" in answer:
             raise NoCapacity
-        if status in (429, 503):
+        if status in STATUSES_UNAVAILABLE:
             raise Unavailable(f"cloud: {status}")
-        if status in REFUSALS:
+        if status in STATUSES_REJECTED:
             raise RequestRejected(f"cloud: {status} {answer[:200]!r}", sent=True)
-        if status != 200:
+        if status != STATUS_OK:
             raise RequestFailed(f"cloud: {status} {answer[:200]!r}", sent=True)
         return answer
 
     async def types(self) -> list[MachineTypeInfo]:
+        """All machine types with their present prices."""
         return decode(await self._call("GET", "/machine_types"), MachineTypeList).types
 
-    async def rent(self, request: RentRequest, still: Callable[[], bool]) -> list[str]:
-        answer = await self._call("POST", "/machines", encode(request), still)
+    async def rent(self, request: RentRequest, may_send: Callable[[], bool]) -> list[str]:
+        """Rent machines; their names, which may be fewer than requested.
+
+        The same request, sent again, returns the same machines. `may_send` is called when the
+        request is about to be sent. Raises `NoCapacity` if the cloud has no such machine.
+        """
+        answer = await self._call("POST", "/machines", encode(request), may_send)
         return decode(answer, MachineNames).machines
 
-    async def delete(self, names: list[str], still: Callable[[], bool]) -> None:
-        await self._call("POST", "/machines/delete", encode(MachineNames(names)), still)
+    async def delete(self, names: list[str], may_send: Callable[[], bool]) -> None:
+        """Return machines. `may_send` is called when the request is about to be sent."""
+        await self._call("POST", "/machines/delete", encode(MachineNames(names)), may_send)
 
     async def machines(self) -> list[RentedMachine]:
+        """All rented machines, page by page; the cloud's list may lag behind."""
         rented: list[RentedMachine] = []
         since = ""
         while True:
--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -1,4 +1,4 @@
-"""Direct commands to workers."""
+"""Commands that are pushed straight to workers."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,50 +6,62 @@
 from basaltlead.clients.codec import decode, encode
 from basaltlead.errors import RequestFailed
 from basaltlead.net.http import Pool
+from basaltlead.net.http.messages import STATUS_CONFLICT, STATUS_OK
 from basaltlead.wire.workers import DirectCommand, Heartbeat
 
+TIMEOUT_US = 2_000_000
+MOST_ANSWER_BYTES = 4 * 1024 * 1024
+
 
 class Workers:
-    """One connection a machine at most; a machine that does not answer holds up nobody else.
+    """Connections to workers, one a machine; a machine that does not answer delays no other.
 
-    There may be far more machines than a controller has sockets: only so many are asked at once,
-    and of the connections that rest, the one that was not used for longest is closed.
+    There may be far more machines than a controller has sockets: only so many are called at once,
+    and of the idle connections the one that was not used for longest is closed.
     """
 
     def __init__(
-        self, most: int, room: Callable[[], int] | None = None, timeout_us: int = 2_000_000
+        self,
+        most: int,
+        sockets_available: Callable[[], int] | None = None,
+        timeout_us: int = TIMEOUT_US,
     ) -> None:
-        """`room` tells how many may be open now; fewer than `most` when others need them."""
+        """`most` connections at any time, fewer when `sockets_available` returns less because
+        others need them."""
         self.timeout_us = timeout_us
         self.most = most
-        self.room = room or (lambda: most)
+        self.sockets_available = sockets_available or (lambda: most)
         self.pools: dict[str, Pool] = {}  # the least recently used first
         self.calls = asyncio.Semaphore(most)
 
     async def command(
-        self, address: str, command: DirectCommand, still: Callable[[], bool] = lambda: True
+        self, address: str, command: DirectCommand, may_send: Callable[[], bool] = lambda: True
     ) -> tuple[bool, Heartbeat]:
-        """(executed, the worker's report); `RequestFailed` when there is no answer, or when the
-        order is no longer ours to give once its turn has come."""
+        """Whether the worker executed the command, and its heartbeat.
+
+        `may_send` is called when the command is about to be sent. Raises `RequestFailed` if it
+        returns False, or if there is no usable answer.
+        """
         async with self.calls:
             pool = self.pools.pop(address, None)
             if pool is None:
-                pool = Pool(address, limit=1, max_body=4 * 1024 * 1024)
-            self._preempt_for_task()
+                pool = Pool(address, limit=1, most_answer_bytes=MOST_ANSWER_BYTES)
+            self._make_room()
             self.pools[address] = pool
             status, body = await pool.request(
-                "POST", "/do", encode(command), self.timeout_us, still
+                "POST", "/do", encode(command), self.timeout_us, may_send
             )
-        if status not in (200, 409):
+        if status not in (STATUS_OK, STATUS_CONFLICT):
             raise RequestFailed(f"worker: {status}", sent=True)
-        return status == 200, decode(body, Heartbeat)
+        return status == STATUS_OK, decode(body, Heartbeat)
 
-    def _preempt_for_task(self) -> None:
-        while len(self.pools) >= min(self.most, self.room()) and self.close_idle():
+    def _make_room(self) -> None:
+        """Close idle connections until there is room for one more."""
+        while len(self.pools) >= min(self.most, self.sockets_available()) and self.close_idle():
             pass
 
     def close_idle(self) -> bool:
-        """Close the connection that has rested for longest; False if all are in use."""
+        """Close the connection that was idle for longest; False if all are in use."""
         idle = next((address for address, pool in self.pools.items() if not pool.busy), None)
         if idle is None:
             return False
@@ -57,6 +69,7 @@
         return True
 
     def forget(self, address: str) -> None:
+        """Close the connection to a machine that is gone."""
         pool = self.pools.pop(address, None)
         if pool is not None:
             pool.close()
--- /dev/null
+++ b/basaltlead/net/http/client.py
@@ -0,0 +1,174 @@
+"""The client side: a pool of connections to one address."""
+
+import asyncio
+from collections.abc import Callable
+
+import httptools
+
+from basaltlead.errors import RequestFailed
+from basaltlead.net.http.messages import HttpAnswer
+
+MOST_ANSWER_BYTES = 16 * 1024 * 1024
+TIMEOUT_US = 2_000_000
+
+
+class ClientProtocol(asyncio.Protocol):
+    """One connection to a server, with one request at a time."""
+
+    def __init__(self, pool: "Pool") -> None:
+        self.pool = pool
+        self.transport: asyncio.Transport | None = None
+        self.reply: asyncio.Future[HttpAnswer] | None = None
+        self.parser = httptools.HttpResponseParser(self)
+        self.parts: list[bytes] = []
+        self.size = 0
+
+    def send(self, request: bytes, may_send: Callable[[], bool]) -> asyncio.Future[HttpAnswer]:
+        """Send a request; its answer comes as the result of the future.
+
+        Raises `RequestFailed` if nothing was sent. The future is not made before that is certain:
+        one that nobody awaits would be reported as a lost exception.
+        """
+        if self.transport is None:
+            raise RequestFailed("connection lost", sent=False)
+        if not may_send():
+            raise RequestFailed("the lease has ended", sent=False)
+        self.reply = asyncio.get_running_loop().create_future()
+        self.transport.write(request)
+        return self.reply
+
+    def close(self) -> None:
+        """Close the connection at once; a request that is under way fails."""
+        if self.transport is not None:
+            self.transport.abort()
+            self.transport = None
+
+    def _fail(self, text: str) -> None:
+        if self.reply is not None and not self.reply.done():
+            self.reply.set_exception(RequestFailed(text, sent=True))
+
+    # Called by asyncio
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+
+    def connection_lost(self, _fault: Exception | None) -> None:
+        """The connection is closed, by either side."""
+        self.transport = None
+        self.pool.dropped(self)
+        self._fail("connection lost")
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what has arrived."""
+        try:
+            self.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self._fail("not HTTP")
+            self.close()
+
+    # Called by httptools
+
+    def on_body(self, body: bytes) -> None:
+        """A part of the answer's body."""
+        self.size += len(body)
+        if self.size > self.pool.most_answer_bytes:
+            self._fail("answer too large")
+            self.close()
+        else:
+            self.parts.append(body)
+
+    def on_message_complete(self) -> None:
+        """The answer is whole."""
+        answer = HttpAnswer(self.parser.get_status_code(), b"".join(self.parts))
+        self.parts = []
+        self.size = 0
+        if not self.parser.should_keep_alive():
+            self.close()
+        if self.reply is not None and not self.reply.done():
+            self.reply.set_result(answer)
+
+
+class Pool:
+    """Connections to one address, so many at most."""
+
+    def __init__(
+        self, address: str, limit: int, most_answer_bytes: int = MOST_ANSWER_BYTES
+    ) -> None:
+        host, port = address.rsplit(":", 1)
+        self.host = host
+        self.port = int(port)
+        self.limit = limit
+        self.most_answer_bytes = most_answer_bytes
+        self.idle: list[ClientProtocol] = []  # open connections without a request
+        self.slots = asyncio.Semaphore(limit)
+        self.running = 0  # requests that wait for a connection or an answer
+
+    @property
+    def busy(self) -> bool:
+        """Whether a request is under way."""
+        return self.running > 0
+
+    def dropped(self, connection: ClientProtocol) -> None:
+        """A connection was closed."""
+        if connection in self.idle:
+            self.idle.remove(connection)
+
+    async def request(
+        self,
+        method: str,
+        path: str,
+        body: bytes = b"",
+        timeout_us: int = TIMEOUT_US,
+        may_send: Callable[[], bool] = lambda: True,
+    ) -> HttpAnswer:
+        """Send one request and await its answer.
+
+        Raises `RequestFailed` if there is none in time; its connection is closed then, since the
+        answer may come later. What needs a lease passes `may_send`, which is called at the last
+        moment: the request may have waited for a connection, or the whole process may have stood
+        still.
+        """
+        request = (
+            f"{method} {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n".encode("latin-1")
+            + body
+        )
+        connection: ClientProtocol | None = None
+        sent = False
+        self.running += 1
+        try:
+            async with asyncio.timeout(timeout_us / 1e6), self.slots:
+                connection = self.idle.pop() if self.idle else await self._connect()
+                reply = connection.send(request, may_send)
+                sent = True
+                answer = await reply
+                if connection.transport is not None:
+                    self.idle.append(connection)
+                return answer
+        except TimeoutError:
+            if connection is not None:
+                connection.close()
+            raise RequestFailed("no answer in time", sent=sent) from None
+        except OSError as fault:
+            raise RequestFailed(f"no connection: {fault}", sent=False) from None
+        except BaseException:  # also when the caller is cancelled
+            if connection is not None:
+                connection.close()
+            raise
+        finally:
+            self.running -= 1
+
+    async def _connect(self) -> ClientProtocol:
+        loop = asyncio.get_running_loop()
+        _, protocol = await loop.create_connection(
+            lambda: ClientProtocol(self), self.host, self.port
+        )
+        return protocol
+
+    def close(self) -> None:
+        """Close the connections that have no request under way."""
+        for connection in list(self.idle):
+            connection.close()
+        self.idle.clear()
--- /dev/null
+++ b/basaltlead/net/http/messages.py
@@ -0,0 +1,62 @@
+"""Requests, answers and status codes."""
+
+from typing import NamedTuple
+
+STATUS_OK = 200
+STATUS_CREATED = 201
+STATUS_BAD_REQUEST = 400
+STATUS_FORBIDDEN = 403
+STATUS_NOT_FOUND = 404
+STATUS_CONFLICT = 409
+STATUS_GONE = 410
+STATUS_TOO_LARGE = 413
+STATUS_UNPROCESSABLE = 422
+STATUS_TOO_MANY_REQUESTS = 429
+STATUS_HEADERS_TOO_LARGE = 431
+STATUS_UNAVAILABLE = 503
+
+REASONS = {
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    413: "Content Too Large",
+    421: "Misdirected Request",
+    422: "Unprocessable Content",
+    429: "Too Many Requests",
+    431: "Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
+
+
+class Request:
+    """A request that the server has received."""
+
+    __slots__ = ("body", "method", "path", "query")
+
+    def __init__(self, method: str, path: str, query: str, body: bytes) -> None:
+        self.method = method
+        self.path = path
+        self.query = query
+        self.body = body
+
+
+class Response:
+    """An answer that the server is to send; `headers` are whole lines that end with CR LF."""
+
+    __slots__ = ("body", "headers", "status")
+
+    def __init__(self, status: int, body: bytes = b"{}", headers: str = "") -> None:
+        self.status = status
+        self.body = body
+        self.headers = headers
+
+
+class HttpAnswer(NamedTuple):
+    """An answer that the client has received."""
+
+    status: int
+    body: bytes
--- /dev/null
+++ b/basaltlead/net/http/server.py
@@ -0,0 +1,248 @@
+"""The server side: connections from users, workers and the load balancer."""
+
+import asyncio
+import errno
+from collections.abc import Awaitable, Callable
+from urllib.parse import unquote
+
+import httptools
+
+from basaltlead.net.http.messages import (
+    REASONS,
+    STATUS_BAD_REQUEST,
+    STATUS_HEADERS_TOO_LARGE,
+    STATUS_TOO_LARGE,
+    STATUS_UNAVAILABLE,
+    Request,
+    Response,
+)
+from basaltlead.runtime.logs import log
+
+MAX_BODY = 64 * 1024
+MAX_HEADER = 16 * 1024
+HEADER_TIME = 10.0  # s that a started request may take to arrive
+IDLE_TIME = 75.0  # s that a connection may be idle between requests
+SWEEP_S = 5.0  # between two checks of these times
+RETRY_LISTEN_S = 0.5
+BACKLOG = 256
+
+INTERNAL_FAULT = b'{"error":"internal"}'
+
+Handler = Callable[[Request], "Response | Awaitable[Response]"]
+
+
+class ServerProtocol(asyncio.Protocol):
+    """One connection to this server, with one request at a time."""
+
+    def __init__(self, server: "Server") -> None:
+        self.server = server
+        self.transport: asyncio.Transport | None = None
+        self.parser = httptools.HttpRequestParser(self)
+        self.busy = False  # a request is being handled
+        self.closing = False
+        self.active_at = server.loop.time()  # the last request part or answer
+        self.request_started = False  # part of a request has arrived
+        self._reset()
+
+    def _reset(self) -> None:
+        self.url = b""
+        self.header_size = 0
+        self.parts: list[bytes] = []
+        self.body_size = 0
+        self.refusal = 0  # the status with which the request is refused once its headers are there
+
+    # Called by asyncio
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+        self.server.opened(self)
+
+    def connection_lost(self, _fault: Exception | None) -> None:
+        """The connection is closed, by either side."""
+        self.transport = None
+        self.server.connections.pop(self, None)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what has arrived."""
+        self.active_at = self.server.loop.time()
+        self.request_started = True
+        if self.closing:
+            return
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            self.answer(Response(STATUS_BAD_REQUEST, b'{"error":"no upgrades"}'), close=True)
+        except httptools.HttpParserError:
+            if not self.closing:
+                self.answer(Response(STATUS_BAD_REQUEST, b'{"error":"not HTTP"}'), close=True)
+
+    # Called by httptools
+
+    def on_url(self, url: bytes) -> None:
+        """A part of the target."""
+        self.url += url
+        self._count_header(len(url))
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header."""
+        self._count_header(len(name) + len(value))
+        if name.lower() == b"content-length" and (not value.isdigit() or int(value) > MAX_BODY):
+            self.refusal = self.refusal or STATUS_TOO_LARGE
+
+    def _count_header(self, size: int) -> None:
+        self.header_size += size
+        if self.header_size > MAX_HEADER:
+            self._refuse(STATUS_HEADERS_TOO_LARGE)
+
+    def on_headers_complete(self) -> None:
+        """All headers have arrived."""
+        if self.refusal:
+            self._refuse(self.refusal)
+
+    def on_body(self, body: bytes) -> None:
+        """A part of the body."""
+        self.body_size += len(body)
+        if self.body_size > MAX_BODY:
+            self._refuse(STATUS_TOO_LARGE)
+        else:
+            self.parts.append(body)
+
+    def _refuse(self, status: int) -> None:
+        if not self.closing:
+            self.answer(Response(status, b'{"error":"too large"}'), close=True)
+
+    def on_message_complete(self) -> None:
+        """The request is whole: pass it to the handler."""
+        if self.closing:
+            return
+        if self.busy:  # a second request before the first was answered: no client of ours pipelines
+            self.closing = True
+            return
+        self.busy = True
+        self.request_started = False
+        raw, _, query = self.url.decode("latin-1").partition("?")
+        method = self.parser.get_method().decode()
+        request = Request(method, unquote(raw), query, b"".join(self.parts))
+        keep = self.parser.should_keep_alive()
+        self._reset()
+        try:
+            result = self.server.handler(request)
+        except Exception:  # a fault in one request must not end the connections of all others
+            log.exception("handler of %s %s failed", request.method, request.path)
+            result = Response(STATUS_UNAVAILABLE, INTERNAL_FAULT)
+        if isinstance(result, Response):
+            self.answer(result, close=not keep)
+        else:
+            task = asyncio.ensure_future(result)
+            self.server.tasks.add(task)
+            task.add_done_callback(lambda done: self._finished(done, keep))
+
+    def _finished(self, task: "asyncio.Future[Response]", keep: bool) -> None:
+        self.server.tasks.discard(task)
+        if task.cancelled():
+            response = Response(STATUS_UNAVAILABLE)
+        elif task.exception() is not None:
+            log.error("handler of a request failed", exc_info=task.exception())
+            response = Response(STATUS_UNAVAILABLE, INTERNAL_FAULT)
+        else:
+            response = task.result()
+        self.answer(response, close=not keep)
+
+    def answer(self, response: Response, close: bool = False) -> None:
+        """Send an answer, and close the connection after it if so asked or already decided."""
+        self.busy = False
+        self.active_at = self.server.loop.time()
+        self.server.used(self)
+        if self.transport is None or self.transport.is_closing():
+            return
+        close = close or self.closing
+        head = (
+            f"HTTP/1.1 {response.status} {REASONS.get(response.status, 'Status')}\r\n"
+            f"Content-Type: application/json\r\nContent-Length: {len(response.body)}\r\n"
+            f"{response.headers}{'Connection: close' + chr(13) + chr(10) if close else ''}\r\n"
+        )
+        self.transport.write(head.encode("latin-1") + response.body)
+        if close:
+            self.closing = True
+            self.transport.close()
+
+
+async def listen(
+    factory: Callable[[], asyncio.Protocol], address: str, backlog: int = 100
+) -> asyncio.Server:
+    """Listen at an address, after waiting for as long as it is in use: after a restart that may be
+    so for a moment, and a controller must not end for that. Raises OSError otherwise."""
+    host, port = address.rsplit(":", 1)
+    loop = asyncio.get_running_loop()
+    while True:
+        try:
+            return await loop.create_server(factory, host, int(port), backlog=backlog)
+        except OSError as fault:
+            if fault.errno != errno.EADDRINUSE:
+                raise
+            log.error("%s is in use, trying again", address)
+            await asyncio.sleep(RETRY_LISTEN_S)
+
+
+class Server:
+    """A listening address and its connections, bounded in number."""
+
+    def __init__(
+        self,
+        handler: Handler,
+        limit: int,
+        sockets_elsewhere: Callable[[], int] = lambda: 0,
+        close_idle_elsewhere: Callable[[], bool] = lambda: False,
+    ) -> None:
+        """`limit` holds for the sockets of this server and those that are in use elsewhere.
+
+        At the limit `close_idle_elsewhere` is asked first to close one of the others that is idle;
+        it returns whether it did. So no client of this server is refused for the sake of idle
+        connections elsewhere.
+        """
+        self.handler = handler
+        self.limit = limit
+        self.sockets_elsewhere = sockets_elsewhere
+        self.close_idle_elsewhere = close_idle_elsewhere
+        self.loop = asyncio.get_running_loop()
+        self.connections: dict[ServerProtocol, None] = {}  # the longest unused first
+        self.tasks: set[asyncio.Future[Response]] = set()
+        self.listener: asyncio.Server | None = None
+
+    async def start(self, address: str) -> None:
+        """Start to listen. Raises OSError if the address can't be used."""
+        self.listener = await listen(lambda: ServerProtocol(self), address, backlog=BACKLOG)
+        self.loop.call_later(SWEEP_S, self._sweep)
+
+    def opened(self, connection: ServerProtocol) -> None:
+        """Take in a new connection. At the limit the longest unused one is closed for it, or the
+        new one itself if all others are in use."""
+        if (
+            len(self.connections) + self.sockets_elsewhere() >= self.limit
+            and not self.close_idle_elsewhere()
+        ):
+            idle = (one for one in self.connections if not one.busy and not one.request_started)
+            closed = next(idle, connection)
+            if closed.transport is not None:
+                closed.transport.abort()
+            if closed is connection:
+                return
+            self.connections.pop(closed, None)
+        self.connections[connection] = None
+
+    def used(self, connection: ServerProtocol) -> None:
+        """Move a connection to the end of those that may be closed."""
+        if connection in self.connections:
+            del self.connections[connection]
+            self.connections[connection] = None
+
+    def _sweep(self) -> None:
+        """Close connections that have been idle for long, or whose request does not arrive."""
+        now = self.loop.time()
+        for connection in list(self.connections):
+            limit = HEADER_TIME if connection.request_started else IDLE_TIME
+            if not connection.busy and now - connection.active_at > limit and connection.transport:
+                connection.transport.abort()
+        self.loop.call_later(SWEEP_S, self._sweep)
--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 
 MAX_FRAME = 256 * 1024
+MOST_LENGTH_DIGITS = 12
 
 
 class BadFrame(Exception):
@@ -23,12 +24,13 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Take in bytes; the frames that are whole now. Raises `BadFrame`."""
         self.buffer += data
         out: list[bytes] = []
         while self.buffer:
-            colon = self.buffer.find(b":", 0, 12)
+            colon = self.buffer.find(b":", 0, MOST_LENGTH_DIGITS)
             if colon < 0:
-                if len(self.buffer) >= 12 or not self.buffer.isdigit():
+                if len(self.buffer) >= MOST_LENGTH_DIGITS or not self.buffer.isdigit():
                     raise BadFrame("no length")
                 break
             digits = bytes(self.buffer[:colon])
@@ -52,20 +54,24 @@
         received: Callable[["FrameProtocol", bytes], None],
         lost: Callable[["FrameProtocol"], None],
     ) -> None:
+        """`received` gets each frame, and `lost` is called once the connection is closed."""
         self.received = received
         self.lost = lost
         self.splitter = Splitter()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio: the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _fault: Exception | None) -> None:
+        """Called by asyncio: the connection is closed, by either side."""
         self.transport = None
         self.lost(self)
 
     def data_received(self, data: bytes) -> None:
+        """Called by asyncio: pass on the frames that are whole; close after bytes that are none."""
         try:
             frames = self.splitter.feed(data)
         except BadFrame:
@@ -75,11 +81,14 @@
             self.received(self, body)
 
     def send(self, body: bytes) -> bool:
+        """Send a frame; False if the connection is closed or its other end does not read, which
+        must not fill our memory."""
         if self.transport is None or self.transport.get_write_buffer_size() > MAX_FRAME:
-            return False  # a peer that does not read must not fill our memory
+            return False
         self.transport.write(frame(body))
         return True
 
     def close(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -1,6 +1,7 @@
-"""The key-value store: a small consistent key-value store."""
+"""The client of the key-value store, a small consistent store with transactions and leases."""
 
 from collections.abc import Sequence
+from typing import NamedTuple
 from urllib.parse import quote
 
 import msgspec
@@ -15,7 +16,17 @@
     TransactionTooLarge,
     Unavailable,
 )
-from basaltlead.net.http import Pool
+from basaltlead.net.http import HttpAnswer, Pool
+from basaltlead.net.http.messages import (
+    STATUS_BAD_REQUEST,
+    STATUS_CONFLICT,
+    STATUS_CREATED,
+    STATUS_GONE,
+    STATUS_NOT_FOUND,
+    STATUS_OK,
+    STATUS_TOO_MANY_REQUESTS,
+    STATUS_UNAVAILABLE,
+)
 from basaltlead.storage.limits import StoreLimits
 from basaltlead.wire.store import (
     Changes,
@@ -29,68 +40,95 @@
     Transaction,
 )
 
-PAGE = 500
+PAGE = 500  # rows in one answer
+# Of the allowed rates, the parts that all controllers together use. The rest is left for requests
+# that were sent again and for clocks that differ.
+REQUESTS_SHARE = 0.8
+WRITES_SHARE = 0.85
+SINGLE_WRITER_SHARE = 0.6  # of the writes, what the only shard leader uses
+CALL_US = 1_500_000  # deadlines
+PAGE_US = 2_500_000
+AFTER_HOLD_US = 2_000_000  # of a watch, beside the time that the store may hold it
+
+STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
+
+
+class RowList(NamedTuple):
+    """All rows under a prefix, and a revision from which to watch without a gap."""
+
+    rows: list[Row]
+    revision: int
 
 
 class KeyValueStore:
-    """Calls with a deadline each, inside this node's part of the limits.
+    """Calls with a deadline each, inside this controller's part of the store's limits.
 
-    Renewals of the session lease pass the budget by: they must never wait behind other requests.
+    Every call raises `RequestFailed` if there was no usable answer, and `Unavailable` if the store
+    refused it for now. Renewals of the session lease don't count against the budget: they must
+    never wait behind other requests.
     """
 
     def __init__(self, address: str, limits: StoreLimits, nodes: int, writers: int) -> None:
+        """`nodes` is the number of controllers, `writers` that of those that lead a shard."""
         self.limits = limits
         self.pool = Pool(address, limit=24)
         self.watches = Pool(address, limit=8)
         self.renewals = Pool(address, limit=4)
-        self.requests = RateBudget(max(1.0, limits.rps * 0.8 / nodes))
-        # Owners store results; all others only what users ask for now and then.
-        rate = limits.write_rps * 0.85 * (0.6 if writers == 1 else 1 / writers)
+        self.requests = RateBudget(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
+        # Shard leaders store results; all others only what users request now and then.
+        share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
+        rate = limits.write_rps * WRITES_SHARE * share
         self.writes = RateBudget(max(0.5, rate), burst=max(1.0, rate))
 
     def queue_delay_s(self, writing: bool) -> float:
-        """How long a user's request would have to wait for its turn."""
+        """How many seconds a user's request would have to wait for its turn."""
         waits = self.requests.queue_delay_s()
         return max(waits, self.writes.queue_delay_s()) if writing else waits
 
     async def _call(
-        self, method: str, path: str, raw: bytes = b"", timeout_us: int = 1_500_000
-    ) -> tuple[int, bytes]:
+        self, method: str, path: str, raw: bytes = b"", timeout_us: int = CALL_US
+    ) -> HttpAnswer:
         await self.requests.take()
         return self._checked(await self.pool.request(method, path, raw, timeout_us))
 
     @staticmethod
-    def _checked(answer: tuple[int, bytes]) -> tuple[int, bytes]:
-        if answer[0] in (429, 503):
-            raise Unavailable(f"state service: {answer[0]}")
+    def _checked(answer: HttpAnswer) -> HttpAnswer:
+        if answer.status in STATUSES_UNAVAILABLE:
+            raise Unavailable(f"state service: {answer.status}")
         return answer
 
     async def get(self, key: str) -> Row | None:
+        """The row of a key, None if it is not there."""
         status, body = await self._call("GET", f"/kv/{quote(key)}")
-        if status == 404:
+        if status == STATUS_NOT_FOUND:
             decode(body, _Missing)
             return None
-        if status != 200:
+        if status != STATUS_OK:
             raise RequestFailed(f"get: {status}", sent=True)
         return decode(body, Row)
 
     async def page(self, prefix: str, since: str = "", most: int = PAGE) -> Rows:
+        """At most so many rows under a prefix, those after the key `since`."""
         path = f"/kv?Starts={quote(prefix, safe='/')}&Most={most}"
         if since:
             path += f"&Since={quote(since, safe='/')}"
-        status, body = await self._call("GET", path, timeout_us=2_500_000)
-        if status != 200:
+        status, body = await self._call("GET", path, timeout_us=PAGE_US)
+        if status != STATUS_OK:
             raise RequestFailed(f"list: {status}", sent=True)
         return decode(body, Rows)
 
-    async def rows(self, prefix: str) -> tuple[list[Row], int]:
-        """All rows under a prefix, and a revision from which to watch without a gap."""
+    async def rows(self, prefix: str) -> RowList:
+        """All rows under a prefix, page by page.
+
+        The revision is that of the first page: what changed while the later ones were read is
+        seen again by a watch from there.
+        """
         first = page = await self.page(prefix)
         rows = list(page.rows)
         while page.more and page.rows:
             page = await self.page(prefix, since=page.rows[-1].key)
             rows += page.rows
-        return rows, first.revision
+        return RowList(rows, first.revision)
 
     async def compare_and_swap(
         self,
@@ -98,69 +136,82 @@
         apply: Sequence[Put | Drop],
         low_priority: bool = False,
     ) -> int:
-        """One transaction; its revision. Raises Conflict, SessionLeaseExpired or Unavailable, and
-        Failed if it may have been executed.
+        """Make all changes if every precondition holds; the revision, which is the version of the
+        keys that were written.
 
-        Bookkeeping can wait: with hundreds of machines it alone would fill the limit on writes,
-        and users' submissions and cancellations go first."""
+        Raises `PreconditionFailed`, `SessionLeaseExpired` or `TransactionTooLarge` if nothing was
+        changed, and `RequestFailed` with `sent` if it may have been.
+
+        With `low_priority`, for bookkeeping, it waits until half of the write budget is free: with
+        hundreds of machines bookkeeping alone would fill the limit on writes, and users'
+        submissions and cancellations go first.
+        """
         raw = self._encoded(preconditions, apply)
-        turn = self.writes.take_low_priority if low_priority else self.writes.take
-        await turn(max(1, len(apply)))
+        take = self.writes.take_low_priority if low_priority else self.writes.take
+        await take(max(1, len(apply)))
         status, body = await self._call("POST", "/multi", raw)
-        if status == 200:
+        if status == STATUS_OK:
             return decode(body, Outcome).revision
-        if status == 409:
+        if status == STATUS_CONFLICT:
             raise PreconditionFailed(decode(body, Outcome).failed)
-        if status == 400 and b"no such lease" in body:
+        if status == STATUS_BAD_REQUEST and b"no such lease" in body:
             raise SessionLeaseExpired
         raise RequestFailed(f"multi: {status} {body[:200]!r}", sent=True)
 
     def _encoded(self, preconditions: list[Precondition], apply: Sequence[Put | Drop]) -> bytes:
-        """The transaction's body. Raises TooLarge if it breaks a limit."""
-        values: list[int] = []
+        """The transaction's body. Raises `TransactionTooLarge` if it breaks a limit."""
+        value_sizes: list[int] = []
         changes: list[Put | Drop] = []
         for change in apply:
             if isinstance(change, Put):
                 value = encode(change.value)
-                values.append(len(value))
-                change = Put(change.key, msgspec.Raw(value), change.session_lease)
-            changes.append(change)
+                value_sizes.append(len(value))
+                changes.append(Put(change.key, msgspec.Raw(value), change.session_lease))
+            else:
+                changes.append(change)
         raw = encode(Transaction(preconditions, changes))
-        excess = self.limits.excess(len(preconditions), len(apply), values, len(raw))
+        excess = self.limits.excess(len(preconditions), len(apply), value_sizes, len(raw))
         if excess:
             raise TransactionTooLarge(excess)
         return raw
 
     async def changes(self, prefix: str, since: int, hold_ms: int) -> Changes:
+        """What changed under a prefix after the revision `since`; the store answers at the first
+        change, or without one after `hold_ms`.
+
+        Raises `RevisionCompacted` if the store no longer keeps the changes from there on.
+        """
         await self.requests.take()
         status, body = self._checked(
             await self.watches.request(
                 "GET",
                 f"/changes?Starts={quote(prefix, safe='/')}&Since={since}&HoldMs={hold_ms}",
-                timeout_us=hold_ms * 1000 + 2_000_000,
+                timeout_us=hold_ms * 1000 + AFTER_HOLD_US,
             )
         )
-        if status == 410:
+        if status == STATUS_GONE:
             raise RevisionCompacted
-        if status != 200:
+        if status != STATUS_OK:
             raise RequestFailed(f"changes: {status}", sent=True)
         return decode(body, Changes)
 
     async def create_lease(self, ttl_us: int) -> int:
+        """The number of a new lease, valid for `ttl_us` from some time after this was sent."""
         status, body = self._checked(
             await self.renewals.request("POST", "/holds", encode({"TtlMs": ttl_us // 1000}))
         )
-        if status not in (200, 201):
+        if status not in (STATUS_OK, STATUS_CREATED):
             raise RequestFailed(f"session lease: {status}", sent=True)
         return decode(body, SessionLease).session_lease
 
     async def renew_lease(self, session_lease: int, timeout_us: int) -> None:
+        """Let a lease last its whole time again. Raises `SessionLeaseExpired` if it has ended."""
         status, _ = self._checked(
             await self.renewals.request("POST", f"/holds/{session_lease}/touch", b"", timeout_us)
         )
-        if status == 404:
+        if status == STATUS_NOT_FOUND:
             raise SessionLeaseExpired
-        if status != 200:
+        if status != STATUS_OK:
             raise RequestFailed(f"touch: {status}", sent=True)
 
 
--- a/basaltlead/storage/limits.py
+++ b/basaltlead/storage/limits.py
@@ -1,4 +1,4 @@
-"""What the key-value store takes, and how rows are divided into transactions that it accepts."""
+"""The limits of the key-value store, and how rows are divided into transactions inside them."""
 
 from collections.abc import Iterable, Iterator, Mapping
 
@@ -6,12 +6,12 @@
 
 TRANSACTION_BYTES = 64 * 1024
 PRECONDITIONS_PER_OPERATION = 4
-# Of a transaction's bytes, what guards, keys and punctuation may take beside the values.
+# Of a transaction's bytes, what preconditions, keys and punctuation may take beside the values.
 ENVELOPE_BYTES = 8 * 1024
 
 
 class StoreLimits(Struct, frozen=True):
-    """Limits of the key-value store that every request of ours keeps to."""
+    """Limits that every request of ours keeps to; rates are a second."""
 
     rps: float
     write_rps: float
@@ -20,28 +20,33 @@
 
     @property
     def preconditions(self) -> int:
-        """Conditions in one transaction."""
+        """How many preconditions one transaction may have."""
         return self.operations * PRECONDITIONS_PER_OPERATION
 
-    def excess(self, preconditions: int, operations: int, values: list[int], total: int) -> str:
-        """Which limit a transaction of these sizes would break; empty if none."""
+    def excess(
+        self, preconditions: int, operations: int, value_sizes: list[int], total: int
+    ) -> str:
+        """Which limit a transaction of these numbers and sizes in bytes would break, in words;
+        empty if none."""
         if operations > self.operations:
             return f"{operations} operations, {self.operations} are allowed"
         if preconditions > self.preconditions:
-            return f"{preconditions} guards, {self.preconditions} are allowed"
-        if max(values, default=0) > self.value_bytes:
-            return f"a value of {max(values)} bytes, {self.value_bytes} are allowed"
+            return f"{preconditions} preconditions, {self.preconditions} are allowed"
+        largest = max(value_sizes, default=0)
+        if largest > self.value_bytes:
+            return f"a value of {largest} bytes, {self.value_bytes} are allowed"
         if total > TRANSACTION_BYTES:
             return f"{total} bytes, {TRANSACTION_BYTES} are allowed"
         return ""
 
     def drops(self, keys: Iterable[str], beside: int = 0) -> Iterator[list[str]]:
-        """Divide keys that are to be dropped into transactions that are accepted."""
+        """Divide keys that are to be dropped into batches, one transaction each, with so many other
+        changes `beside` them."""
         return self.batches(dict.fromkeys(keys, 0), beside)
 
     def batches(self, sizes: Mapping[str, int], beside: int = 0) -> Iterator[list[str]]:
-        """Divide rows, given the size of each value, into transactions that are accepted, each
-        with so many other changes beside them."""
+        """Divide rows, given the size of each value, into batches, one transaction each, with so
+        many other changes `beside` them."""
         batch: list[str] = []
         used = 0
         for key, size in sizes.items():
--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -1,15 +1,19 @@
-"""What is kept in the key-value store, and its way to and from the core's terms.
-
-c/...            members, leader, shards, the counter of fencing tokens (core/leadership)
-open/<job>       a job that is accepted and not over; the key is never rewritten
-open/<job>/...   results of some of its tasks (see result_rows)
-over/<job>       the final state of a job
-rental request/<id>        a rental request: written before its request, with the names after it
-mach/<name>      a machine that tasks may have been started on
-team/<name>      budget and bids
-return/<id>      machines that are to be returned: written before the cloud is asked
-quiet/<shard>    what is reserved to keep idle machines for the present quiet time
-history/<duty>/<n>   what the holders of a duty did, in a ring of pages
+"""The records in the key-value store, and their conversion to the types of the core.
+
+c/...               members, leader, grants, the count of fencing tokens (see core/cluster_view)
+open/<job>          a job that is accepted and not over; the key is never rewritten
+open/<job>/...      results of some of its tasks (see result_rows)
+over/<job>          the final state of a job
+lease/<job>         which shard starts which tasks of a job
+hire/<id>           a scale-out: written before the cloud is called, with the machines' names after
+mach/<name>         a machine that tasks may have been started on
+team/<name>         budget and bids
+types               the cloud's machine types
+return/<id>         a scale-in: machines that are to be returned, written before the cloud is called
+quiet/<shard>       what is reserved to retain idle machines in the present quiet time
+history/<duty>/<n>  what the holders of a duty did, in a ring of pages
+
+The names of keys and fields are stored, and outlive any rename in the code (see `rename`).
 """
 
 import msgspec
@@ -30,10 +34,12 @@
 HISTORY = "history/"
 QUIET = "quiet/"
 
+SHAPES = {"batch": Shape.ARRAY, "group": Shape.GANG, "service": Shape.SERVICE}  # by name sent
+
 
 class StoredJob(Struct, omit_defaults=True):
-    """An accepted job. A service stands in a field of its own, so that a controller of a version
-    that would take it for an array can't read the record (see upgrade)."""
+    """An accepted job. A service has a field of its own, so that a controller of a version that
+    would take it for an array can't read the record (see cluster/versions)."""
 
     job: Submission | None = None
     at: int = 0  # time of day of its acceptance
@@ -41,41 +47,39 @@
 
     @staticmethod
     def of(sent: Submission, at: int) -> "StoredJob":
-        """The record of a submission."""
-        if sent.shape == "service":
+        """The record of a submission that was accepted at a time of day."""
+        if SHAPES[sent.shape] is Shape.SERVICE:
             return StoredJob(at=at, service=sent)
         return StoredJob(job=sent, at=at)
 
     @property
     def sent(self) -> Submission:
-        """The job as it was submitted."""
+        """The job as it was submitted. Raises `msgspec.ValidationError` if there is none."""
         found = self.job if self.job is not None else self.service
         if found is None:
             raise msgspec.ValidationError("a stored job without its description")
         return found
 
 
-SHAPES = {"batch": Shape.ARRAY, "group": Shape.GANG, "service": Shape.SERVICE}
-
-
 class TaskAssignment(Struct):
-    """Tasks by shard: (first, end, shard)."""
+    """Which shard starts which tasks of a job; each part is (first, end, shard)."""
 
     parts: list[tuple[int, int, int]]
 
     def ranges_of(self, shard: int) -> list[tuple[int, int]]:
-        return [(low, high) for low, high, shard_leader in self.parts if shard_leader == shard]
+        """The tasks of a shard, as (first, end)."""
+        return [(first, end) for first, end, part_shard in self.parts if part_shard == shard]
 
 
 class Final(Struct):
-    """How a job ended; `stage` is what users are told."""
+    """How a job ended; `stage` is what users see."""
 
     stage: str
     done: int
 
 
 class StoredScaleOut(Struct, rename={"type_name": "kind", "shard": "block"}):
-    """A rental request, and the machines that it brought."""
+    """A scale-out (an intent to rent machines), and the names of those that were rented for it."""
 
     type_name: str
     zone: str
@@ -84,14 +88,14 @@
     at: int
     names: list[str] | None = None
     shard: int = 0
-    # Of requests that a duty's holder carries out: the fencing token of the holder at that time,
-    # and why the cloud refuses the request for good, if it does.
+    # Only of those that the holder of the rent duty carries out: the holder's fencing token at that
+    # time, and why the cloud refuses the request for good, if it does.
     duty_token: int | UnsetType = UNSET
     refused: str | UnsetType = UNSET
 
 
 class StoredScaleIn(Struct, omit_defaults=True):
-    """Machines that are to be returned. From when this is stored nothing may start on them."""
+    """A scale-in: machines that are to be returned. Once it is stored nothing may start on them."""
 
     names: list[str]
     token: int  # fencing token of the grant under which it was decided
@@ -112,7 +116,7 @@
 
 
 def job_of(sent: Submission) -> Job:
-    """A submission in the core's terms."""
+    """A submission as the core's type."""
     return Job(
         ref=sent.ref,
         job_class=sent.job_class,
@@ -138,7 +142,7 @@
 
 
 def machine_type_of(sent: MachineTypeInfo) -> MachineType:
-    """A machine type in the core's terms."""
+    """A machine type of the cloud as the core's type."""
     return MachineType(
         name=sent.name,
         cpus=sent.cpus,
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -1,15 +1,16 @@
 """The rows under an open job that hold which of its tasks are done, in values of bounded size.
 
 There are two layouts. A *stretch* row, ``open/<job>/<shard>.<n>``, holds the results of 24,576
-tasks from a fixed place on. Where such a value might be larger than the key-value store takes, a
-job has *chunk* rows instead, ``open/<job>/<1000 + shard>.<n>``, which hold fewer tasks and say from
-which one on. Controllers that know stretch rows only read of a chunk row how many results it holds,
-and that the list of those is empty: they start its tasks once more, and the workers, which keep
-results, let them end at once. Stretch rows that were stored larger stay readable and are never
-written again; chunk rows hold only what those do not.
+tasks, from task ``n * 24,576`` on. Where such a value might be larger than the key-value store
+accepts, a job has *chunk* rows instead, ``open/<job>/<1000 + shard>.<n>``, which hold fewer tasks
+and name the first one. A controller that knows stretch rows only reads of a chunk row how many
+results it holds, and an empty list of them: it starts these tasks once more, and the workers, which
+keep results, report them as done at once. Stretch rows that were stored under a higher limit stay
+readable and are never written again; chunk rows hold only what those do not.
 """
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct
@@ -24,7 +25,7 @@
 
 
 class Progress(Struct):
-    """A stretch row; of a chunk row, what is shown to users."""
+    """A stretch row: `done` is a bitmap. Of a chunk row, the fields that are shown to users."""
 
     done: bytes
     count: int
@@ -42,7 +43,7 @@
 
 
 class ResultRow(Struct):
-    """A row to be written, and the tasks whose results it brings."""
+    """A row to be written, and the tasks whose results it adds."""
 
     key: str
     value: Progress | ProgressChunk
@@ -50,47 +51,48 @@
 
 
 def chunk_size(value_bytes: int) -> int:
-    """Tasks whose results fit into one value: base64 makes four characters of three bytes."""
+    """How many tasks' results fit into a value of so many bytes, a bit each: base64 makes four
+    characters of three bytes."""
     return max(LEAST_CHUNK, (value_bytes - CHUNK_OVERHEAD) // 4 * 3 * 8)
 
 
 def progress_key(ref: str, shard: int, number: int) -> str:
-    """The key of a row of results."""
+    """The key of a row of results; `shard` is raised by `CHUNK_SHARDS` for a chunk row."""
     return f"{OPEN}{ref}/{shard}.{number}"
 
 
-def count_of(tasks: int, size: int) -> int:
-    """Rows of `size` tasks each that a job of so many tasks may have."""
+def row_count(tasks: int, size: int) -> int:
+    """How many rows of `size` tasks each a job of so many tasks may have."""
     return -(-tasks // size)
 
 
 class ResultLayout:
-    """In which rows results are kept, given the size of a value."""
+    """In which rows results are kept, given the largest value in bytes."""
 
     def __init__(self, value_bytes: int) -> None:
         self.chunk = chunk_size(value_bytes)
 
     def chunked(self, tasks: int) -> bool:
-        """Are the results of a job of so many tasks kept in chunk rows?"""
+        """Whether the results of a job of so many tasks are kept in chunk rows."""
         return min(tasks, STRETCH) > self.chunk
 
     def keys(self, ref: str, tasks: int, shards: Iterable[int]) -> list[str]:
-        """Every row that may hold results of a job."""
+        """The key of every row that may hold results of a job."""
         out: list[str] = []
         for shard in shards:
-            out += [progress_key(ref, shard, n) for n in range(count_of(tasks, STRETCH))]
+            out += [progress_key(ref, shard, n) for n in range(row_count(tasks, STRETCH))]
             if self.chunked(tasks):
-                chunks = range(count_of(tasks, self.chunk))
+                chunks = range(row_count(tasks, self.chunk))
                 out += [progress_key(ref, CHUNK_SHARDS + shard, n) for n in chunks]
         return out
 
     def most_rows(self, tasks: int, shards: int) -> int:
-        """How many rows a job of so many tasks may have."""
-        return shards * (count_of(tasks, STRETCH) + count_of(tasks, self.chunk))
+        """How many rows a job of so many tasks may have at most."""
+        return shards * (row_count(tasks, STRETCH) + row_count(tasks, self.chunk))
 
     def unstored(self, job_state: JobState, shard: int) -> list[ResultRow]:
-        """The rows to be written so that no result of ours is unstored. The first row shows how
-        many tasks run; it is there also if there is no result."""
+        """The rows to be written so that all results of this shard are stored. The first row shows
+        how many tasks run, so it is written also if there is no result."""
         chunked = self.chunked(job_state.job.tasks)
         size = self.chunk if chunked else STRETCH
         parts: dict[int, list[int]] = {}
@@ -113,13 +115,13 @@
 
 
 def stretch_row(job_state: JobState, number: int) -> Progress:
-    """The row of one stretch: what this shard recorded of it."""
+    """The stretch row with this number: what this shard has recorded of these tasks."""
     done = bytes(job_state.own[number * STRETCH // 8 : (number + 1) * STRETCH // 8])
     return Progress(done, count_bits(done), shown_running(job_state, number))
 
 
 def shown_running(job_state: JobState, number: int) -> int:
-    """The first row of a job says how many of its tasks run."""
+    """How many tasks run; only the first row of a job shows that."""
     return job_state.running if number == 0 else 0
 
 
@@ -136,8 +138,11 @@
     raw: msgspec.Raw,
     layout: ResultLayout,
 ) -> None:
-    """Take in a row that was recorded by `row_shard`. Results of a service mean nothing, whoever
-    wrote them. Stretch rows of a job that has chunk rows now are not ours to write again."""
+    """Take in a row that was recorded by `row_shard`.
+
+    Results of a service mean nothing, whoever wrote them. Stretch rows of a job that has chunk rows
+    now are never written again, so their results don't count as our own.
+    """
     if job_state.job.shape is Shape.SERVICE:
         return
     if row_shard >= CHUNK_SHARDS:
@@ -150,7 +155,7 @@
 
 
 def note_bits(job_state: JobState, first: int, bits: bytes, own: bool) -> None:
-    """Note the tasks from `first` on whose bits are set as done."""
+    """Note as done the tasks from `first` on whose bits are set."""
     for offset, byte in enumerate(bits):
         if byte:
             for bit in range(8):
@@ -158,8 +163,24 @@
                     job_state.note(first + offset * 8 + bit, own)
 
 
-def split_open(key: str) -> tuple[str, tuple[int, int] | None]:
-    """The job, and the shard and number (None: the job itself), of a key under `open/`."""
+class RowPlace(NamedTuple):
+    """Which row of results of a job: the shard that its key names, and its number."""
+
+    shard: int
+    number: int
+
+
+class OpenKey(NamedTuple):
+    """A key under `open/`: the job, and the row of results, None if it is the job's own key."""
+
+    ref: str
+    place: RowPlace | None
+
+
+def split_open(key: str) -> OpenKey:
+    """What a key under `open/` stands for."""
     ref, _, tail = key[len(OPEN) :].partition("/")
     shard, _, number = tail.partition(".")
-    return ref, (int(shard), int(number)) if shard.isdigit() and number.isdigit() else None
+    if shard.isdigit() and number.isdigit():
+        return OpenKey(ref, RowPlace(int(shard), int(number)))
+    return OpenKey(ref, None)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -361,11 +361,11 @@
         for comer in comers:
             assert (await comer.request("GET", "/"))[0] == 200
         assert len(workers.pools) == 0 and len(server.connections) == 6
-        assert all(comer.resting for comer in comers)  # nobody was thrown out
+        assert all(comer.idle for comer in comers)  # nobody was thrown out
         late = Pool("10.0.0.9:80", 1)
         assert (await late.request("GET", "/"))[0] == 200  # now the longest unused goes
         await asyncio.sleep(0.1)
-        assert [bool(comer.resting) for comer in comers] == [False] + [True] * 5
+        assert [bool(comer.idle) for comer in comers] == [False] + [True] * 5
 
     play(story)
 
@@ -442,7 +442,7 @@
         await Server(answer, 10).start("10.0.0.1:8080")
         pool = Pool("10.0.0.1:8080", 1)
         with pytest.raises(RequestFailed) as failed:
-            await pool.request("POST", "/", still=lambda: False)
+            await pool.request("POST", "/", may_send=lambda: False)
         assert not failed.value.sent
         await asyncio.sleep(0.1)
         del failed, pool  # nothing may hold the reply any more
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -39,7 +39,7 @@
 
 def test_each_limit_holds_to_the_byte_and_to_the_operation() -> None:
     assert _sizes(12, [200, 200, 200], TRANSACTION_BYTES) == ""
-    assert "guards" in _sizes(13, [1], 100)
+    assert "preconditions" in _sizes(13, [1], 100)
     assert "operations" in _sizes(1, [1, 1, 1, 1], 100)
     assert "201 bytes" in _sizes(1, [200, 201], 500)
     assert f"{TRANSACTION_BYTES + 1} bytes" in _sizes(1, [1], TRANSACTION_BYTES + 1)
