--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -78,7 +78,7 @@
         answers.note_heard(deferral.partitioned)
         if deferral.incarnation != self.session.incarnation or not self.session.version:
             return  # the answer to an earlier incarnation of ours
-        request = answers.requests.pop(deferral.seq, None)
+        request = answers.requests.pop(deferral.sequence, None)
         if request is None:
             return
         if deferral.cancelled is not None and request.cancellations_as_of is not None:
--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -69,7 +69,7 @@
             request.name, request.incarnation, request.span_us
         )
         return FailoverDeferral(
-            request.seq,
+            request.sequence,
             self.membership.name,
             request.incarnation,
             span_us,
--- a/basaltlead/wire/__init__.py
+++ b/basaltlead/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Message types of each interface: the only home of the names on the wire."""
+"""Message types of each interface; only this package knows the names on the wire."""
--- a/basaltlead/wire/cloud.py
+++ b/basaltlead/wire/cloud.py
@@ -1,24 +1,15 @@
-"""Controllers -> cloud."""
+"""Messages between controllers and the cloud."""
 
 from msgspec import Struct
 
+from basaltlead.wire.names import PROTOCOL_NAMES
 
-class MachineTypeInfo(
-    Struct,
-    rename={
-        "name": "Label",
-        "cpus": "Cores",
-        "gpus": "Gpus",
-        "memory_gb": "MemoryGb",
-        "cache_gb": "LocalGb",
-        "pull_gb_per_s": "PullGbPerS",
-        "price": "Rate",
-        "spot_price": "MarketPrice",
-        "boot_s": "ReadyS",
-        "zones": "Yards",
-    },
-):
-    """A type that the cloud rents out, with its present prices."""
+
+class MachineTypeInfo(Struct, rename=PROTOCOL_NAMES | {"name": "Label"}):
+    """A machine type that the cloud rents out, with its present prices.
+
+    Prices are per hour; `boot_s` is how long a machine takes from the request until it is up.
+    """
 
     name: str
     cpus: float
@@ -32,23 +23,14 @@
     spot_price: float | None = None
 
 
-class MachineTypeList(Struct, rename={"types": "Grades"}):
-    """All types."""
+class MachineTypeList(Struct, rename=PROTOCOL_NAMES):
+    """All machine types."""
 
     types: list[MachineTypeInfo]
 
 
-class RentRequest(
-    Struct,
-    rename={
-        "request_id": "Hire",
-        "type": "Grade",
-        "zone": "Yard",
-        "spot": "Loaners",
-        "number": "Number",
-    },
-):
-    """A rental request."""
+class RentRequest(Struct, rename=PROTOCOL_NAMES):
+    """A request to rent machines. Its id makes it idempotent: sent again it rents nothing more."""
 
     request_id: str
     type: str
@@ -57,25 +39,14 @@
     number: int
 
 
-class MachineNames(Struct, rename={"machines": "Anvils"}):
-    """MachineNames of machines."""
+class MachineNames(Struct, rename=PROTOCOL_NAMES):
+    """The names of machines: those that were rented, or that are to be returned."""
 
     machines: list[str]
 
 
-class RentedMachine(
-    Struct,
-    rename={
-        "name": "Ref",
-        "address": "Addr",
-        "type": "Grade",
-        "zone": "Yard",
-        "spot": "Loaners",
-        "stage": "Stage",
-        "age_s": "HeldS",
-    },
-):
-    """A machine in the list of rented ones."""
+class RentedMachine(Struct, rename=PROTOCOL_NAMES | {"name": "Ref"}):
+    """A rented machine as the cloud lists it; `age_s` is for how long it has been rented."""
 
     name: str
     type: str
@@ -86,8 +57,8 @@
     age_s: float = 0.0
 
 
-class MachinePage(Struct, rename={"machines": "Anvils", "more": "HasNext"}):
-    """A part of that list."""
+class MachinePage(Struct, rename=PROTOCOL_NAMES):
+    """A part of the list of rented machines; `more` tells that there are more after it."""
 
     machines: list[RentedMachine]
     more: bool = False
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -1,50 +1,60 @@
-"""Controllers <-> controllers, in netstrings of JSON."""
+"""Messages among controllers, and between operators and controllers, in netstrings of JSON.
+
+`name` is the sender, and `incarnation` that of the controller that requests the deferral: an answer
+repeats it, so that one to an earlier incarnation is recognised.
+"""
 
 from msgspec import Raw, Struct
 
+PEER_NAMES = {
+    "sequence": "seq",
+    "incarnation": "life",
+    "unconfirmed_us": "blind_us",
+    "partitioned": "lonely",
+}
+
 
 class DeferralRequest(
     Struct,
     tag="ask",
     tag_field="is",
-    rename={"incarnation": "life", "unconfirmed_us": "blind_us"},
+    rename=PEER_NAMES,
 ):
-    """A shard leader without the key-value store asks not to be replaced for a while."""
+    """A controller without the key-value store requests not to be replaced for a span."""
 
-    seq: int
+    sequence: int
     name: str
     incarnation: str
     span_us: int
-    # How long ago it last knew of all confirmed cancellations; None if it doesn't ask for them.
+    # How long ago it last knew all confirmed cancellations; None if it doesn't need them.
     unconfirmed_us: int | None = None
 
 
-class FailoverDeferral(
-    Struct, tag="promise", tag_field="is", rename={"partitioned": "lonely", "incarnation": "life"}
-):
-    """The answer; a span of 0 is a refusal."""
+class FailoverDeferral(Struct, tag="promise", tag_field="is", rename=PEER_NAMES):
+    """The answer; a span of 0 is a refusal. The span counts from when the request was sent."""
 
-    seq: int
+    sequence: int
     name: str
     incarnation: str
     span_us: int
     partitioned: bool = False  # has the answering controller lost the key-value store too?
-    # Every cancellation that it has confirmed to anybody since then; None if it can't say.
+    # Every cancellation that it has confirmed to anybody in `unconfirmed_us`; None if it can't say.
     cancelled: list[str] | None = None
 
 
 class CancellationNotice(Struct, tag="cancelled", tag_field="is"):
-    """Jobs of which the sender is about to tell a user that they are cancelled."""
+    """Jobs whose cancellation the sender is about to confirm to a user."""
 
     refs: list[str]
 
 
 class DutiesQuestion(Struct, tag="duties", tag_field="is"):
-    """An operator asks who holds which duty, and what is open."""
+    """An operator asks who holds which duty, and which intents are open."""
 
 
 class HeldDuty(Struct):
-    """A duty, its holder's name, fencing token, and the time of day of the grant; 0: not held."""
+    """A duty with its holder's name, fencing token, and the time of day of the grant in
+    microseconds; an empty name and 0 if nobody holds it."""
 
     duty: str
     holder: str
@@ -53,7 +63,8 @@
 
 
 class OpenIntent(Struct):
-    """What is recorded and not carried out."""
+    """An intent that is recorded and not carried out so far, since a time of day; `refused` is why
+    the cloud rejects it."""
 
     kind: str
     name: str
@@ -63,7 +74,8 @@
 
 
 class DutiesAnswer(Struct, tag="duties-told", tag_field="is"):
-    """`unknown` tells why there is no answer; empty if there is one."""
+    """The duties and open intents; `unknown` tells why there is no answer, and is empty if there is
+    one."""
 
     unknown: str = ""
     granted: bool = False  # on their own; else the shard leaders carry them out
@@ -73,13 +85,14 @@
 
 
 class HistoryQuestion(Struct, tag="history", tag_field="is"):
-    """An operator asks for the first page of history after this key."""
+    """An operator asks for the first page of the duties' history after this key."""
 
     after: str
 
 
 class HistoryAnswer(Struct, tag="history-told", tag_field="is"):
-    """A page and its key; without a key there is none left."""
+    """A page of the history and its key, which is empty if there is none left; `unknown` tells why
+    there is no answer."""
 
     unknown: str = ""
     key: str = ""
--- a/basaltlead/wire/store.py
+++ b/basaltlead/wire/store.py
@@ -1,12 +1,14 @@
-"""Controllers -> key-value store."""
+"""Messages between controllers and the key-value store."""
 
 from typing import Any
 
 import msgspec
 from msgspec import Struct
 
+from basaltlead.wire.names import PROTOCOL_NAMES
 
-class Row(Struct, rename={"key": "Path", "value": "V", "version": "Stamp"}):
+
+class Row(Struct, rename=PROTOCOL_NAMES):
     """A key with its value and version."""
 
     key: str
@@ -14,58 +16,56 @@
     version: int
 
 
-class Rows(Struct, rename={"rows": "Rows", "more": "HasNext", "revision": "Ledger"}):
-    """Some keys under a prefix."""
+class Rows(Struct, rename=PROTOCOL_NAMES):
+    """A part of the rows under a prefix, and the store's revision when it was read."""
 
     rows: list[Row]
     revision: int
     more: bool = False
 
 
-class Precondition(Struct, rename={"key": "Path", "version": "Stamp"}):
-    """A condition: the key must have this version; 0: not exist."""
+class Precondition(Struct, rename=PROTOCOL_NAMES):
+    """A condition of a transaction: the key must have this version; 0: it must not exist."""
 
     key: str
     version: int
 
 
-class Put(
-    Struct, omit_defaults=True, rename={"key": "Put", "value": "V", "session_lease": "Permit"}
-):
-    """A key to be written."""
+class Put(Struct, omit_defaults=True, rename=PROTOCOL_NAMES | {"key": "Put"}):
+    """A change: a key to be written. With a session lease it is dropped when that lease ends."""
 
     key: str
     value: Any
     session_lease: int | None = None
 
 
-class Drop(Struct, rename={"key": "Drop"}):
-    """A key to be removed."""
+class Drop(Struct, rename=PROTOCOL_NAMES | {"key": "Drop"}):
+    """A change: a key to be removed."""
 
     key: str
 
 
-class Transaction(Struct, rename={"preconditions": "Guards", "apply": "Apply"}):
-    """Changes that are made together if all conditions hold."""
+class Transaction(Struct, rename=PROTOCOL_NAMES):
+    """Changes that are made together if all preconditions hold."""
 
     preconditions: list[Precondition]
     apply: list[Put | Drop] | list[Any]
 
 
-class Outcome(Struct, rename={"revision": "Ledger"}):
-    """What came of a transaction."""
+class Outcome(Struct, rename=PROTOCOL_NAMES):
+    """The answer to a transaction; `failed` are the keys whose preconditions did not hold."""
 
     revision: int
     failed: list[str] = []
 
 
-class SessionLease(Struct, rename={"session_lease": "Permit"}):
-    """A lease to which keys may be attached."""
+class SessionLease(Struct, rename=PROTOCOL_NAMES):
+    """A new lease, to which keys may be attached."""
 
     session_lease: int
 
 
-class Change(Struct, rename={"put": "Put", "drop": "Drop", "value": "V", "version": "Stamp"}):
+class Change(Struct, rename=PROTOCOL_NAMES):
     """A key that was written or removed."""
 
     version: int
@@ -74,8 +74,8 @@
     value: msgspec.Raw = msgspec.Raw(b"null")
 
 
-class Changes(Struct, rename={"revision": "Ledger", "log": "Log"}):
-    """What has changed under a prefix."""
+class Changes(Struct, rename=PROTOCOL_NAMES):
+    """The answer to a watch: what has changed under a prefix up to a revision."""
 
     revision: int
     log: list[Change]
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -1,9 +1,11 @@
-"""Users -> controllers."""
+"""Messages between users and controllers."""
 
 from typing import Annotated, Literal
 
 from msgspec import Meta, Struct
 
+from basaltlead.wire.names import PROTOCOL_NAMES
+
 REF = r"^req-[0-9]{6,15}\Z"
 
 Text = Annotated[str, Meta(min_length=1, max_length=100)]
@@ -11,33 +13,8 @@
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 
 
-class Submission(
-    Struct,
-    frozen=True,
-    rename={
-        "ref": "Ref",
-        "job_class": "Lane",
-        "team": "Crew",
-        "shape": "Shape",
-        "rank": "Rank",
-        "tasks": "Pieces",
-        "cpus": "Cores",
-        "gpus": "Gpus",
-        "memory_gb": "MemoryGb",
-        "image": "Mould",
-        "image_gb": "PullGb",
-        "types": "Grades",
-        "zone": "Yard",
-        "one_zone": "OneZone",
-        "apart": "Apart",
-        "spot": "Loaners",
-        "guess_s": "GuessS",
-        "checkpoint_interval_s": "MarkEveryS",
-        "checkpoint_duration_s": "MarkS",
-        "due_s": "DueS",
-    },
-):
-    """A job as its user describes it."""
+class Submission(Struct, frozen=True, rename=PROTOCOL_NAMES):
+    """A job as its user describes it. Sizes are for one task; durations in seconds."""
 
     ref: Annotated[str, Meta(pattern=REF)]
     job_class: Text
@@ -61,8 +38,8 @@
     due_s: Amount | None = None
 
 
-class JobAnswer(Struct, rename={"ref": "Ref", "stage": "Stage"}):
-    """A job's state."""
+class JobAnswer(Struct, rename=PROTOCOL_NAMES):
+    """The state of a job, with how many of its tasks are done and run."""
 
     ref: str
     stage: str
--- a/basaltlead/wire/workers.py
+++ b/basaltlead/wire/workers.py
@@ -1,23 +1,16 @@
-"""Workers <-> controllers: reports and orders."""
+"""Messages between workers and controllers: heartbeats and commands."""
 
 from typing import Annotated
 
 from msgspec import Meta, Struct
 
+from basaltlead.wire.names import PROTOCOL_NAMES
+
 Whole = Annotated[int, Meta(ge=0)]
 
 
-class TaskStatus(
-    Struct,
-    rename={
-        "task": "Piece",
-        "attempt_number": "Try",
-        "stage": "Stage",
-        "why": "Cause",
-        "saved": "Saved",
-    },
-):
-    """One task in a worker's report."""
+class TaskStatus(Struct, rename=PROTOCOL_NAMES):
+    """One task in a heartbeat. `saved` tells whether it saved a checkpoint when it was stopped."""
 
     task: Annotated[str, Meta(max_length=60, pattern=r"^req-[0-9]{6,15}/[0-9]{1,6}\Z")]
     attempt_number: Whole
@@ -26,22 +19,13 @@
     saved: bool | None = None
 
 
-class Heartbeat(
-    Struct,
-    rename={
-        "machine": "Anvil",
-        "address": "Addr",
-        "type": "Grade",
-        "zone": "Yard",
-        "spot": "Loaners",
-        "epoch": "Shift",
-        "sequence": "Tick",
-        "fencing_token": "Baton",
-        "preemption_notice_s": "RecallS",
-        "tasks": "Pieces",
-    },
-):
-    """What is on a machine."""
+class Heartbeat(Struct, rename=PROTOCOL_NAMES):
+    """A worker's periodic report: the machine and the tasks on it.
+
+    The epoch changes with each expiry of the worker's lease, and the sequence number orders the
+    messages of one epoch. `fencing_token` is the highest one that the worker has seen, and
+    `preemption_notice_s` the time until the cloud takes a spot machine back.
+    """
 
     machine: Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+\Z")]
     address: Annotated[str, Meta(max_length=40, pattern=r"^[0-9.]+:[0-9]+\Z")]
@@ -55,12 +39,8 @@
     preemption_notice_s: float | None = None
 
 
-class WorkerCommand(
-    Struct,
-    omit_defaults=True,
-    rename={"verb": "Verb", "task": "Piece", "attempt_number": "Try", "grace_s": "WindDownS"},
-):
-    """A command for one task."""
+class WorkerCommand(Struct, omit_defaults=True, rename=PROTOCOL_NAMES):
+    """A command for one attempt at a task; `grace_s` is the time it may take to save."""
 
     verb: str
     task: str
@@ -68,24 +48,22 @@
     grace_s: float | None = None
 
 
-class HeartbeatResponse(Struct, rename={"fencing_token": "Baton", "commands": "Orders"}):
-    """The answer to a report."""
+class HeartbeatResponse(Struct, rename=PROTOCOL_NAMES):
+    """The answer to a heartbeat."""
 
     fencing_token: int
     commands: list[WorkerCommand]
 
 
-class DirectCommand(
-    Struct, rename={"fencing_token": "Baton", "epoch": "Shift", "commands": "Orders"}
-):
-    """The body of /do."""
+class DirectCommand(Struct, rename=PROTOCOL_NAMES):
+    """Commands that are pushed to a worker outside heartbeats; the body of /do."""
 
     fencing_token: int
     epoch: int
     commands: list[WorkerCommand]
 
 
-class Redirect(Struct, rename={"controller": "Foreman"}):
-    """Names the controller to report to."""
+class Redirect(Struct, rename=PROTOCOL_NAMES):
+    """The answer to a heartbeat that another controller should have got: which one."""
 
     controller: str
