--- a/basaltlead/errors.py
+++ b/basaltlead/errors.py
@@ -1,14 +1,15 @@
-"""What a call to another service may end in, short of an answer.
+"""The errors that a call to another service may raise.
 
-All of them derive from `ServiceError`. `RequestFailed.sent` tells whether the request may have been
-executed; the others say that it was not.
+All of them derive from `ServiceError`, which callers catch where the difference doesn't matter to
+them. `RequestFailed.sent` tells whether the request may have been executed; the others say that it
+was not.
 """
 
 from collections.abc import Sequence
 
 
 class ServiceError(Exception):
-    """A call to the key-value store, the cloud or a worker that brought no answer."""
+    """A call to the key-value store, the cloud or a worker that did not succeed."""
 
 
 class RequestFailed(ServiceError):
@@ -20,12 +21,13 @@
 
 
 class Unavailable(ServiceError):
-    """The other side refused for now (429, 503): the request was not executed, and may be
-    retried."""
+    """The other side refused the request for now (429, 503): it was not executed, and may be sent
+    again later."""
 
 
 class PreconditionFailed(ServiceError):
-    """A precondition of a transaction did not hold; `failed` names the keys."""
+    """A precondition of a transaction did not hold, so nothing was changed; `failed` names the keys
+    whose versions differ."""
 
     def __init__(self, failed: Sequence[str]) -> None:
         super().__init__(", ".join(failed))
@@ -36,21 +38,21 @@
     """The session lease has expired, and the keys attached to it are gone."""
 
 
+class RevisionCompacted(ServiceError):
+    """The changes that a watch asked for are no longer kept: the keys must be listed again."""
+
+
 class TransactionTooLarge(RequestFailed):
     """A transaction that the key-value store would refuse for its size, so it was not sent: the
-    same request can never succeed, and must not be retried."""
+    same transaction can never succeed, and must not be tried again."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"too large: {text}", sent=False)
 
 
-class RevisionCompacted(Exception):
-    """The changes that a watch asked for are no longer kept: the keys must be listed again."""
-
-
 class NoCapacity(ServiceError):
-    """The cloud has no machine of this type, zone and kind (spot or ordinary)."""
+    """The cloud has no machine of this type and zone, spot or on demand as requested."""
 
 
 class RequestRejected(RequestFailed):
-    """The cloud says that the request is wrong: the same one will be rejected again."""
+    """The cloud calls the request wrong: the same one will be rejected again."""
--- a/basaltlead/runtime/clock.py
+++ b/basaltlead/runtime/clock.py
@@ -1,5 +1,4 @@
-"""What a process takes from the outside without asking anybody: two clocks, in whole
-microseconds, and chance. Tests put their own in place."""
+"""The clocks, in whole microseconds, and the source of random numbers. Tests replace them."""
 
 import random
 import time
@@ -11,22 +10,23 @@
 
 
 def now_us() -> int:
-    """The steady clock: for spans and leases."""
+    """The monotonic clock: for durations and leases within this process."""
     return _steady() // 1000
 
 
 def wall_us() -> int:
-    """The time of day, off by up to what the settings say: for ages that outlive a process."""
+    """The time of day, wrong by up to `clock_off_ms` of the settings: only for ages that outlive a
+    process."""
     return _wall() // 1000
 
 
 def age_us(at: int) -> int:
-    """How long ago a time of day was, which may be off a little."""
+    """How long ago a time of day was; 0 if it seems to lie ahead, as clocks differ."""
     return max(0, wall_us() - at)
 
 
 def use(steady: Callable[[], int], wall: Callable[[], int], seed: int) -> None:
-    """Take other sources, in nanoseconds."""
+    """Replace both clocks, which return nanoseconds, and seed the random numbers."""
     global _steady, _wall
     _steady, _wall = steady, wall
     chance.seed(seed)
--- a/basaltlead/runtime/events.py
+++ b/basaltlead/runtime/events.py
@@ -1,13 +1,12 @@
-"""Waiting for an event, but not for ever."""
+"""Waiting for an event with a time limit."""
 
 import asyncio
+from contextlib import suppress
 
 
 async def wait_for_event(event: asyncio.Event, seconds: float) -> None:
-    """Return once the event is set, or after so long, and clear it."""
-    try:
+    """Return once the event is set, or after so many seconds, and clear it."""
+    with suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             await event.wait()
-    except TimeoutError:
-        pass
     event.clear()
--- a/basaltlead/runtime/logs.py
+++ b/basaltlead/runtime/logs.py
@@ -1,4 +1,4 @@
-"""Logging to standard error by LOG_LEVEL, and a brake for lines that bad input could repeat."""
+"""The log, written to standard error, and a limit on lines that bad input could repeat."""
 
 import logging
 import os
@@ -10,7 +10,7 @@
 
 
 def set_up() -> None:
-    """Log to standard error, in the amount that LOG_LEVEL sets."""
+    """Log to standard error, from the level on that the environment's LOG_LEVEL names."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(levelname).1s %(message)s"))
     log.addHandler(handler)
@@ -19,7 +19,7 @@
 
 
 class LogRateLimiter:
-    """Lets at most `burst` lines a `span_us` through, so bad input can't flood the log."""
+    """Allows at most `burst` lines in `span_us`, so that bad input can't flood the log."""
 
     def __init__(self, burst: int = 5, span_us: int = 10_000_000) -> None:
         self.burst = burst
@@ -28,6 +28,7 @@
         self.until = 0
 
     def ok(self, now: int) -> bool:
+        """Whether one more line may be written at this time; if so, it is counted."""
         if now >= self.until:
             self.until = now + self.span_us
             self.left = self.burst
--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside each other and end together."""
+"""Background tasks of one owner, which are cancelled together."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -6,18 +6,19 @@
 
 from basaltlead.runtime.logs import log
 
-LOOP = "loop "  # names of tasks that must never end begin with this
+LOOP = "loop "  # the names of tasks whose failure is their owner's failure begin with this
 
 
 class BackgroundTasks:
-    """The tasks of one holder. `failed` is called should one of its loops end with a fault."""
+    """The background tasks of a shard leader or the holder of a duty."""
 
     def __init__(self, failed: Callable[[], None]) -> None:
+        """`failed` is called once a task whose name begins with `LOOP` ends with an exception."""
         self.running: set[asyncio.Task[None]] = set()
         self.failed = failed
 
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
-        """Run something beside the others."""
+        """Start a task; an exception that ends it is logged under its name."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.running.add(task)
         task.add_done_callback(self._ended)
@@ -31,6 +32,6 @@
                 self.failed()
 
     def cancel(self) -> None:
-        """End them all."""
+        """Cancel all tasks."""
         for task in list(self.running):
             task.cancel()
