--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -1,39 +1,50 @@
-"""The command line: `basaltlead serve`, and the operators' commands."""
+"""The command line: `basaltlead serve`, and the operators' commands.
+
+Modules are imported where a command needs them: controllers pay for every import at their start.
+"""
 
 import argparse
 import sys
 
 from basaltlead import __version__
 
+BAD_SETTINGS = 2  # the exit status, which is also that of a wrong command line
+
 
 def parser() -> argparse.ArgumentParser:
-    """The command line: `serve` with the settings files, and what operators ask."""
+    """The parser of the command line: `serve` and the operators' commands."""
+    from basaltlead.operators import commands
+
     top = argparse.ArgumentParser(prog="basaltlead", description="A cluster scheduler.")
     top.add_argument("--version", action="version", version=f"basaltlead {__version__}")
     verbs = top.add_subparsers(dest="verb", required=True, metavar="VERB")
     serve = verbs.add_parser("serve", help="run one controller until it is killed")
     serve.add_argument("--operator", metavar="FILE", help="the operators' own settings (YAML)")
     serve.add_argument("--config", metavar="FILE", required=True, help="the platform's TOML file")
-    from basaltlead.operators import commands
-
     commands.add_to(verbs)
     return top
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line; its exit status."""
+    """Run the command line; the exit status."""
     options = parser().parse_args(argv)
-    if options.verb != "serve":
-        from basaltlead.operators import commands
+    if options.verb == "serve":
+        return _serve(options.config, options.operator)
+    from basaltlead.operators import commands
+
+    return commands.run(options)
+
 
-        return commands.run(options)
-    from basaltlead.config.settings import SettingsError, load
+def _serve(config: str, operator: str | None) -> int:
+    """Run a controller until it is killed; the exit status."""
+    from basaltlead.config.errors import SettingsError
+    from basaltlead.config.loader import load
 
     try:
-        settings = load(options.config, options.operator)
+        settings = load(config, operator)
     except SettingsError as fault:
         print(f"basaltlead: {fault}", file=sys.stderr)
-        return 2
+        return BAD_SETTINGS
     from basaltlead import controller
     from basaltlead.runtime import logs
 
--- /dev/null
+++ b/basaltlead/config/loader.py
@@ -0,0 +1,73 @@
+"""Reading the settings files.
+
+Fields that are not known here are ignored in the platform's file, since the platform may add some.
+Everything else is checked once, at the start, and an error names its field.
+"""
+
+import tomllib
+from typing import Any
+
+import msgspec
+
+from basaltlead.config.errors import SettingsError
+from basaltlead.config.settings import US, Operator, Settings
+
+SHORTEST_SESSION_LEASE_US = US // 2
+
+
+def convert(data: Any, target: Any, where: str) -> Any:
+    """Data of a settings file as the target type. Raises `SettingsError` with the field.
+
+    Numbers in the operators' own file may also be written as text.
+    """
+    try:
+        return msgspec.convert(data, target, strict=target is not Operator)
+    except msgspec.ValidationError as fault:
+        text = str(fault)
+        reason, _, path = text.partition(" - at `$")
+        field = path.rstrip("`").lstrip(".")
+        raise SettingsError(f"{where}: {field + ': ' if field else ''}{reason}") from None
+
+
+def load(path: str, operator_path: str | None = None) -> Settings:
+    """Read and check the platform's file and, if there is one, the operators'. Raises
+    `SettingsError`."""
+    try:
+        with open(path, "rb") as file:
+            data = tomllib.load(file)
+    except OSError as fault:
+        raise SettingsError(f"{path}: {fault.strerror}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
+        raise SettingsError(f"{path}: not TOML: {fault}") from None
+    data.pop("operator", None)
+    settings: Settings = convert(data, Settings, path)
+    if operator_path is not None:
+        settings.operator = _load_operator(operator_path)
+    if settings.session_lease_us < SHORTEST_SESSION_LEASE_US:
+        raise SettingsError(f"{path}: facts.workers.cancel_s: too short for lease_s")
+    return settings
+
+
+def _load_operator(path: str) -> Operator:
+    import yaml  # read only when such a file is given: controllers pay for every import
+
+    try:
+        with open(path, encoding="utf-8") as file:
+            data = yaml.safe_load(file)
+    except OSError as fault:
+        raise SettingsError(f"{path}: {fault.strerror}") from None
+    except (yaml.YAMLError, UnicodeDecodeError) as fault:
+        raise SettingsError(f"{path}: not YAML: {' '.join(str(fault).split())}") from None
+    operator: Operator = convert({} if data is None else data, Operator, path)
+    if operator.quiet is not None:
+        _check_calendar(operator.quiet.calendar, path)
+    return operator
+
+
+def _check_calendar(calendar: str, path: str) -> None:
+    """Raise `SettingsError` if the calendar can't be used."""
+    try:
+        from basaltlead.scaling import quiet_times  # needs libraries that are installed only for it
+    except ImportError as fault:
+        raise SettingsError(f"{path}: quiet: {fault}: install basaltlead[operators]") from None
+    quiet_times.read(calendar)
--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -1,18 +1,17 @@
-"""Settings: the platform's TOML file and the operators' optional YAML file.
+"""The settings: their fields, the values that are allowed, and what is derived from them.
 
-Fields nobody here knows are ignored, since the platform may add some. Everything else is checked
-once, at the start, and a fault names its field.
+They come from the platform's TOML file and the operators' optional YAML file (see loader), whose
+names they keep. Durations end in `_s` (seconds), `_ms` or `_us`.
 """
 
-import tomllib
-from typing import Annotated, Any
+from typing import Annotated
 
-import msgspec
 from msgspec import Meta, Struct
 
 from basaltlead.storage.limits import StoreLimits
 
 US = 1_000_000
+SESSION_LEASE_SHARE = 0.3  # of a worker's lease
 
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]
@@ -21,10 +20,6 @@
 Count = Annotated[int, Meta(ge=1, lt=1_000_000)]
 
 
-class SettingsError(Exception):
-    """A settings file that can't be used; the text names the field."""
-
-
 class Peer(Struct):
     """Another controller."""
 
@@ -34,14 +29,14 @@
 
 
 class Services(Struct):
-    """Where the outside services are."""
+    """The addresses of the cloud and of the key-value store (`state`)."""
 
     cloud: Address
     state: Address
 
 
 class Team(Struct):
-    """A team's guarantee and limit; 0: none."""
+    """A team, with its guarantee (`cpus`, `gpus`) and limit (`cpus_max`, `gpus_max`); 0: none."""
 
     name: str
     cpus: Amount = 0.0
@@ -51,7 +46,7 @@
 
 
 class Objective(Struct, rename={"job_class": "class"}):
-    """An aim on the starts or the ends of a class of jobs."""
+    """When jobs of a class should start or finish; which of the fields apply depends on `kind`."""
 
     kind: str
     job_class: str = ""
@@ -61,7 +56,7 @@
 
 
 class Workers(Struct):
-    """Spans that all workers keep to."""
+    """The durations that all workers keep to."""
 
     report_s: Positive
     lease_s: Positive
@@ -70,12 +65,13 @@
     cancel_s: Positive
 
 
-# A transaction of a single change can't move a job from open to over.
+# A transaction of a single change can't move a job from its open key to its final one.
 TransactionOps = Annotated[int, Meta(ge=2, lt=1_000_000)]
 
 
 class NextStateLimits(Struct, frozen=True):
-    """What the key-value store will limit to from some moment on, without notice."""
+    """Limits of the key-value store that will hold from some moment on, without notice; those that
+    are absent stay as they are."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -84,7 +80,8 @@
 
 
 class StateLimits(Struct):
-    """Limits of the key-value store."""
+    """Limits of the key-value store: requests and writes a second, kilobytes in a value, operations
+    in a transaction."""
 
     rps: Positive
     write_rps: Positive
@@ -94,14 +91,14 @@
 
 
 class CloudLimits(Struct):
-    """Limits of the cloud, and how old its lists are."""
+    """The cloud's limit on requests a second, and how old its list of machines may be."""
 
     rps: Positive
     list_lag_s: Amount
 
 
 class Quota(Struct, frozen=True):
-    """What the process may use."""
+    """What the process may use: processor cores, megabytes of memory, and file descriptors."""
 
     core_share: Positive = 1.0
     mem_mb: Positive = 256.0
@@ -109,7 +106,7 @@
 
 
 class Facts(Struct):
-    """What the platform says of the deployment."""
+    """The platform's description of the deployment."""
 
     nodes: Count
     zones: list[str]
@@ -123,7 +120,7 @@
 
 
 class Quiet(Struct, frozen=True, forbid_unknown_fields=True):
-    """Quiet times: an iCalendar file, and what idle machines may cost in each of them."""
+    """Quiet times: the path of an iCalendar file, and what idle machines may cost in each one."""
 
     calendar: str
     most_cost: Positive
@@ -145,7 +142,7 @@
 
 
 class Settings(Struct):
-    """Everything that a controller is told at its start."""
+    """All settings of one controller."""
 
     member: Name
     location: str
@@ -158,8 +155,11 @@
 
     @property
     def store_limits(self) -> StoreLimits:
-        """What holds both before and after the announced change: it comes without notice, so
-        everything is kept to the lower of both limits from the start."""
+        """The limits of the key-value store that every request keeps to.
+
+        An announced change of them (`next`) comes without notice, so the lower of both limits
+        applies from the start.
+        """
         now, later = self.facts.state, self.facts.state.next
         return StoreLimits(
             rps=_lower(now.rps, later.rps),
@@ -170,86 +170,40 @@
 
     @property
     def staleness_us(self) -> int:
-        """How long a shard leader may act without a look at the cancellations.
-
-        Let L be the time at which its last good look was asked for, or every other controller's
-        word of what it had confirmed (see Peers). What was told before L is known by it, so a
-        cancellation it does not know of was told to its user after L.
-        A report is answered with 200 only while the clock reads less than L + staleness
-        (`holds_valid_lease` is asked in the turn in which the answer is written, so a process that
-        stood still before that turn answers nothing; one that stands still after it has answered a
-        report that was sent before). The worker's lease counts from when that report was *sent*, so
-        it is over at L + staleness + lease at the latest, however long the answer was under way.
-        Direct commands renew nothing, and one that is executed late starts nothing that outlives
-        the lease. Clocks drift by 0.05% and a worker looks at its lease now and then: a hundredth
-        of the lease, a tenth of the rest and a second are left for that. So the task is gone within
-        `cancel_s` of L, and the user was told later than that.
+        """How long a shard leader may act without reading the cancellations, in microseconds.
+
+        Let L be the time at which its last successful read of them was sent, or the request that
+        every other controller answered with what it had confirmed (see cancellation_exchange). All
+        cancellations confirmed before L are known to it, so one that it does not know of was
+        confirmed to its user after L.
+
+        A heartbeat is answered with 200 only while the clock reads less than L + staleness:
+        `holds_valid_lease` is evaluated in the same turn of the event loop in which the answer is
+        written, so a process that was suspended before that turn answers nothing, and one that is
+        suspended after it has answered a heartbeat that was sent before. The worker's lease counts
+        from when that heartbeat was *sent*, so it is over at L + staleness + lease at the latest,
+        however long the answer was under way. Pushed commands renew nothing, and one that is
+        executed late starts nothing that outlives the lease.
+
+        Clocks drift by 0.05%, and a worker checks its lease only now and then: a hundredth of the
+        lease, a tenth of what remains and a second are reserved for that. So the task is gone
+        within `cancel_s` of L, and the user was told after L.
         """
-        w = self.facts.workers
-        return int(((w.cancel_s - w.lease_s * 1.01) * 0.9 - 1.0) * US)
+        workers = self.facts.workers
+        return int(((workers.cancel_s - workers.lease_s * 1.01) * 0.9 - 1.0) * US)
 
     @property
     def session_lease_us(self) -> int:
-        """How long a session lease lasts. A third of a worker's lease: when a shard leader is lost,
-        its workers give it up after 4 to 6 s, and find the next shard leader in place before their
-        leases run out."""
-        wished = self.operator.right_s
-        if wished is None:
-            wished = self.facts.workers.lease_s * 0.3
-        return min(int(wished * US), self.staleness_us)
+        """How long a session lease lasts, in microseconds.
+
+        By default a third of a worker's lease: when a shard leader is lost, its workers give it up
+        after 4 to 6 s, and find the next shard leader in place before their leases run out.
+        """
+        lease_s = self.operator.right_s
+        if lease_s is None:
+            lease_s = self.facts.workers.lease_s * SESSION_LEASE_SHARE
+        return min(int(lease_s * US), self.staleness_us)
 
 
 def _lower(now: float, later: float | None) -> float:
     return now if later is None else min(now, later)
-
-
-def _convert(data: Any, target: Any, where: str) -> Any:
-    try:
-        return msgspec.convert(data, target, strict=target is not Operator)
-    except msgspec.ValidationError as fault:
-        text = str(fault)
-        what, _, path = text.partition(" - at `$")
-        field = path.rstrip("`").lstrip(".")
-        raise SettingsError(f"{where}: {field + ': ' if field else ''}{what}") from None
-
-
-def load(path: str, operator_path: str | None = None) -> Settings:
-    """Read and check both files."""
-    try:
-        with open(path, "rb") as file:
-            data = tomllib.load(file)
-    except OSError as fault:
-        raise SettingsError(f"{path}: {fault.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        raise SettingsError(f"{path}: not TOML: {fault}") from None
-    data.pop("operator", None)
-    settings: Settings = _convert(data, Settings, path)
-    if operator_path is not None:
-        settings.operator = _load_operator(operator_path)
-    if settings.session_lease_us < US // 2:
-        raise SettingsError(f"{path}: facts.workers.cancel_s: too short for lease_s")
-    return settings
-
-
-def _load_operator(path: str) -> Operator:
-    import yaml  # read only when such a file is given: controllers pay for every import
-
-    try:
-        with open(path, encoding="utf-8") as file:
-            data = yaml.safe_load(file)
-    except OSError as fault:
-        raise SettingsError(f"{path}: {fault.strerror}") from None
-    except (yaml.YAMLError, UnicodeDecodeError) as fault:
-        raise SettingsError(f"{path}: not YAML: {' '.join(str(fault).split())}") from None
-    operator: Operator = _convert({} if data is None else data, Operator, path)
-    if operator.quiet is not None:
-        _check_calendar(operator.quiet.calendar, path)
-    return operator
-
-
-def _check_calendar(calendar: str, path: str) -> None:
-    try:
-        from basaltlead.scaling import quiet_times  # libraries that only this needs
-    except ImportError as fault:
-        raise SettingsError(f"{path}: quiet: {fault}: install basaltlead[operators]") from None
-    quiet_times.read(calendar)
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from basaltlead.config.settings import SettingsError, load
+from basaltlead.config.errors import SettingsError
+from basaltlead.config.loader import load
 from basaltlead.operators import client
 from basaltlead.runtime.clock import wall_us
 from basaltlead.wire.peers import DutiesAnswer
--- a/run.py
+++ b/run.py
@@ -1,31 +1,34 @@
-"""Starts basaltlead from a checkout, with its libraries and byte-code under target/."""
+"""Starts basaltlead from a checkout, with its libraries and byte-code under target/.
+
+`run.py --precompile` is the build step; any other arguments are those of the command line.
+"""
 
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent
-# Controllers may write nothing beside /tmp and pay for every millisecond of their start,
-# so the build step compiles everything once and the service only reads.
+# Controllers may write only to /tmp, and pay for every millisecond of their start: the build step
+# compiles everything once, and the service only reads it.
 sys.pycache_prefix = str(ROOT / "target" / "pycache")
 sys.path[0:0] = [str(ROOT), str(ROOT / "target" / "deps")]
 
 
 def precompile() -> int:
-    """Write the byte-code of the package, its libraries and the standard library's part we use."""
+    """Write the byte-code of the package, its libraries, and the part of the standard library that
+    a controller uses; the exit status."""
     import compileall
+    from importlib import import_module
 
-    # The build's environment may forbid byte-code: each start would then compile the standard
-    # library's part anew, which took half a second of a controller's third of a core.
+    # The build's environment may forbid byte-code. Each start would then compile that part of the
+    # standard library anew, which took half a second of a controller's third of a core.
     sys.dont_write_bytecode = False
     done = True
     for folder in (ROOT / "basaltlead", ROOT / "target" / "deps"):
         done = compileall.compile_dir(folder, quiet=2) and done
-    import asyncio  # noqa: F401  (imported for its byte-code, which lands under the prefix)
-
-    from basaltlead import (
-        controller,  # noqa: F401
-    )
-
+    # An import writes the byte-code of a module, and of all that it imports, under the prefix:
+    # these are what `serve` imports.
+    for module in ("basaltlead.cli", "basaltlead.config.loader", "basaltlead.controller"):
+        import_module(module)
     return 0 if done else 1
 
 
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -67,9 +67,10 @@
             self.boot(name)
 
     def settings(self, name: str) -> Any:
-        from basaltlead.config.settings import Settings, _convert
+        from basaltlead.config.loader import convert
+        from basaltlead.config.settings import Settings
 
-        return _convert(self.settings_file(name), Settings, "test")
+        return convert(self.settings_file(name), Settings, "test")
 
     def settings_file(self, name: str) -> dict[str, Any]:
         """What the platform tells a controller."""
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -12,7 +12,7 @@
 import pytest
 
 from basaltlead import cli
-from basaltlead.config.settings import SettingsError
+from basaltlead.config.errors import SettingsError
 from basaltlead.core.entities import US
 from basaltlead.duties.history import PAGES, HistoryPage, event
 from basaltlead.duties.model import Duty
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -299,8 +299,8 @@
 def test_the_lower_of_both_limits_holds_from_the_start(
     text: str, wanted: StoreLimits, tmp_path: Path
 ) -> None:
-    from basaltlead.config import settings
+    from basaltlead.config import loader
 
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace("{next}", text))
-    assert settings.load(str(path)).store_limits == wanted
+    assert loader.load(str(path)).store_limits == wanted
