--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -15,7 +15,7 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.jobs import MachineType
 from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
-from basaltlead.net.http import Request, Response
+from basaltlead.net.http.messages import Request, Response
 from basaltlead.net.limiter import Limiter
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import LogRateLimiter, log
--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -8,7 +8,7 @@
 from basaltlead.cluster.membership import Membership
 from basaltlead.cluster.peer_link import MessageReader
 from basaltlead.config.settings import Settings
-from basaltlead.net.http import listen
+from basaltlead.net.http.server import listen
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
     Answer,
@@ -69,7 +69,7 @@
             request.name, request.incarnation, request.span_us
         )
         return FailoverDeferral(
-            request.seq,
+            request.sequence,
             self.membership.name,
             request.incarnation,
             span_us,
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -23,7 +23,7 @@
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
 from basaltlead.duties.reports import DutyReports
-from basaltlead.net.http import Server
+from basaltlead.net.http.server import Server
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.runtime.tasks import BackgroundTasks
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -3,7 +3,7 @@
 from basaltlead.clients.codec import encode
 from basaltlead.core.commands import TaskCommand
 from basaltlead.core.entities import Machine
-from basaltlead.net.http import Response
+from basaltlead.net.http.messages import Response
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.context import ShardContext
 from basaltlead.shard.dispatcher import WorkerDispatcher, to_worker_command
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -11,7 +11,7 @@
 from basaltlead.core.teams import TeamQuota
 from basaltlead.core.timing import Timing
 from basaltlead.errors import ServiceError
-from basaltlead.net.http import Response
+from basaltlead.net.http.messages import Response
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from basaltlead.net.http import Response
+from basaltlead.net.http.messages import Response
 from basaltlead.runtime.logs import log
 from tests.fakes import World
 from tests.simulation import Loop, play
