--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -27,7 +27,8 @@
         from basaltlead.operators import commands
 
         return commands.run(options)
-    from basaltlead.config.settings import SettingsError, load
+    from basaltlead.config.settings import load
+    from basaltlead.errors import SettingsError
 
     try:
         settings = load(options.config, options.operator)
--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -32,6 +32,10 @@
         """From now on take this part of the cloud's rate."""
         self.budget = Budget(max(0.2, rps * 0.85), burst=max(1.0, rps * 1.5))
 
+    def reset_unanswered(self) -> None:
+        """Measure anew for how long the cloud has not answered."""
+        self.unanswered_since = 0
+
     async def _call(
         self, method: str, path: str, body: bytes = b"", still: Callable[[], bool] = lambda: True
     ) -> bytes:
--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -10,6 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from basaltlead.errors import SettingsError
 from basaltlead.storage.limits import StoreLimits
 
 US = 1_000_000
@@ -21,10 +22,6 @@
 Count = Annotated[int, Meta(ge=1, lt=1_000_000)]
 
 
-class SettingsError(Exception):
-    """A settings file that can't be used; the text names the field."""
-
-
 class Peer(Struct):
     """Another controller."""
 
@@ -249,7 +246,7 @@
 
 def _check_calendar(calendar: str, path: str) -> None:
     try:
-        from basaltlead.scaling import quiet_times  # libraries that only this needs
+        from basaltlead.scaling import quiet_calendar  # libraries that only this needs
     except ImportError as fault:
         raise SettingsError(f"{path}: quiet: {fault}: install basaltlead[operators]") from None
-    quiet_times.read(calendar)
+    quiet_calendar.read_calendar(calendar)
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -20,6 +20,7 @@
 from basaltlead.core.entities import US, MachineType
 from basaltlead.core.fleet_sizing import OfferBook
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.duties.holder import DutyServices
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
 from basaltlead.duties.reports import DutyReports
@@ -95,7 +96,11 @@
         self.user_api.cancelled = self._cancelled
         self.machine_types: dict[str, MachineType] = self.user_api.machine_types
         self.shard_leaders: dict[int, ShardLeader] = {}
-        self.duties = HeldDuties(settings, self.membership, self.store, self.cloud, spread)
+        self.quiet_times = quiet_times_of(settings)
+        self.duties = HeldDuties(
+            DutyServices(settings, self.membership, self.store, self.cloud, self.quiet_times),
+            spread,
+        )
         self.types = MachineTypeCatalog(
             self.cloud,
             self.store,
@@ -104,8 +109,6 @@
             lambda: bool(self.shard_leaders),
         )
         self.offer_book = OfferBook()
-        self.quiet_times = quiet_times_of(settings)
-        self.duties.quiet_times = self.quiet_times
         self.log_limiter = LogRateLimiter()
         self.server: Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
@@ -338,9 +341,9 @@
     """The operators' calendar, if there is one: only then its libraries are needed."""
     if settings.operator.quiet is None:
         return None
-    from basaltlead.scaling.quiet_times import QuietTimes
+    from basaltlead.scaling.quiet_calendar import QuietCalendar
 
-    return QuietTimes(settings.operator.quiet.calendar)
+    return QuietCalendar(settings.operator.quiet.calendar)
 
 
 def most_bids(value_bytes: int) -> int:
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -1,52 +1,58 @@
-"""The holder of one duty: it lives from the grant of the duty until that is lost."""
+"""The holder of one duty: it lives from the grant of the duty until that grant is lost."""
 
-from typing import TYPE_CHECKING
+from abc import ABC, abstractmethod
+
+from msgspec import Struct
 
 from basaltlead.clients.base import Backoff
 from basaltlead.clients.cloud import Cloud
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
 from basaltlead.core.cluster_view import Grant
-from basaltlead.duties.history import History, event
+from basaltlead.duties.history import Action, Event, History
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.logs import log
 from basaltlead.runtime.tasks import BackgroundTasks
+from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Precondition
 
-if TYPE_CHECKING:
-    from basaltlead.scaling.quiet_times import QuietTimes
 
+class DutyServices(Struct, frozen=True):
+    """What the duties work with, shared by all holders of a process."""
+
+    settings: Settings
+    membership: Membership
+    store: KeyValueStore
+    cloud: Cloud
+    quiet_times: QuietTimes | None  # None: the operators have set no calendar
 
-class DutyHolder:
-    """What all duties have in common. A new grant means a new holder."""
+
+class DutyHolder(ABC):
+    """What all duties have in common. A new grant of a duty gets a new holder."""
 
     duty: Duty
 
-    def __init__(
-        self,
-        settings: Settings,
-        membership: Membership,
-        store: KeyValueStore,
-        cloud: Cloud,
-        grant: Grant,
-        version: int,
-    ) -> None:
-        self.settings = settings
-        self.membership = membership
-        self.store = store
-        self.cloud = cloud
+    def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
+        """Act under this grant, whose key has this version."""
+        self.settings = services.settings
+        self.membership = services.membership
+        self.store = services.store
+        self.cloud = services.cloud
+        self.quiet_times = services.quiet_times
         self.grant = grant
         self.version = version
-        self.quiet_times: QuietTimes | None = None
         self.stepped_down = False  # we have stopped acting, for good
         self.background = BackgroundTasks(self.step_down)
-        self.history = History(store, self, self.duty, membership.name, grant.fencing_token)
+        self.history = History(
+            self.store, self, self.duty, self.membership.name, grant.fencing_token
+        )
 
     @property
     def holds_valid_lease(self) -> bool:
-        """The session lease and the grant are provably valid, and every member knows duties."""
+        """Whether the session lease and the grant are provably valid, and every member of the
+        cluster knows that duties are granted. To be checked at the moment of sending."""
         return (
             self.membership.holds_valid_lease
             and not self.stepped_down
@@ -55,34 +61,45 @@
         )
 
     def preconditions(self) -> list[Precondition]:
-        """What every write of the holder is guarded on."""
+        """The preconditions of each write of the holder: our member key and the duty's key are
+        unchanged. The store refuses late writes by them, whatever our clock says of the lease."""
         return [self.membership.precondition(), Precondition(self.duty.key, self.version)]
 
     def step_down(self) -> None:
-        """Stop acting: the duty is handed back for another controller to take."""
+        """Stop acting; the duty is then released, for another controller to acquire."""
         self.stepped_down = True
         self.membership.wake.set()
 
     def start(self) -> None:
+        """Start the duty's background tasks."""
         self.background.spawn(self._begin(), f"loop {self.duty}")
 
     def stop(self) -> None:
+        """Stop acting and cancel the background tasks."""
         self.stepped_down = True
         self.background.cancel()
 
     async def _begin(self) -> None:
+        await self._record_acquisition()
+        log.info("duty %s acquired with fencing token %d", self.duty, self.grant.fencing_token)
+        await self.run()
+
+    async def _record_acquisition(self) -> None:
         backoff = Backoff(100_000, 1_000_000, self.membership.chance)
         while True:
             try:
                 await self.history.load()
-                await self.history.commit([], [], event("taken up"))
-                break
+                await self.history.commit([], [], Event.of(Action.ACQUIRED))
             except ServiceError as fault:
-                log.info("taking up duty %s: %s", self.duty, fault)
+                log.info(
+                    "duty %s: its acquisition is not recorded, will be retried: %s",
+                    self.duty,
+                    fault,
+                )
                 await backoff.rest()
-        log.info("duty %s taken up with fencing token %d", self.duty, self.grant.fencing_token)
-        await self.run()
+            else:
+                return
 
+    @abstractmethod
     async def run(self) -> None:
-        """The duty itself."""
-        raise NotImplementedError
+        """Do the duty's work until cancelled."""
--- a/basaltlead/duties/machine_deletion.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -1,44 +1,56 @@
-"""Deleting machines in the cloud, so that one that it refuses holds up no other."""
+"""Deleting machines in the cloud, so that one whose deletion is rejected holds up no other."""
+
+from typing import NamedTuple
 
 from basaltlead.clients.cloud import Cloud
+from basaltlead.core.entities import US
 from basaltlead.duties.model import GrantHolder
 from basaltlead.errors import RequestRejected
 from basaltlead.runtime.logs import log
 
-MOST_NAMES = 100  # the cloud deletes that many at once
-REFUSED_PAUSE_US = 60_000_000  # before a machine that the cloud won't delete is tried again
+MOST_NAMES = 100  # machines that the cloud deletes in one call
+REJECTED_PAUSE_US = 60 * US  # before a deletion that the cloud has rejected is sent once more
+
+
+class RejectedDeletion(NamedTuple):
+    """A machine that the cloud does not delete for now."""
+
+    retry_at: int  # on the steady clock, in microseconds
+    reason: str
 
 
 class MachineDeletion:
-    """Sends deletions under a grant. Deleting twice does nothing the second time."""
+    """Sends deletions under a grant. Deleting a machine twice does nothing the second time, as
+    names of machines are never given out again."""
 
     def __init__(self, cloud: Cloud, holder: GrantHolder) -> None:
         self.cloud = cloud
         self.holder = holder
-        self.refused: dict[str, tuple[int, str]] = {}  # when tried again, and the cloud's reason
+        self.rejected: dict[str, RejectedDeletion] = {}  # by machine
 
     def _holds_valid_lease(self) -> bool:
         return self.holder.holds_valid_lease
 
     def due(self, names: list[str], now: int) -> list[str]:
-        """Those that may be sent now."""
-        return [name for name in names if now >= self.refused.get(name, (0, ""))[0]]
+        """Those of these machines whose deletion may be sent now."""
+        rejected = self.rejected
+        return [name for name in names if name not in rejected or now >= rejected[name].retry_at]
 
     async def delete(self, names: list[str], now: int) -> list[str]:
-        """Try to delete these once; those that are gone. Raises what the cloud's trouble raises.
+        """Try once to delete these machines; those that are deleted. Raises ServiceError.
 
-        A batch that the cloud refuses for good is halved until the names that it refuses stand
-        alone."""
+        A batch that the cloud rejects is halved until the machines that it rejects stand alone.
+        """
         try:
             await self.cloud.delete(names, self._holds_valid_lease)
         except RequestRejected as fault:
             if len(names) > 1:
                 middle = len(names) // 2
-                gone = await self.delete(names[:middle], now)
-                return gone + await self.delete(names[middle:], now)
-            log.error("machine %s can't be deleted: %s", names[0], fault)
-            self.refused[names[0]] = (now + REFUSED_PAUSE_US, str(fault))
+                deleted = await self.delete(names[:middle], now)
+                return deleted + await self.delete(names[middle:], now)
+            log.error("machine %s: its deletion is rejected by the cloud: %s", names[0], fault)
+            self.rejected[names[0]] = RejectedDeletion(now + REJECTED_PAUSE_US, str(fault))
             return []
         for name in names:
-            self.refused.pop(name, None)
+            self.rejected.pop(name, None)
         return names
--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -21,22 +21,23 @@
 from basaltlead.wire.cloud import RentRequest
 from basaltlead.wire.store import Drop, Precondition, Put
 
-IDLE_PAUSE_S = 0.5  # between two looks whether the grant is valid again
-REFUSED_PAUSE_S = 60.0  # before a request that the cloud refuses for good is sent once more
+LEASE_CHECK_PAUSE_S = 0.5  # between two checks whether the lease is valid again
+REJECTED_PAUSE_S = 60.0  # before a request that the cloud has rejected is sent once more
 MOST_REASON = 80  # characters of the cloud's reason that are recorded
-MOST_TRIES = 8  # to record how a request ended
+MOST_RECORDING_ATTEMPTS = 8
 
-# Writes changes under guards; a duty's holder adds the page of its history.
+# Makes changes under preconditions; a duty's holder adds an event to its history.
 Commit = Callable[[list[Precondition], Sequence[Put | Drop]], Awaitable[None]]
-# Called with the cloud's text when it refuses a request for good.
-OnRefused = Callable[[str], Awaitable[None]]
+# Called with the cloud's text when it rejects a request.
+OnRejected = Callable[[str], Awaitable[None]]
 
 
 class MachineRental:
-    """Sends recorded requests to the cloud, and records how they ended.
+    """Sends recorded requests to the cloud, and records their outcome.
 
-    A request is sent under its recorded name only, so one that was sent twice, late, or by a
-    holder that has been replaced, rents nothing beyond what was recorded.
+    A request is sent under its recorded name only, and the cloud rents once under a name. So a
+    request that is sent twice, late, or by a holder that has been replaced rents nothing beyond
+    what was recorded.
     """
 
     def __init__(
@@ -50,52 +51,66 @@
     def _holds_valid_lease(self) -> bool:
         return self.holder.holds_valid_lease
 
-    async def ask(self, name: str, stored: StoredScaleOut, refused: OnRefused) -> list[str] | None:
-        """See a request through to the cloud's answer: the machines, or None if there are none to
-        be had."""
+    async def ask(
+        self, name: str, stored: StoredScaleOut, on_rejected: OnRejected
+    ) -> list[str] | None:
+        """Send a request until the cloud has carried it out; the names of the machines, or None if
+        there is no capacity. Nothing is sent while the lease is not valid."""
         backoff = Backoff(200_000, 4_000_000, self.chance)
         request = RentRequest(name, stored.type_name, stored.zone, stored.spot, stored.number)
         while True:
             if not self.holder.holds_valid_lease:
-                await asyncio.sleep(IDLE_PAUSE_S)
+                await asyncio.sleep(LEASE_CHECK_PAUSE_S)
                 continue
             try:
                 names = await self.cloud.rent(request, self._holds_valid_lease)
             except NoCapacity:
                 spot = " (spot)" if stored.spot else ""
-                log.info("no capacity: %s in %s%s", stored.type_name, stored.zone, spot)
+                log.info(
+                    "rental request %s: no capacity: %s in %s%s",
+                    name,
+                    stored.type_name,
+                    stored.zone,
+                    spot,
+                )
                 return None
             except RequestRejected as fault:
-                log.error("hire %s is refused: %s", name, fault)
-                await refused(str(fault))
-                await asyncio.sleep(REFUSED_PAUSE_S)
+                log.error("rental request %s is rejected by the cloud: %s", name, fault)
+                await on_rejected(str(fault))
+                await asyncio.sleep(REJECTED_PAUSE_S)
             except (RequestFailed, Unavailable) as fault:
-                log.info("hire %s: %s", name, fault)
+                log.info("rental request %s: no result, will be retried: %s", name, fault)
                 await backoff.rest()
             else:
-                log.info("hired %s: %s", name, ", ".join(names))
+                log.info("rental request %s: rented %s", name, ", ".join(names))
                 return names
 
     async def settle(
         self, name: str, stored: StoredScaleOut | None, version: int, commit: Commit | None = None
     ) -> None:
-        """Record how a request ended. Guarded on its record as it was before: a try that goes
-        unanswered must not bring the record back once it has been dropped."""
+        """Record the outcome of a request whose record has this version: `stored` with the names
+        of the machines, or None, which drops the record. Raises PreconditionFailed if the grant is
+        lost.
+
+        The write has the record's version as a precondition: a late copy of an attempt that was
+        not answered must not bring the record back once it has been dropped.
+        """
         key = SCALE_OUT + name
         change: Put | Drop = Drop(key) if stored is None else Put(key, stored)
         backoff = Backoff(200_000, 4_000_000, self.chance)
-        for _ in range(MOST_TRIES):
+        for _ in range(MOST_RECORDING_ATTEMPTS):
             try:
                 await (commit or self._write)([Precondition(key, version)], [change])
-                return
             except PreconditionFailed as conflict:
                 if key not in conflict.failed:
                     raise
-                return  # an earlier try was carried out
+                return  # an earlier attempt was carried out
             except TransactionTooLarge:
-                return  # without the names, the next holder asks for them again
+                return  # without the names, the next holder sends the request again
             except (RequestFailed, Unavailable):
                 await backoff.rest()
+            else:
+                return
 
     async def _write(
         self, preconditions: list[Precondition], changes: Sequence[Put | Drop]
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -1,14 +1,15 @@
-"""The duty of reclaiming: machines that are rented, and that nobody knows or can use."""
+"""The duty of reclaiming: machines that are rented and stand in no record, or are of no use."""
 
 import asyncio
+from enum import StrEnum
 
 import msgspec
 
-from basaltlead.core.cluster_view import member_key, shard_key
+from basaltlead.core.cluster_view import Grant, member_key, shard_key
 from basaltlead.core.entities import US
 from basaltlead.core.fleet_sizing import Offer
-from basaltlead.duties.history import Event, event
-from basaltlead.duties.holder import DutyHolder
+from basaltlead.duties.history import Action, Event
+from basaltlead.duties.holder import DutyHolder, DutyServices
 from basaltlead.duties.machine_deletion import MOST_NAMES
 from basaltlead.duties.model import Duty
 from basaltlead.duties.unknown_machines import FAILED, UnknownMachines, patience_us
@@ -27,18 +28,25 @@
 from basaltlead.wire.store import Precondition, Put, Row
 
 LEAST_PAUSE_S = 4.0  # between two lists
-ADOPTED = "a-"  # names of the records under which abandoned machines are adopted begin so
-REFRESH_US = 60 * US  # for how long a machine that was known counts as known
+ADOPTED_PREFIX = "a-"  # of the names of records under which machines are adopted
+RECORDS_VALID_US = 60 * US  # for how long a machine in the records that were read counts as known
 MOST_ADOPTED = 20  # in one pass
-FIRST_SHARD = 0  # takes what is adopted
+FIRST_SHARD = 0  # adopted machines become its machines
 
 
-class Records:
-    """What is recorded of machines, read after the list that it is compared with."""
+class ReturnReason(StrEnum):
+    """Why a machine is returned, as it is stored."""
+
+    FAILED = "failed"
+    NO_OWNER = "no owner"
+
+
+class FleetRecords:
+    """What is recorded of machines, read after the cloud's list that it is compared with."""
 
     def __init__(self, machines: list[Row], scale_outs: list[Row], scale_ins: list[Row]) -> None:
         self.machines = {row.key[len(MACHINE) :]: row for row in machines}
-        self.in_progress: set[Offer] = set()
+        self.in_progress: set[Offer] = set()  # offers of requests without an outcome
         self.rented: set[str] = set()
         self.returned: set[str] = set()
         for row in scale_outs:
@@ -54,77 +62,99 @@
         """Names of all machines that stand in any record."""
         return self.machines.keys() | self.rented | self.returned
 
-    def version_of(self, name: str) -> int:
+    def preconditions(self, names: list[str]) -> list[Precondition]:
+        """That the machines' own records, or the absence of them, are as they were read."""
+        return [Precondition(MACHINE + name, self._version_of(name)) for name in names]
+
+    def _version_of(self, name: str) -> int:
         """The version of a machine's own record; 0: it has none."""
         row = self.machines.get(name)
         return row.version if row is not None else 0
 
 
 class ReclaimDuty(DutyHolder):
-    """Compares the cloud's list with what is recorded."""
+    """Compares the cloud's list of rented machines with the records."""
 
     duty = Duty.RECLAIM
 
+    def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
+        super().__init__(services, grant, version)
+        list_lag_s = self.settings.facts.cloud.list_lag_s
+        self.pause_s = max(LEAST_PAUSE_S, list_lag_s)
+        self.unknown_machines = UnknownMachines(patience_us(list_lag_s))
+        self.known: set[str] = set()  # machines in the records that were read last
+        self.records_read_at = -RECORDS_VALID_US
+        self.sequence = 0  # of the returns that are recorded under this grant
+
     async def run(self) -> None:
-        lag_s = self.settings.facts.cloud.list_lag_s
-        self.has_unaccounted_tasks = UnknownMachines(patience_us(lag_s))
-        self.known: set[str] = set()  # as of the last time that the records were read
-        self.read_at = -REFRESH_US
-        self.sequence = 0
-        pause = max(LEAST_PAUSE_S, lag_s)
+        """Compare in regular passes until cancelled."""
         while True:
-            await asyncio.sleep(pause)
+            await asyncio.sleep(self.pause_s)
             if not self.holds_valid_lease:
                 continue
             try:
                 await self._compare()
             except ServiceError as fault:
-                log.info("reclaiming: %s", fault)
+                log.info("reclaiming machines: no result, will be retried: %s", fault)
 
     async def _compare(self) -> None:
-        asked = now_us()
+        listed_at = now_us()
         rented = await self.cloud.machines()
-        strange = any(one.name not in self.known or one.stage == FAILED for one in rented)
-        if not strange and asked - self.read_at < REFRESH_US:
+        all_known = all(
+            machine.name in self.known and machine.stage != FAILED for machine in rented
+        )
+        if all_known and listed_at - self.records_read_at < RECORDS_VALID_US:
             return
-        records = await self._read()
-        self.read_at = asked
+        # A request that could have brought a listed machine was recorded before the machine was
+        # listed. So the records are read after the list.
+        records = await self._read_records()
+        self.records_read_at = listed_at
         self.known = records.known
-        self.has_unaccounted_tasks.listed(rented, self.known, asked)
-        for one in self.has_unaccounted_tasks.abandoned(rented, records.in_progress, asked)[
-            :MOST_ADOPTED
-        ]:
-            await self._adopt(one)
-        failed = [one.name for one in rented if one.stage == FAILED]
-        await self._return(records, [n for n in failed if n not in records.returned], "failed")
+        self.unknown_machines.update(rented, self.known, listed_at)
+        abandoned = self.unknown_machines.abandoned(rented, records.in_progress, listed_at)
+        for machine in abandoned[:MOST_ADOPTED]:
+            await self._adopt(machine)
+        await self._return_failed(records, rented)
         await self._return_ownerless(records)
 
-    async def _read(self) -> Records:
+    async def _read_records(self) -> FleetRecords:
         machines, _ = await self.store.rows(MACHINE)
         scale_outs, _ = await self.store.rows(SCALE_OUT)
         scale_ins, _ = await self.store.rows(SCALE_IN)
-        return Records(machines, scale_outs, scale_ins)
-
-    async def _adopt(self, one: RentedMachine) -> None:
-        """Give it to the first shard, as if it had asked for it. One guarded write decides who
-        has it: a shard that has met the machine meanwhile has recorded it, and then this fails."""
-        name = ADOPTED + one.name
-        made_at = wall_us() - int(one.age_s * US)
-        stored = StoredScaleOut(one.type, one.zone, one.spot, 1, made_at, [one.name], FIRST_SHARD)
-        preconditions = [Precondition(SCALE_OUT + name, 0), Precondition(MACHINE + one.name, 0)]
-        history_event = event("adopted", name, made_at, [one.name])
-        await self._try(preconditions, Put(SCALE_OUT + name, stored), history_event)
-
-    async def _return(self, records: Records, names: list[str], why: str) -> None:
-        """Record that machines are to be returned that can run nothing any more."""
+        return FleetRecords(machines, scale_outs, scale_ins)
+
+    async def _adopt(self, machine: RentedMachine) -> None:
+        """Record the machine as if the first shard had requested it.
+
+        The preconditions decide who gets it: a shard that has heard from the machine meanwhile
+        has recorded it, and then this write fails.
+        """
+        name = ADOPTED_PREFIX + machine.name
+        rented_at = wall_us() - int(machine.age_s * US)
+        stored = StoredScaleOut(
+            machine.type, machine.zone, machine.spot, 1, rented_at, [machine.name], FIRST_SHARD
+        )
+        await self._commit_if_unchanged(
+            [Precondition(SCALE_OUT + name, 0), Precondition(MACHINE + machine.name, 0)],
+            Put(SCALE_OUT + name, stored),
+            Event.of(Action.ADOPTED, name, rented_at, [machine.name]),
+        )
+
+    async def _return_failed(self, records: FleetRecords, rented: list[RentedMachine]) -> None:
+        """Record that the machines that have stopped by themselves are to be returned."""
+        failed = [
+            machine.name
+            for machine in rented
+            if machine.stage == FAILED and machine.name not in records.returned
+        ]
         most = min(MOST_NAMES, self.store.limits.preconditions // 2)
-        for low in range(0, len(names), most):
-            some = names[low : low + most]
-            preconditions = [Precondition(MACHINE + n, records.version_of(n)) for n in some]
-            await self._record(some, why, preconditions)
+        for low in range(0, len(failed), most):
+            batch = failed[low : low + most]
+            await self._record_return(batch, ReturnReason.FAILED, records.preconditions(batch))
 
-    async def _return_ownerless(self, records: Records) -> None:
-        """Machines of shards that are not granted any more, since there are fewer shards now."""
+    async def _return_ownerless(self, records: FleetRecords) -> None:
+        """Record that machines of shards that are not granted any more are to be returned: the
+        operators have set fewer shards than there were."""
         ownerless: dict[int, list[str]] = {}
         for name, row in records.machines.items():
             shard = msgspec.json.decode(row.value, type=StoredMachine).shard
@@ -138,28 +168,33 @@
                     continue  # its last shard leader may still act
                 version = self.membership.cluster.member_version(held[0].name)
                 preconditions.append(Precondition(member_key(held[0].name), version))
-            some = names[: self.store.limits.preconditions // 2]
-            preconditions += [Precondition(MACHINE + n, records.version_of(n)) for n in some]
-            await self._record(some, "no owner", preconditions)
+            batch = names[: self.store.limits.preconditions // 2]
+            preconditions += records.preconditions(batch)
+            await self._record_return(batch, ReturnReason.NO_OWNER, preconditions)
 
-    async def _record(self, names: list[str], why: str, preconditions: list[Precondition]) -> None:
+    async def _record_return(
+        self, names: list[str], why: ReturnReason, preconditions: list[Precondition]
+    ) -> None:
         self.sequence += 1
         token = self.grant.fencing_token
         name = f"{token}-{self.sequence}"
         stored = StoredScaleIn(names, token, wall_us(), why)
-        history_event = event("to be returned", name, stored.at, names)
-        await self._try(
+        await self._commit_if_unchanged(
             [*preconditions, Precondition(SCALE_IN + name, 0)],
             Put(SCALE_IN + name, stored),
-            history_event,
+            Event.of(Action.TO_BE_RETURNED, name, stored.at, names),
         )
 
-    async def _try(self, preconditions: list[Precondition], put: Put, history_event: Event) -> None:
-        """One of several decisions: if what it is about has changed, the next list tells."""
+    async def _commit_if_unchanged(
+        self, preconditions: list[Precondition], put: Put, event: Event
+    ) -> None:
+        """Record one of several independent decisions. Should it fail, the others are recorded all
+        the same, and the next pass decides anew on what is true then."""
         try:
-            await self.history.commit(preconditions, [put], history_event, low_priority=True)
-            log.info("%s %s: %s", history_event.action, put.key, ", ".join(history_event.names))
+            await self.history.commit(preconditions, [put], event, low_priority=True)
         except PreconditionFailed as conflict:
-            log.debug("reclaiming %s: %s changed", put.key, conflict)
+            log.debug("reclaiming machines: %s not recorded, changed: %s", put.key, conflict)
         except (RequestFailed, Unavailable) as fault:
-            log.info("reclaiming %s: %s", put.key, fault)
+            log.info("reclaiming machines: %s not recorded: %s", put.key, fault)
+        else:
+            log.info("%s %s: %s", event.action, put.key, ", ".join(event.names))
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -1,5 +1,8 @@
-"""What a controller tells operators of the duties. It reads the key-value store for each answer, so
-every controller gives the same one, or says that it does not know."""
+"""What a controller answers operators about the duties.
+
+It reads the key-value store for each answer, so every controller gives the same one, or says that
+it does not know.
+"""
 
 from collections.abc import Iterable
 
@@ -34,41 +37,43 @@
         self.membership = membership
 
     async def answer(self, question: Question) -> Answer:
-        """The answer to any question."""
-        blank = DutiesAnswer if isinstance(question, DutiesQuestion) else HistoryAnswer
+        """The answer to a question; if the store does not answer us, one that says so."""
+        answer_type = DutiesAnswer if isinstance(question, DutiesQuestion) else HistoryAnswer
         if self.membership.cut_off:
-            return blank("the state service does not answer")
+            return answer_type("the state service does not answer")
         try:
             if isinstance(question, DutiesQuestion):
                 return await self._duties()
-            return await self._page(question.after)
+            return await self._history_page(question.after)
         except ServiceError as fault:
-            return blank(str(fault))
+            return answer_type(str(fault))
 
     async def _duties(self) -> DutiesAnswer:
         cluster = ClusterView()
-        for row in (await self.store.rows(PREFIX))[0]:
+        rows, _ = await self.store.rows(PREFIX)
+        for row in rows:
             cluster.put(row.key, row.value, row.version)
         scale_outs, _ = await self.store.rows(SCALE_OUT)
         scale_ins, _ = await self.store.rows(SCALE_IN)
         intents = sorted(
-            [*_open_scale_outs(scale_outs), *_open_scale_ins(scale_ins)], key=lambda one: one.since
+            [*_open_scale_outs(scale_outs), *_open_scale_ins(scale_ins)],
+            key=lambda intent: intent.since,
         )
         return DutiesAnswer(
             granted=duties_allowed(cluster),
-            duties=[_held(cluster, duty) for duty in Duty],
+            duties=[_held_duty(cluster, duty) for duty in Duty],
             intents=intents[:MOST_INTENTS],
             open_count=len(intents),
         )
 
-    async def _page(self, after: str) -> HistoryAnswer:
+    async def _history_page(self, after: str) -> HistoryAnswer:
         page = await self.store.page(HISTORY, since=after, most=1)
         if not page.rows:
             return HistoryAnswer()
         return HistoryAnswer(key=page.rows[0].key, page=page.rows[0].value)
 
 
-def _held(cluster: ClusterView, duty: Duty) -> HeldDuty:
+def _held_duty(cluster: ClusterView, duty: Duty) -> HeldDuty:
     held = cluster.grants.get(duty.key)
     if held is None:
         return HeldDuty(duty, "", 0, 0)
@@ -83,15 +88,15 @@
 def _open_scale_outs(rows: Iterable[Row]) -> Iterable[OpenIntent]:
     for row in rows:
         scale_out = msgspec.json.decode(row.value, type=StoredScaleOut)
-        if scale_out.names is None:
-            refused = scale_out.refused if isinstance(scale_out.refused, str) else ""
-            yield OpenIntent(
-                "rent", row.key[len(SCALE_OUT) :], scale_out.number, scale_out.at, refused
-            )
+        if scale_out.names is not None:
+            continue
+        name = row.key[len(SCALE_OUT) :]
+        refused = scale_out.refused if isinstance(scale_out.refused, str) else ""
+        yield OpenIntent(Duty.RENT, name, scale_out.number, scale_out.at, refused)
 
 
 def _open_scale_ins(rows: Iterable[Row]) -> Iterable[OpenIntent]:
     for row in rows:
-        one = msgspec.json.decode(row.value, type=StoredScaleIn)
+        scale_in = msgspec.json.decode(row.value, type=StoredScaleIn)
         name = row.key[len(SCALE_IN) :]
-        yield OpenIntent("return", name, len(one.names), one.at, one.refused)
+        yield OpenIntent(Duty.RETURN, name, len(scale_in.names), scale_in.at, scale_in.refused)
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -6,8 +6,9 @@
 from msgspec import Struct
 
 from basaltlead.clients.base import Backoff
-from basaltlead.duties.history import event
-from basaltlead.duties.holder import DutyHolder
+from basaltlead.core.cluster_view import Grant
+from basaltlead.duties.history import Action, Event
+from basaltlead.duties.holder import DutyHolder, DutyServices
 from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
@@ -18,113 +19,126 @@
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Drop, Precondition, Put
 
-PAUSE_S = 0.5  # between two looks, should nothing have changed
+PASS_INTERVAL_S = 0.5  # between two passes over the open returns, if none is added
+RETRY_PAUSE_S = 0.2  # after the outcome of a return could not be recorded
+MOST_REASON = 200  # characters of the cloud's reason that are recorded
 
 
 class OpenReturn(Struct):
-    """A recorded return, and the machines of it that are still to be deleted."""
+    """A recorded return, and those of its machines that are not deleted so far."""
 
     stored: StoredScaleIn
-    version: int
-    left: list[str]
+    version: int  # of its record
+    undeleted: list[str]
 
 
 class ReturnDuty(DutyHolder):
-    """Follows the recorded returns, and carries out each that is open. No other machine is ever
-    named to the cloud."""
+    """Follows the recorded returns, and carries out each. It deletes no other machines."""
 
     duty = Duty.RETURN
 
-    async def run(self) -> None:
-        self.returning = MachineDeletion(self.cloud, self)
-        self.open: dict[str, OpenReturn] = {}
+    def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
+        super().__init__(services, grant, version)
+        self.machine_deletion = MachineDeletion(self.cloud, self)
+        self.returns: dict[str, OpenReturn] = {}  # by key
         self.wake = asyncio.Event()
-        self.background.spawn(self._delete_recorded(), "loop return")
+
+    async def run(self) -> None:
+        """Follow the recorded returns, and carry them out, until cancelled."""
+        self.background.spawn(self._carry_out(), "loop return machines")
         await follow_rows(self.store, SCALE_IN, self.membership.watch_ms, self._put, self._drop)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
-        known = self.open.get(key)
+        known = self.returns.get(key)
         if known is not None:
             known.version = max(known.version, version)
             return
         stored = msgspec.json.decode(raw, type=StoredScaleIn)
-        self.open[key] = OpenReturn(stored, version, list(stored.names))
+        self.returns[key] = OpenReturn(stored, version, list(stored.names))
         self.wake.set()
 
     def _drop(self, key: str) -> None:
-        self.open.pop(key, None)
+        self.returns.pop(key, None)
 
-    async def _delete_recorded(self) -> None:
+    async def _carry_out(self) -> None:
         backoff = Backoff(500_000, 4_000_000, self.membership.chance)
         while True:
-            await wait_for_event(self.wake, PAUSE_S)
+            await wait_for_event(self.wake, PASS_INTERVAL_S)
             if not self.holds_valid_lease:
                 continue
             try:
-                await self._delete_some()
-                backoff.reset()
+                await self._delete_batch()
             except ServiceError as fault:
-                log.info("deleting machines: %s", fault)
+                log.info("deleting machines: no result, will be retried: %s", fault)
                 await backoff.rest()
                 continue
-            for key in [key for key, one in self.open.items() if not one.left]:
-                await self._settle(key)
-            await self._note_refusals()
+            backoff.reset()
+            for key in [key for key, found in self.returns.items() if not found.undeleted]:
+                await self._record_outcome(key)
+            await self._record_rejections()
 
-    async def _delete_some(self) -> None:
-        """Send as many machines as one call takes, of several returns together."""
+    async def _delete_batch(self) -> None:
+        """Delete as many machines as one call takes, of several returns together."""
         now = now_us()
-        left = [name for one in self.open.values() for name in one.left]
-        names = list(dict.fromkeys(self.returning.due(left, now)))[:MOST_NAMES]
-        if not names:
+        undeleted = [name for found in self.returns.values() for name in found.undeleted]
+        batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[:MOST_NAMES]
+        if not batch:
             return
-        gone = set(await self.returning.delete(names, now))
-        for one in self.open.values():
-            one.left = [name for name in one.left if name not in gone]
-        if len(left) > len(names):
+        deleted = set(await self.machine_deletion.delete(batch, now))
+        for found in self.returns.values():
+            found.undeleted = [name for name in found.undeleted if name not in deleted]
+        if len(undeleted) > len(batch):
             self.wake.set()
 
-    async def _settle(self, key: str) -> None:
-        """Drop the records of the machines, then that of their return: whoever finds the return
-        standing deletes the machines once more, which does nothing, and goes on from there."""
-        one = self.open.get(key)
-        if one is None:
+    async def _record_outcome(self, key: str) -> None:
+        """Drop the records of the machines, then that of their return.
+
+        If this is interrupted, the next holder finds the return, deletes the machines once more,
+        which does nothing, and drops the remaining records.
+        """
+        found = self.returns.get(key)
+        if found is None:
             return
-        precondition = Precondition(key, one.version)
-        records = [MACHINE + name for name in one.stored.names]
-        # With the last of them go the return itself and the page of history.
+        unchanged = Precondition(key, found.version)
+        stored = found.stored
+        records = [MACHINE + name for name in stored.names]
+        # The last batch is dropped together with the return, beside the page of history.
         *batches, last = list(self.store.limits.drops(records, beside=2)) or [[]]
-        history_event = event("returned", key[len(SCALE_IN) :], one.stored.at, one.stored.names)
         try:
-            for some in batches:
-                drops = list(map(Drop, some))
+            for batch in batches:
                 await self.store.compare_and_swap(
-                    [*self.preconditions(), precondition], drops, low_priority=True
+                    [*self.preconditions(), unchanged], list(map(Drop, batch)), low_priority=True
                 )
             await self.history.commit(
-                [precondition], [*map(Drop, last), Drop(key)], history_event, True
+                [unchanged],
+                [*map(Drop, last), Drop(key)],
+                Event.of(Action.RETURNED, key[len(SCALE_IN) :], stored.at, stored.names),
+                low_priority=True,
             )
         except ServiceError as fault:
-            log.info("return %s not settled: %s", key, fault)
-            await asyncio.sleep(0.2)
+            log.info("%s: its outcome is not recorded, will be retried: %s", key, fault)
+            await asyncio.sleep(RETRY_PAUSE_S)
             return
-        self.open.pop(key, None)
-
-    async def _note_refusals(self) -> None:
-        """Show to operators what the cloud refuses to delete."""
-        for key, one in list(self.open.items()):
-            reasons = [
-                self.returning.refused[n][1] for n in one.left if n in self.returning.refused
-            ]
-            if not reasons or one.stored.refused:
+        self.returns.pop(key, None)
+
+    async def _record_rejections(self) -> None:
+        """Show to operators why the cloud does not delete machines of a return."""
+        rejected = self.machine_deletion.rejected
+        for key, found in list(self.returns.items()):
+            reasons = [rejected[name].reason for name in found.undeleted if name in rejected]
+            if not reasons or found.stored.refused:
                 continue
-            noted = msgspec.structs.replace(one.stored, refused=reasons[0][:200])
-            history_event = event("refused", key[len(SCALE_IN) :], one.stored.at, one.left)
+            changed = msgspec.structs.replace(found.stored, refused=reasons[0][:MOST_REASON])
             try:
                 await self.history.commit(
-                    [Precondition(key, one.version)], [Put(key, noted)], history_event, True
+                    [Precondition(key, found.version)],
+                    [Put(key, changed)],
+                    Event.of(
+                        Action.REFUSED, key[len(SCALE_IN) :], found.stored.at, found.undeleted
+                    ),
+                    low_priority=True,
                 )
             except ServiceError as fault:
-                log.info("refusal of %s not recorded: %s", key, fault)
+                log.info("%s: its rejection is not recorded: %s", key, fault)
                 continue
-            one.stored = noted
+            found.stored = changed
--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -11,37 +11,41 @@
 from basaltlead.core.fleet_sizing import Offer
 from basaltlead.wire.cloud import RentedMachine
 
-LAG_TIMES = 2  # a list is up to so many times as old as the settings say
+LAG_FACTOR = 2  # a list is up to so many times as old as the settings say
 MARGIN_US = 2 * US
-FAILED = "failed"  # the stage of a machine that has stopped by itself
+FAILED = "failed"  # the stage of a machine that has stopped by itself, in the cloud's list
 
 
 def patience_us(list_lag_s: float) -> int:
-    """For how long a machine must be listed, and known to nobody, to count as abandoned."""
-    return int(LAG_TIMES * list_lag_s * US) + MARGIN_US
+    """For how long a machine must be listed, and stand in no record, to count as abandoned."""
+    return int(LAG_FACTOR * list_lag_s * US) + MARGIN_US
 
 
 class UnknownMachines:
-    """Machines that were listed and are known to nobody, and since when."""
+    """Machines that are listed and stand in no record, and since when."""
 
     def __init__(self, patience: int) -> None:
+        """Machines count as abandoned after so many microseconds."""
         self.patience = patience
         self.since: dict[str, int] = {}
 
-    def listed(self, machines: Iterable[RentedMachine], known: Collection[str], asked: int) -> None:
-        """Take in a list that was asked for at `asked`, and all that is known as of later."""
-        unknown = {one.name for one in machines if one.name not in known}
-        self.since = {name: self.since.get(name, asked) for name in unknown}
+    def update(
+        self, machines: Iterable[RentedMachine], known: Collection[str], listed_at: int
+    ) -> None:
+        """Take in a list that was requested at `listed_at`, and the names of all machines that
+        stood in any record after that."""
+        unknown = {machine.name for machine in machines if machine.name not in known}
+        self.since = {name: self.since.get(name, listed_at) for name in unknown}
 
     def abandoned(
-        self, machines: Iterable[RentedMachine], in_progress: Collection[Offer], asked: int
+        self, machines: Iterable[RentedMachine], in_progress: Collection[Offer], listed_at: int
     ) -> list[RentedMachine]:
-        """Those that nobody will come for. A request in progress may have brought any machine of
-        its kind."""
+        """Those machines of the list that no shard will ever record. An offer that is requested at
+        the moment may have brought any machine of its type, zone and kind."""
         return [
-            one
-            for one in machines
-            if one.name in self.since
-            and asked - self.since[one.name] > self.patience
-            and Offer(one.type, one.zone, one.spot) not in in_progress
+            machine
+            for machine in machines
+            if machine.name in self.since
+            and listed_at - self.since[machine.name] > self.patience
+            and Offer(machine.type, machine.zone, machine.spot) not in in_progress
         ]
--- a/basaltlead/errors.py
+++ b/basaltlead/errors.py
@@ -1,7 +1,7 @@
-"""What a call to another service may end in, short of an answer.
+"""What a call to another service may end in, short of an answer, and unusable settings.
 
-All of them derive from `ServiceError`. `RequestFailed.sent` tells whether the request may have been
-executed; the others say that it was not.
+Those of calls derive from `ServiceError`. `RequestFailed.sent` tells whether the request may have
+been executed; the others say that it was not.
 """
 
 from collections.abc import Sequence
@@ -44,6 +44,10 @@
         super().__init__(f"too large: {text}", sent=False)
 
 
+class SettingsError(Exception):
+    """Settings, or a file that they name, can't be used; the text names file and field."""
+
+
 class RevisionCompacted(Exception):
     """The changes that a watch asked for are no longer kept: the keys must be listed again."""
 
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -1,12 +1,14 @@
-"""The operators' side: asks a controller, over the connections that controllers have."""
+"""Asks a controller operators' questions, over the connections that controllers have among them."""
 
 import asyncio
 from collections.abc import Iterator
+from functools import partial
 
 import msgspec
 
 from basaltlead.clients.base import encode
-from basaltlead.config.settings import Settings, SettingsError
+from basaltlead.config.settings import Settings
+from basaltlead.errors import SettingsError
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
     Answer,
@@ -18,19 +20,20 @@
     Question,
 )
 
-TIMEOUT_S = 5.0
+TIMEOUT_S = 5.0  # for connecting and the answer together
 
 
 class Unreachable(Exception):
-    """The controller gives no answer."""
+    """The controller can't be reached, or gives no answer in time."""
 
 
 class NotKnown(Exception):
-    """The controller answers that it does not know."""
+    """The controller answers that it does not know, since the store does not answer it."""
 
 
 def address_of(settings: Settings, controller: str | None) -> str:
-    """Where a controller listens for others: the one whose settings these are, or a named one."""
+    """Where a controller listens for other controllers: the one whose settings these are, or the
+    named one. Raises SettingsError if the settings know no such controller."""
     if controller is None or controller == settings.member:
         return settings.internal_addr
     for peer in settings.known:
@@ -39,23 +42,29 @@
     raise SettingsError(f"known: no controller {controller}")
 
 
-async def _ask(address: str, question: Question) -> Answer:
-    answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+def _on_message(answered: asyncio.Future[Answer], _protocol: FrameProtocol, body: bytes) -> None:
+    message = msgspec.json.decode(body, type=Message)
+    if isinstance(message, Answer) and not answered.done():
+        answered.set_result(message)
 
-    def received(protocol: FrameProtocol, body: bytes) -> None:
-        message = msgspec.json.decode(body, type=Message)
-        if isinstance(message, Answer) and not answered.done():
-            answered.set_result(message)
 
-    def lost(protocol: FrameProtocol) -> None:
-        if not answered.done():
-            answered.set_exception(Unreachable("it closed the connection"))
+def _on_connection_lost(answered: asyncio.Future[Answer], _protocol: FrameProtocol) -> None:
+    if not answered.done():
+        answered.set_exception(Unreachable("it closed the connection"))
 
-    host, port = address.rsplit(":", 1)
+
+async def _ask(address: str, question: Question) -> Answer:
+    """Send a question; its answer. Raises Unreachable, OSError and TimeoutError."""
     loop = asyncio.get_running_loop()
+    answered: asyncio.Future[Answer] = loop.create_future()
+    host, port = address.rsplit(":", 1)
     async with asyncio.timeout(TIMEOUT_S):
         _, protocol = await loop.create_connection(
-            lambda: FrameProtocol(received, lost), host, int(port)
+            lambda: FrameProtocol(
+                partial(_on_message, answered), partial(_on_connection_lost, answered)
+            ),
+            host,
+            int(port),
         )
         try:
             protocol.send(encode(question))
@@ -65,7 +74,7 @@
 
 
 def ask(address: str, question: Question) -> Answer:
-    """One question, and its answer."""
+    """The answer to a question. Raises Unreachable or NotKnown, with a text for the operator."""
     try:
         answer = asyncio.run(_ask(address, question))
     except TimeoutError:
@@ -80,14 +89,15 @@
 
 
 def duties(address: str) -> DutiesAnswer:
-    """Who holds which duty."""
+    """Who holds which duty, and which intents are open. Raises Unreachable or NotKnown."""
     answer = ask(address, DutiesQuestion())
     assert isinstance(answer, DutiesAnswer)
     return answer
 
 
 def history(address: str) -> Iterator[HistoryAnswer]:
-    """The pages of the recorded history, one at a time."""
+    """The pages of the recorded history, one at a time, in the order of their keys. Raises
+    Unreachable or NotKnown."""
     after = ""
     while True:
         answer = ask(address, HistoryQuestion(after))
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -3,23 +3,42 @@
 import argparse
 import sys
 from datetime import UTC, datetime
+from enum import IntEnum, StrEnum
 
 import msgspec
 
-from basaltlead.config.settings import SettingsError, load
+from basaltlead.config.settings import US, load
+from basaltlead.errors import SettingsError
 from basaltlead.operators import client
 from basaltlead.runtime.clock import wall_us
-from basaltlead.wire.peers import DutiesAnswer
+from basaltlead.wire.peers import DutiesAnswer, OpenIntent
 
-BAD_SETTINGS, UNREACHABLE, NOT_KNOWN, NO_LIBRARY, NOT_WRITTEN = 2, 3, 4, 5, 6
 
+class Verb(StrEnum):
+    """The first argument of the command line."""
 
+    DUTIES = "duties"
+    AUDIT = "audit"
+
+
+class ExitStatus(IntEnum):
+    """Exit statuses of the commands (docs/operations.md)."""
+
+    OK = 0
+    BAD_SETTINGS = 2
+    UNREACHABLE = 3
+    NOT_KNOWN = 4
+    LIBRARY_MISSING = 5
+    NOT_WRITTEN = 6
+
+
+# argparse has no public name for the type of what `add_subparsers` returns.
 def add_to(verbs: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     """Add the commands to the command line."""
-    duties = verbs.add_parser("duties", help="who holds which duty, and what is open")
+    duties = verbs.add_parser(Verb.DUTIES.value, help="who holds which duty, and what is open")
     _add_common(duties)
     duties.add_argument("--json", action="store_true", help="as JSON")
-    audit = verbs.add_parser("audit", help="the recorded history of duties")
+    audit = verbs.add_parser(Verb.AUDIT.value, help="the recorded history of duties")
     export = audit.add_subparsers(dest="part", required=True).add_parser(
         "export", help="write the history as a Parquet file"
     )
@@ -33,58 +52,64 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run one of the commands; its exit status."""
+    """Run the command of parsed arguments; its exit status. Errors are printed, not raised."""
     try:
         address = client.address_of(load(options.config), options.controller)
-        if options.verb == "duties":
-            return _show(client.duties(address), options.json)
-        return _export(address, options.out)
+        if options.verb == Verb.DUTIES:
+            return _show_duties(client.duties(address), options.json)
+        return _export_history(address, options.out)
     except SettingsError as fault:
-        return _failed(str(fault), BAD_SETTINGS)
+        return _fail(str(fault), ExitStatus.BAD_SETTINGS)
     except client.Unreachable as fault:
-        return _failed(str(fault), UNREACHABLE)
+        return _fail(str(fault), ExitStatus.UNREACHABLE)
     except client.NotKnown as fault:
-        return _failed(str(fault), NOT_KNOWN)
+        return _fail(str(fault), ExitStatus.NOT_KNOWN)
 
 
-def _failed(text: str, status: int) -> int:
+def _fail(text: str, status: ExitStatus) -> ExitStatus:
     print(f"basaltlead: {text}", file=sys.stderr)
     return status
 
 
-def _show(answer: DutiesAnswer, as_json: bool) -> int:
+def _show_duties(answer: DutiesAnswer, as_json: bool) -> ExitStatus:
     if as_json:
         print(msgspec.json.encode(answer).decode())
-        return 0
+        return ExitStatus.OK
     if not answer.granted:
         print("duties are not granted on their own: the blocks' owners carry them out")
     print(f"{'duty':10} {'holder':20} {'token':>8} since")
-    for one in answer.duties:
-        holder = one.holder or "nobody"
-        print(f"{one.duty:10} {holder:20} {one.token:>8} {_time(one.since)}")
+    for held in answer.duties:
+        holder = held.holder or "nobody"
+        print(f"{held.duty:10} {holder:20} {held.token:>8} {_as_time(held.since)}")
     print(f"open intents: {answer.open_count}")
+    now = wall_us()
     for intent in answer.intents:
-        age_s = max(0, wall_us() - intent.since) / 1e6
-        refused = f", refused: {intent.refused}" if intent.refused else ""
-        machines = f"{intent.machines} machine{'s' if intent.machines != 1 else ''}"
-        print(f"{intent.kind:10} {intent.name:20} {machines}, for {age_s:.0f} s{refused}")
-    return 0
+        print(_as_line(intent, now))
+    return ExitStatus.OK
+
+
+def _as_line(intent: OpenIntent, now: int) -> str:
+    age_s = max(0, now - intent.since) / US
+    refused = f", refused: {intent.refused}" if intent.refused else ""
+    machines = f"{intent.machines} machine{'s' if intent.machines != 1 else ''}"
+    return f"{intent.kind:10} {intent.name:20} {machines}, for {age_s:.0f} s{refused}"
 
 
-def _time(at: int) -> str:
-    return datetime.fromtimestamp(at // 1_000_000, UTC).isoformat() if at else "-"
+def _as_time(at: int) -> str:
+    return datetime.fromtimestamp(at // US, UTC).isoformat() if at else "-"
 
 
-def _export(address: str, out: str) -> int:
+def _export_history(address: str, out: str) -> ExitStatus:
     try:
+        # Needs pyarrow, which only operators install who export the history.
         from basaltlead.operators.audit_export import export
     except ImportError as fault:
-        return _failed(f"{fault}: install basaltlead[operators]", NO_LIBRARY)
+        return _fail(f"{fault}: install basaltlead[operators]", ExitStatus.LIBRARY_MISSING)
     try:
-        done = export(client.history(address), out)
+        summary = export(client.history(address), out)
     except OSError as fault:
-        return _failed(f"{out}: {fault.strerror or fault}", NOT_WRITTEN)
-    print(f"{done.events} events written to {out}")
-    for duty, first in done.cut.items():
-        print(f"{duty}: the first {first} events are no longer kept")
-    return 0
+        return _fail(f"{out}: {fault.strerror or fault}", ExitStatus.NOT_WRITTEN)
+    print(f"{summary.events} events written to {out}")
+    for duty, count in summary.overwritten.items():
+        print(f"{duty}: the first {count} events are no longer kept")
+    return ExitStatus.OK
--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -1,29 +1,26 @@
-"""What may be spent on idle machines that are kept for a quiet time.
+"""What may be spent on idle machines that are retained in a quiet time.
 
-Money is reserved in the key-value store before it is spent, a part at a time, so that the bound
-holds however often the shard changes its shard leader: a new one counts all that was reserved as
-spent.
+Money is reserved in the key-value store before it is spent, a part at a time. A new shard leader
+counts all that was reserved as spent. So the bound holds however often the shard leader changes.
 """
 
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING
 
 from msgspec import Struct
 
 from basaltlead.core.entities import US
-
-if TYPE_CHECKING:
-    from basaltlead.scaling.quiet_times import QuietTime
+from basaltlead.scaling.quiet_times import QuietTime
 
 PARTS = 10  # of the bound, reserved one after the other
 HOUR_US = 3600 * US
-LONGEST_STEP_US = 5 * US  # between two passes; a process that stood still kept nobody
+# Between two passes. A process that was suspended for longer has retained no machine meanwhile.
+LONGEST_STEP_US = 5 * US
 
 
 class StoredQuiet(Struct):
     """How much is reserved for the quiet time that began at `start`."""
 
-    start: int
+    start: int  # time of day in microseconds
     reserved: float
 
 
@@ -31,20 +28,22 @@
     """The money of one shard for the present quiet time."""
 
     def __init__(self, most: float, reserve: Callable[[StoredQuiet], Awaitable[bool]]) -> None:
+        """Spend at most `most` in each quiet time. `reserve` records what is reserved, and returns
+        whether that succeeded."""
         self.most = most
         self.reserve = reserve
-        self.start = 0
+        self.start = 0  # of the quiet time that the following amounts are for
         self.reserved = 0.0
         self.spent = 0.0
-        self.passed_at = 0
-        self.step_us = 0
+        self.passed_at = 0  # when the last pass began, on the steady clock
+        self.step_us = 0  # from the last pass to the present one
 
     def load(self, stored: StoredQuiet) -> None:
-        """Go on after another shard leader."""
+        """Continue after an earlier shard leader."""
         self.start, self.reserved, self.spent = stored.start, stored.reserved, stored.reserved
 
-    def begin(self, quiet: "QuietTime | None", now: int) -> bool:
-        """A pass over the machines begins; True if more should be reserved."""
+    def begin(self, quiet: QuietTime | None, now: int) -> bool:
+        """Begin a pass over the machines. True if more should be reserved."""
         self.step_us = min(LONGEST_STEP_US, now - self.passed_at) if self.passed_at else 0
         self.passed_at = now
         if quiet is None:
@@ -55,14 +54,14 @@
         return self.reserved < self.most and self.spent > self.reserved - part / 2
 
     async def reserve_more(self) -> None:
-        """Reserve another part; nothing more can be spent if that is not recorded."""
+        """Reserve another part. If that is not recorded, nothing more can be spent."""
         start = self.start
         wanted = min(self.most, self.reserved + self.most / PARTS)
         if await self.reserve(StoredQuiet(start, wanted)) and self.start == start:
             self.reserved = wanted
 
     def keeps(self, price_per_hour: float) -> bool:
-        """Is there money to keep an idle machine until the next pass?"""
+        """Spend what an idle machine costs until the next pass; False if there is no money."""
         cost = price_per_hour * self.step_us / HOUR_US
         if self.reserved <= 0 or self.spent + cost > self.reserved:
             return False
--- /dev/null
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -0,0 +1,188 @@
+"""Quiet times from an iCalendar file.
+
+Needs icalendar and recurring-ical-events, and the time zones of tzdata; imported only where such a
+file is configured.
+"""
+
+from collections.abc import Callable
+from datetime import UTC, datetime, timedelta
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import icalendar
+import recurring_ical_events
+from icalendar.parser import Contentline
+
+from basaltlead.core.entities import US
+from basaltlead.errors import SettingsError
+from basaltlead.runtime.clock import wall_us
+from basaltlead.runtime.logs import log
+from basaltlead.scaling.quiet_times import QuietTime
+
+LONGEST = timedelta(hours=24)  # that a quiet time may last
+HORIZON = timedelta(hours=6)  # occurrences are computed so far ahead
+HORIZON_US = HORIZON // timedelta(microseconds=1)
+CHECK_INTERVAL_US = 60 * US  # between two checks whether the file has changed
+MOST_BYTES = 1 << 20  # of a calendar
+MOST_NAME_CHARACTERS = 40  # of a malformed line, shown in place of the name of its field
+
+EVENT = "VEVENT"
+EVENT_BEGINS = f"BEGIN:{EVENT}"
+START, END, DURATION = "DTSTART", "DTEND", "DURATION"
+
+
+class Line(NamedTuple):
+    """A content line, with the folded lines that continue it."""
+
+    number: int  # of its first line in the file, counted from 1
+    text: str
+
+
+class Fault(NamedTuple):
+    """What makes an event unusable."""
+
+    field: str
+    reason: str
+
+
+def _error(path: str, line: int, fault: Fault) -> SettingsError:
+    return SettingsError(f"{path}: line {line}: {fault.field}: {fault.reason}")
+
+
+def _content_lines(text: str) -> list[Line]:
+    """The lines that are not empty; one that begins with a blank continues the line before."""
+    lines: list[Line] = []
+    for number, line in enumerate(text.splitlines(), 1):
+        if line[:1] in (" ", "\t") and lines:
+            lines[-1] = Line(lines[-1].number, lines[-1].text + line[1:])
+        elif line.strip():
+            lines.append(Line(number, line))
+    return lines
+
+
+def _line_number(lines: list[Line], event: int, field: str) -> int:
+    """The number of the line of a field of an event, or of the line where the event begins."""
+    begins = [place for place, line in enumerate(lines) if line.text.upper() == EVENT_BEGINS]
+    start = begins[event]
+    end = begins[event + 1] if event + 1 < len(begins) else len(lines)
+    for line in lines[start:end]:
+        if line.text.upper().startswith((f"{field}:", f"{field};")):
+            return line.number
+    return lines[start].number
+
+
+def read_calendar(path: str) -> icalendar.Calendar:
+    """A calendar whose events are all usable. Raises SettingsError, which names line and field."""
+    text = _read_text(path)
+    lines = _content_lines(text)
+    for line in lines:
+        try:
+            Contentline(line.text).parts()  # type: ignore[no-untyped-call]
+        except ValueError:
+            fault = Fault(line.text[:MOST_NAME_CHARACTERS], "not a content line")
+            raise _error(path, line.number, fault) from None
+    try:
+        calendar = icalendar.Calendar.from_ical(text)
+    except (ValueError, IndexError) as error:
+        raise _error(path, 1, Fault("VCALENDAR", str(error))) from None
+    events = calendar.walk(EVENT)
+    if not events:
+        raise _error(path, 1, Fault(EVENT, "no quiet time"))
+    for place, event in enumerate(events):
+        for fault in _faults(event):
+            raise _error(path, _line_number(lines, place, fault.field), fault)
+    return calendar
+
+
+def _read_text(path: str) -> str:
+    try:
+        raw = Path(path).read_bytes()
+        text = raw.decode()
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    except UnicodeDecodeError:
+        raise SettingsError(f"{path}: not UTF-8") from None
+    if len(raw) > MOST_BYTES:
+        raise SettingsError(f"{path}: larger than {MOST_BYTES} bytes")
+    return text
+
+
+def _faults(event: Any) -> list[Fault]:
+    """What makes an event unusable; empty if it can be used."""
+    if event.errors:
+        return [Fault(str(field), str(reason)) for field, reason in event.errors]
+    start = event.get(START)
+    if start is None or not isinstance(start.dt, datetime):
+        return [Fault(START, "needs a date and a time of day")]
+    if start.dt.tzinfo is None:
+        zone = start.params.get("TZID", "none")
+        return [Fault(START, f"needs a known time zone, not {zone}")]
+    if END in event:
+        field, span = END, event[END].dt - start.dt
+    elif DURATION in event:
+        field, span = DURATION, event[DURATION].dt
+    else:
+        return [Fault(END, "is missing")]
+    if not timedelta(0) < span <= LONGEST:
+        return [Fault(field, f"a quiet time lasts longer than nothing, and {LONGEST} at most")]
+    return []
+
+
+class QuietCalendar:
+    """The quiet times of a calendar file. Changes of the file take effect within a minute; one
+    that makes it unusable leaves the last good calendar in force."""
+
+    def __init__(self, path: str, clock: Callable[[], int] = wall_us) -> None:
+        """Read the file; `clock` is the time of day in microseconds. Raises SettingsError."""
+        self.path = path
+        self.clock = clock
+        self.calendar = read_calendar(path)
+        self.modified_at = self._modified_at()
+        self.checked_at = clock()
+        self.known_until = 0  # occurrences are computed up to this time of day
+        self.occurrences: list[QuietTime] = []
+
+    def _modified_at(self) -> float:
+        """The file's time of modification; 0: the file can't be found."""
+        try:
+            return Path(self.path).stat().st_mtime
+        except OSError:
+            return 0.0
+
+    def current(self) -> QuietTime | None:
+        """The quiet time that is now; of several the one that began first."""
+        now = self.clock()
+        # The time of day may be set back: then check and compute anew too.
+        if not 0 <= now - self.checked_at < CHECK_INTERVAL_US:
+            self._read_if_modified(now)
+        if not self.known_until - 2 * HORIZON_US <= now < self.known_until:
+            self._compute_occurrences(now)
+        return min(
+            (quiet for quiet in self.occurrences if quiet.start <= now < quiet.end), default=None
+        )
+
+    def _read_if_modified(self, now: int) -> None:
+        self.checked_at = now
+        modified_at = self._modified_at()
+        if modified_at == self.modified_at:
+            return
+        try:
+            self.calendar = read_calendar(self.path)
+        except SettingsError as error:
+            log.error("quiet times stay as they were, the calendar can't be used: %s", error)
+        else:
+            log.info("quiet times read again from %s", self.path)
+            self.known_until = 0
+        self.modified_at = modified_at
+
+    def _compute_occurrences(self, now: int) -> None:
+        at = datetime.fromtimestamp(now / US, UTC)
+        found = recurring_ical_events.of(self.calendar).between(at - LONGEST, at + HORIZON)
+        self.occurrences = sorted(
+            QuietTime(_to_us(event[START].dt), _to_us(event[END].dt)) for event in found
+        )
+        self.known_until = now + HORIZON_US
+
+
+def _to_us(at: datetime) -> int:
+    return int(at.timestamp() * US)
