--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -54,6 +54,7 @@
 
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
+        self.quiet_times = services.quiet_times
         # Machines of the stored requests whose own records were seen in this or an earlier pass.
         self.recorded: set[str] = set()
 
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -40,7 +40,6 @@
         self.membership = services.membership
         self.store = services.store
         self.cloud = services.cloud
-        self.quiet_times = services.quiet_times
         self.grant = grant
         self.version = version
         self.stepped_down = False  # we have stopped acting, for good
--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -51,7 +51,7 @@
     def _holds_valid_lease(self) -> bool:
         return self.holder.holds_valid_lease
 
-    async def ask(
+    async def rent(
         self, name: str, stored: StoredScaleOut, on_rejected: OnRejected
     ) -> list[str] | None:
         """Send a request until the cloud has carried it out; the names of the machines, or None if
@@ -85,7 +85,7 @@
                 log.info("rental request %s: rented %s", name, ", ".join(names))
                 return names
 
-    async def settle(
+    async def record_outcome(
         self, name: str, stored: StoredScaleOut | None, version: int, commit: Commit | None = None
     ) -> None:
         """Record the outcome of a request whose record has this version: `stored` with the names
--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -88,7 +88,7 @@
         async with RequestSlot(self.slots) as slot:
             on_rejected = partial(self._on_rejected, slot, name, stored)
             try:
-                names = await self.machine_rental.ask(name, stored, on_rejected)
+                names = await self.machine_rental.rent(name, stored, on_rejected)
                 await self._record_outcome(name, stored, names)
             except ServiceError as fault:
                 log.info(
@@ -119,7 +119,9 @@
         commit = partial(self.history.commit, event=event)
         self.recording.add(name)
         try:
-            await self.machine_rental.settle(name, outcome, self.versions.get(name, 0), commit)
+            await self.machine_rental.record_outcome(
+                name, outcome, self.versions.get(name, 0), commit
+            )
         finally:
             self.recording.discard(name)
 
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -135,17 +135,17 @@
         if name not in self.pending:
             self._await_machines(name, stored)
         try:
-            names = await self.machine_rental.ask(
+            names = await self.machine_rental.rent(
                 name, stored, lambda why: self._refused(name, why)
             )
             version = self.shard_leader.versions.pop(SCALE_OUT + name, 0)
             if names is None:
                 self._no_capacity(name)
-                await self.machine_rental.settle(name, None, version)
+                await self.machine_rental.record_outcome(name, None, version)
             else:
                 stored.names, stored.refused = names, msgspec.UNSET
                 self._settled(name, stored)
-                await self.machine_rental.settle(name, stored, version)
+                await self.machine_rental.record_outcome(name, stored, version)
         except ServiceError as fault:
             log.info("hire %s not recorded: %s", name, fault)
         finally:
