--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -60,6 +60,10 @@
         """From now on make so many calls a second at most."""
         self.budget = RateBudget(max(LEAST_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
 
+    def reset_unanswered(self) -> None:
+        """Measure anew for how long the cloud has not answered."""
+        self.unanswered_since = 0
+
     async def _call(
         self,
         method: str,
--- a/basaltlead/config/loader.py
+++ b/basaltlead/config/loader.py
@@ -67,7 +67,7 @@
 def _check_calendar(calendar: str, path: str) -> None:
     """Raise `SettingsError` if the calendar can't be used."""
     try:
-        from basaltlead.scaling import quiet_times
+        from basaltlead.scaling import quiet_calendar
     except ImportError as fault:
         raise SettingsError(f"{path}: quiet: {fault}: install basaltlead[operators]") from None
-    quiet_times.read(calendar)
+    quiet_calendar.read_calendar(calendar)
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -20,6 +20,7 @@
 from basaltlead.core.fleet_sizing import OfferBook
 from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.duties.holder import DutyServices
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
 from basaltlead.duties.reports import DutyReports
@@ -28,8 +29,8 @@
 from basaltlead.runtime.logs import log
 from basaltlead.runtime.tasks import BackgroundTasks
 from basaltlead.scaling.autoscaler import Autoscaler, ScalingEnvironment
-from basaltlead.scaling.idle_retention import QuietSchedule
 from basaltlead.scaling.machine_type_catalog import MachineTypeCatalog
+from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.shard.assignment import ShardAssigner
 from basaltlead.shard.context import ShardContext
 from basaltlead.shard.dispatcher import MIN_WORKER_SOCKETS, worker_sockets
@@ -98,9 +99,9 @@
             self.cloud, OfferBook(), self.shard_assigner.shard_of, quiet_times
         )
         self.duties = HeldDuties(
-            settings, self.membership, self.store, self.cloud, leading_controllers
+            DutyServices(settings, self.membership, self.store, self.cloud, quiet_times),
+            leading_controllers,
         )
-        self.duties.quiet_times = quiet_times
         self.machine_type_catalog = MachineTypeCatalog(
             self.cloud,
             self.store,
@@ -242,13 +243,13 @@
     return Market(terms, teams, ServiceLevelObjectives.of(facts.objectives))
 
 
-def quiet_times_of(settings: Settings) -> QuietSchedule | None:
+def quiet_times_of(settings: Settings) -> QuietTimes | None:
     """The operators' calendar, if there is one: only then its libraries are imported."""
     if settings.operator.quiet is None:
         return None
-    from basaltlead.scaling.quiet_times import QuietTimes
+    from basaltlead.scaling.quiet_calendar import QuietCalendar
 
-    return QuietTimes(settings.operator.quiet.calendar)
+    return QuietCalendar(settings.operator.quiet.calendar)
 
 
 def max_stored_bids(value_bytes: int) -> int:
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -15,7 +15,7 @@
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.idle_retention import QuietSchedule
+from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.scaling.scale_in import ScaleIn, provisioning_overdue
 from basaltlead.scaling.scale_out import ScaleOut
@@ -44,7 +44,7 @@
     cloud: Cloud
     offer_book: OfferBook
     shard_of: Callable[[str], int | None]
-    quiet_times: QuietSchedule | None
+    quiet_times: QuietTimes | None
 
 
 class Autoscaler:
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -1,8 +1,6 @@
 """A shard leader's side of quiet times: which idle machines are kept, and what is reserved for
 them."""
 
-from typing import Protocol
-
 import msgspec
 
 from basaltlead.clients.backoff import Backoff
@@ -10,22 +8,16 @@
 from basaltlead.core.entities import Machine
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.quiet_budget import QuietBudget, QuietTime, StoredQuiet
+from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuiet
+from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
 
-class QuietSchedule(Protocol):
-    """The operators' calendar of quiet times."""
-
-    def current(self) -> QuietTime | None:
-        """The quiet time that it is now, if any."""
-
-
 class IdleRetention:
     """Runs beside a shard leader, if a calendar is configured."""
 
-    def __init__(self, context: ShardContext, quiet_times: QuietSchedule) -> None:
+    def __init__(self, context: ShardContext, quiet_times: QuietTimes) -> None:
         operator = context.settings.operator
         assert operator.quiet is not None
         self.context = context
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -20,7 +20,8 @@
 )
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.idle_retention import IdleRetention, QuietSchedule
+from basaltlead.scaling.idle_retention import IdleRetention
+from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import MACHINE, SCALE_IN, StoredScaleIn
@@ -59,7 +60,7 @@
         context: ShardContext,
         cloud: Cloud,
         reachability: Reachability,
-        quiet_times: QuietSchedule | None,
+        quiet_times: QuietTimes | None,
     ) -> None:
         self.context = context
         self.reachability = reachability
