--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -1,13 +1,167 @@
-"""Commands for the tasks of workers."""
+"""Which commands a machine is sent, given what it last reported."""
 
 from msgspec import Struct
 
+from basaltlead.core.entities import Attempt, Machine, OrphanedAttempt
+from basaltlead.core.open_jobs import OpenJobs
+from basaltlead.core.reports import WorkerReport
+from basaltlead.core.task_keys import AttemptKey, parse_task
+from basaltlead.core.task_states import (
+    BEFORE_FIRST_REPORT,
+    ENDED,
+    FORGET,
+    HALT,
+    PLANNED,
+    RUN,
+    SAVING,
+    SENT,
+    CommandVerb,
+)
+
+MAX_COMMANDS = 250  # in one message: keeps a line far below 64 KiB
+
 
 class TaskCommand(Struct):
-    """An order for a worker."""
+    """A command for one attempt of a task."""
 
-    verb: str
+    verb: CommandVerb
     ref: str
     index: int
     attempt_number: int
-    grace_s: float | None = None
+    grace_s: float | None = None  # of a halt: how long the task may take to save a checkpoint
+
+
+class CommandGenerator:
+    """Makes the commands of the answers to heartbeats, and those that are pushed."""
+
+    def __init__(self, jobs: OpenJobs) -> None:
+        self._jobs = jobs
+
+    # Answers to heartbeats
+
+    def for_heartbeat(self, machine: Machine, sequence: int) -> list[TaskCommand]:
+        """The commands for the answer to the heartbeat with this sequence number. The same are
+        made again until the machine's reports show that they were executed."""
+        if not machine.synced or machine.terminating:
+            return []
+        commands = [*self._orphan_commands(machine), *_stop_commands(machine)]
+        for attempt in _startable(machine):
+            attempt.stage = SENT
+            attempt.sent_sequence = sequence
+            commands.append(_task_command(RUN, attempt))
+        return commands[:MAX_COMMANDS]
+
+    def _orphan_commands(self, machine: Machine) -> list[TaskCommand]:
+        """Halts for attempts that nobody wants; those that are over are forgotten."""
+        commands: list[TaskCommand] = []
+        for key, orphan in machine.orphaned_attempts.items():
+            if not orphan.ended:
+                commands.append(TaskCommand(HALT, *key, 0.0))
+            elif not orphan.start_unacknowledged and self._is_forgettable(key, orphan):
+                commands.append(TaskCommand(FORGET, *key))
+            if len(commands) >= MAX_COMMANDS:
+                break  # the others go with the next answer
+        return commands
+
+    def halt_orphans(self, heartbeat: WorkerReport) -> list[TaskCommand]:
+        """Halts for tasks of jobs that are over, on a machine that has not shown our fencing token.
+        The answer renews its lease, and it may be the last one that it gets: a command that
+        waited for the next would come too late for a cancellation from long before us."""
+        commands: list[TaskCommand] = []
+        for reported in heartbeat.tasks:
+            ref, index = parse_task(reported.task)
+            if reported.stage != ENDED and self._jobs.is_closed(ref):
+                commands.append(TaskCommand(HALT, ref, index, reported.attempt_number, 0.0))
+        return commands[:MAX_COMMANDS]
+
+    # Commands that are pushed
+
+    def take_push_commands(self, machine: Machine) -> tuple[list[TaskCommand], list[Attempt]]:
+        """Commands worth sending at once, and the starts among them. A start that is pushed is in
+        no heartbeat's answer, and binds its task to its machine until it is acknowledged."""
+        if not machine.synced or machine.terminating or machine.lost or not machine.address:
+            return [], []
+        commands: list[TaskCommand] = []
+        for attempt in machine.attempts.values():
+            if (
+                attempt.stop_grace_s is None
+                or attempt.pushed_grace_s == attempt.stop_grace_s
+                or attempt.stage in BEFORE_FIRST_REPORT
+            ):
+                continue
+            attempt.pushed_grace_s = attempt.stop_grace_s
+            commands.append(_task_command(HALT, attempt, attempt.stop_grace_s))
+        pushed_starts = [attempt for attempt in _startable(machine) if attempt.stage == PLANNED]
+        for attempt in pushed_starts:
+            attempt.stage = SENT
+            attempt.start_in_flight = True
+            commands.append(_task_command(RUN, attempt))
+        return commands, pushed_starts
+
+    # Returning machines
+
+    def is_settled(self, machine: Machine) -> bool:
+        """Would nothing be lost if the machine were returned? An attempt whose number must not be
+        forgotten stays listed for as long as its agent epoch lasts: it is no reason to go on
+        paying for the machine."""
+        return not machine.attempts and all(
+            orphan.ended and self._is_forgettable(key, orphan)
+            for key, orphan in machine.orphaned_attempts.items()
+        )
+
+    def _is_forgettable(self, key: AttemptKey, orphan: OrphanedAttempt) -> bool:
+        """Is nothing lost with the worker's record of an ended attempt?"""
+        return orphan.forgettable or self._jobs.is_result_stored(key.ref, key.task_index)
+
+
+def has_pending_commands(machine: Machine) -> bool:
+    """Has it commands that were not sent so far? Some wait for room, or for an answer."""
+    return any(
+        attempt.pushed_grace_s != attempt.stop_grace_s
+        if attempt.stop_grace_s is not None
+        else attempt.stage == PLANNED
+        for attempt in machine.attempts.values()
+    )
+
+
+def _stop_commands(machine: Machine) -> list[TaskCommand]:
+    """Halts for attempts that are to stop. A start that was never acknowledged goes out once more
+    before its halt, so that a copy that comes later starts nothing."""
+    commands: list[TaskCommand] = []
+    for attempt in machine.attempts.values():
+        if attempt.stop_grace_s is None:
+            continue
+        if attempt.stage == SENT and attempt.start_unacknowledged:
+            commands.append(_task_command(RUN, attempt))
+        if attempt.stage == SAVING and attempt.stop_grace_s > 0:
+            continue
+        if attempt.stage != SENT or attempt.start_unacknowledged:
+            commands.append(_task_command(HALT, attempt, attempt.stop_grace_s))
+    return commands
+
+
+def _startable(machine: Machine) -> list[Attempt]:
+    """Attempts whose start may go out now: there is room beside all that may be on the machine,
+    the highest rank first."""
+    waiting = [
+        attempt
+        for attempt in machine.attempts.values()
+        if attempt.stop_grace_s is None
+        and attempt.stage in BEFORE_FIRST_REPORT
+        and not attempt.start_in_flight
+    ]
+    if not waiting or machine.lost or not machine.recorded:
+        return []
+    room = machine.room()
+    startable = []
+    for attempt in sorted(waiting, key=lambda attempt: -attempt.job_state.job.rank):
+        if attempt.stage == SENT:
+            startable.append(attempt)
+        elif room.fits(attempt.job_state.job) and not machine.busy_with(attempt.key):
+            room.take(attempt.job_state.job)
+            startable.append(attempt)
+    return startable
+
+
+def _task_command(verb: CommandVerb, attempt: Attempt, grace_s: float | None = None) -> TaskCommand:
+    return TaskCommand(verb, *attempt.attempt_key, grace_s)
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -1,8 +1,28 @@
-"""What changes while the scheduler runs: attempts, machines, jobs. Times are microseconds."""
-
-from basaltlead.core.jobs import Job, MachineType, Resources
-
-MAX_TASKS_PER_MACHINE = 400  # on one machine
+"""What changes while a shard is led: attempts, machines and jobs. Times are microseconds.
+
+The three refer to each other: an attempt binds a task of a job to a machine, and both list it.
+"""
+
+from basaltlead.core.failure_history import FailureHistory
+from basaltlead.core.jobs import US, Job, MachineType, Resources
+from basaltlead.core.machine_state import (
+    CORDONED,
+    DRAINING,
+    LOST,
+    PROVISIONING,
+    READY,
+    SYNCING,
+    TERMINATING,
+    MachineState,
+)
+from basaltlead.core.machine_usage import MachineUsage
+from basaltlead.core.message_order import MessageOrder
+from basaltlead.core.task_keys import AttemptKey, TaskKey
+from basaltlead.core.task_queue import TaskQueue
+from basaltlead.core.task_states import PLANNED, RUNNING
+
+# A worker's report must fit into 64 KiB, and so must the tasks that it lists.
+MAX_TASKS_PER_MACHINE = 400
 
 
 class Attempt:
@@ -10,11 +30,13 @@
 
     __slots__ = (
         "adopted",
+        "attempt_key",
         "attempt_number",
         "bid",
         "created_at",
         "index",
         "job_state",
+        "key",
         "machine",
         "pushed_grace_s",
         "running_since",
@@ -32,31 +54,31 @@
         self.index = index
         self.machine = machine
         self.attempt_number = attempt_number
-        self.stage = "planned"  # planned, sent, then what the worker reports
-        self.stop_grace_s: float | None = None  # not None: it is to stop
-        self.pushed_grace_s: float | None = None  # the grace it was told directly
-        # Reports up to this one say nothing about it: the answer to this one carried the order,
-        # or this one is the worker's answer to a direct order.
+        # Looked up for each heartbeat, so they are made once.
+        self.key = TaskKey(job_state.job.ref, index)
+        self.attempt_key = AttemptKey(job_state.job.ref, index, attempt_number)
+        # A TaskState, or the word that the worker reports if this version does not know it.
+        self.stage: str = PLANNED
+        # Not None: it is to stop, and may take so many seconds to save a checkpoint.
+        self.stop_grace_s: float | None = None
+        self.pushed_grace_s: float | None = None  # the grace of the halt that was pushed
+        # Heartbeats up to this one say nothing about it: the answer to this one carried the start
+        # command, or this one is the worker's answer to a pushed start.
         self.sent_sequence = 0
-        self.start_in_flight = False  # a direct order is unanswered so far
-        self.start_unacknowledged = (
-            False  # a direct order was never answered: a copy may still arrive
-        )
+        self.start_in_flight = False  # a start was pushed and is not answered so far
+        # A pushed start was never answered: a copy of it may still arrive at the worker.
+        self.start_unacknowledged = False
         self.created_at = now
-        self.running_since = 0
+        self.running_since = 0  # 0: no report said that it runs
         # It was running when this shard leader first heard of it: since when is not known, and its
-        # run time teaches nothing.
+        # run time says nothing about that of others.
         self.adopted = False
         self.bid = 0.0  # what is booked for it on its machine
 
-    @property
-    def key(self) -> tuple[str, int]:
-        return (self.job_state.job.ref, self.index)
-
     @property
     def may_be_on_machine(self) -> bool:
-        """May it be on its machine?"""
-        return self.stage != "planned"
+        """Was a start command sent, so that it may be on its machine?"""
+        return self.stage != PLANNED
 
 
 class OrphanedAttempt:
@@ -66,7 +88,9 @@
 
     def __init__(self, ended: bool, forgettable: bool, start_unacknowledged: bool = False) -> None:
         self.ended = ended
-        self.forgettable = forgettable
+        self.forgettable = forgettable  # its end means nothing that must be stored first
+        # A start command may still arrive. The worker must go on listing the attempt: it refuses
+        # a start of an attempt that it knows, and would execute one that it was told to forget.
         self.start_unacknowledged = start_unacknowledged
 
 
@@ -80,65 +104,110 @@
         self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
+        self.made_at = now
         self.address = ""
-        self.epoch = 0
-        self.sequence = 0  # of the newest message
-        self.heartbeat_sequence = 0  # of the newest report
-        self.min_epoch = 0  # older sessions are over
-        self.synced = False  # has shown that it knows our fencing token
-        self.unsynced_since = (
-            0  # since when we have answered it without its showing our fencing token
-        )
-        self.epoch_started_at = 0  # the first report of its session
-        self.unreachable_since = 0  # since when there is doubt whether our orders reach it; 0: none
-        self.back_at = 0  # when it was last heard again after it had been lost
+
+        # The facts that `state` is computed from.
+        self.up = False  # it has been heard
+        self.synced = False  # has shown our fencing token in this agent epoch
         self.recorded = False  # stands in the key-value store: tasks may be started
-        self.up = False
-        self.lost = False
-        self.draining = False
-        self.terminating = False
-        self.made_at = now
+        self.lost = False  # its lease has expired without an answer of ours
+        self.draining = False  # taken to be faulty or slow
+        self.terminating = False  # to be returned to the cloud
+        self.preemption_at: int | None = None  # when the cloud takes it back
+        self.cordoned_until = 0
+        # Since when there is doubt whether our commands reach it; 0: there is none.
+        self.unreachable_since = 0
+
+        # When it was heard, and answered.
+        self.messages = MessageOrder()
         self.heard_at = 0
         self.answered_at = now
-        self.preemption_at: int | None = None
+        self.up_at = 0  # when it was first synced
+        self.back_at = 0  # when it was last heard again after it had been lost
+        # Since when we have answered it without its showing our fencing token; 0: it shows it.
+        self.unsynced_since = 0
+        self.push_backoff_until = 0  # no commands are pushed until then
+
+        # What is on it.
+        self.attempts: dict[TaskKey, Attempt] = {}
+        self.orphaned_attempts: dict[AttemptKey, OrphanedAttempt] = {}
+        self.images: dict[str, float] = {}  # sizes in GB; the most recently used last
         self.idle_since = now
-        self.cordoned_until = 0
-        self.push_backoff_until = 0  # no direct orders until then
-        self.up_at = 0
-        self.useful = 0.0  # share-seconds of tasks that completed here, and of those that did not
-        self.wasted = 0.0
-        self.fetched = 0.0  # the same for tasks between their start and their first run
-        self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
-        self.straggler_jobs: set[str] = set()  # jobs of which a task took far too long here
-        self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.orphaned_attempts: dict[tuple[str, int, int], OrphanedAttempt] = {}
-        self.images: dict[str, float] = {}
         self.needed = True  # the fleet needs it: one it does not need is left to empty
         # Kept up to date with each attempt, since plans ask for them for hundreds of machines:
         # what is free beside the attempts that stay, and the sum of the bids of those.
         self.free = Resources.of(machine_type)
         self.booked = 0.0
 
+        # What speaks for and against it.
+        self.usage = MachineUsage()
+        self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
+        self.straggler_jobs: set[str] = set()  # jobs of which a task took far too long here
+
+    # State
+
+    def state(self, now: int) -> MachineState:
+        """Whether it takes tasks, and if not, why: see `MachineState` for the transitions."""
+        if self.terminating:
+            return TERMINATING
+        if self.lost:
+            return LOST
+        if self.is_draining:
+            return DRAINING
+        if not (self.synced and self.recorded):
+            return SYNCING if self.up or self.recorded else PROVISIONING
+        if self.unreachable_since or now < self.cordoned_until:
+            return CORDONED
+        return READY
+
     def usable(self, now: int) -> bool:
-        return (
-            self.synced
-            and self.recorded
-            and not self.lost
-            and not self.draining
-            and not self.terminating
-            and not self.unreachable_since
-            and self.preemption_at is None
-            and now >= self.cordoned_until
-        )
+        """May a task be started there?"""
+        return self.state(now) is READY
+
+    @property
+    def is_draining(self) -> bool:
+        """Is work to be moved off it?"""
+        return self.draining or self.preemption_at is not None
+
+    @property
+    def epoch(self) -> int:
+        """The agent epoch in which it was last heard; 0: it was never heard."""
+        return self.messages.epoch
+
+    def begin_epoch(self, epoch: int, now: int) -> None:
+        """Its agent is heard in a new epoch: what is on it must be shown anew."""
+        if self.lost:
+            self.back_at = now
+        self.messages.begin(epoch, now)
+        self.lost = False
+        self.synced = False
+        self.up = True
+
+    def mark_synced(self, now: int) -> None:
+        """It has shown our fencing token, and so all that is on it."""
+        self.synced = True
+        self.up = True
+        self.up_at = self.up_at or now
+
+    def mark_lost(self) -> None:
+        """Its lease has expired, and with it its agent epoch."""
+        self.lost = True
+        self.synced = False
+        self.unsynced_since = 0
+        self.messages.end()
+        self.images.clear()
+
+    # Room
 
     def book(self, attempt: Attempt) -> None:
-        """Give an attempt its place."""
+        """Take the attempt's room."""
         attempt.bid = attempt.job_state.bid
         self.free.take(attempt.job_state.job)
         self.booked += attempt.bid
 
     def unbook(self, attempt: Attempt) -> None:
-        """It is to stop, or gone."""
+        """Give the room of an attempt back that is to stop, or gone."""
         self.free.take(attempt.job_state.job, -1)
         self.booked -= attempt.bid
 
@@ -151,7 +220,7 @@
                 self.book(attempt)
 
     def room(self) -> Resources:
-        """What is free beside all that may be there, commands apart."""
+        """What is free beside all attempts that may be there, also those that are to stop."""
         room = Resources.of(self.machine_type)
         for attempt in self.attempts.values():
             if attempt.may_be_on_machine:
@@ -169,14 +238,15 @@
 
     @property
     def is_full(self) -> bool:
-        """A worker's report must fit into 64 KiB, and so must the tasks that it lists."""
+        """Does it list as many tasks as its report may hold?"""
         return len(self.attempts) + len(self.orphaned_attempts) >= MAX_TASKS_PER_MACHINE
 
-    def busy_with(self, key: tuple[str, int]) -> bool:
-        """Is another attempt of the task still there? One that has ended does not count, not
-        even one whose order may arrive again: the worker knows its number while it lists it."""
+    def busy_with(self, key: TaskKey) -> bool:
+        """Is another attempt of the task still there? One that has ended does not count, not even
+        one whose start command may arrive again: the worker knows its number while it lists it."""
         return any(
-            known[:2] == key and not rest.ended for known, rest in self.orphaned_attempts.items()
+            known[:2] == key and not orphan.ended
+            for known, orphan in self.orphaned_attempts.items()
         )
 
     def keep_image(self, image: str, size_gb: float) -> None:
@@ -186,52 +256,65 @@
         while sum(self.images.values()) > self.machine_type.cache_gb and len(self.images) > 1:
             del self.images[next(iter(self.images))]
 
+    def add_usage(self, attempt: Attempt, now: int) -> None:
+        """Count the time of an attempt that is gone."""
+        if not attempt.running_since:
+            return
+        job_state = attempt.job_state
+        spent_s = self.share(job_state.job) * (now - attempt.running_since) / US
+        if (
+            job_state.is_done(attempt.index)
+            or job_state.job.checkpoint_interval_us
+            or job_state.job.service
+        ):
+            self.usage.useful_s += spent_s
+        else:
+            self.usage.wasted_s += spent_s
+
 
 class JobState:
     """An open job as its shard leader sees it."""
 
     def __init__(self, job: Job, version: int, now: int, age_us: int) -> None:
         self.job = job
-        self.version = version
+        self.version = version  # of its record in the key-value store
         self.submitted_at = now - age_us
+        self.started_at = 0  # when its first task ran
+        self.closed = False  # cancelled or over: nothing may start
+
+        # Results, as bits by task, and those of them that this shard recorded.
         self.done = bytearray((job.tasks + 7) // 8)
+        self.own = bytearray(len(self.done))
         self.done_count = 0
-        self.own = bytearray(len(self.done))  # of these, results that this shard recorded
-        # The tasks that are leased to this shard, as ranges; all of them if there is but one.
-        self.ranges: list[tuple[int, int]] = [(0, job.tasks)]
-        self.size = job.tasks
-        self.part_done = 0  # how many of them are done
-        self.unstored: set[int] = set()
-        self.fresh = (0, 0)  # the range, and the task in it, from which none was looked at
-        self.again: list[int] = []
+        self.unstored: set[int] = set()  # of our own, those not in the key-value store so far
+
+        # Attempts.
+        self.queue = TaskQueue(job.tasks)
+        self.queue_done = 0  # tasks of the queue that are done
         self.live: dict[int, Attempt] = {}
         self.live_open = 0  # of these, tasks that are not done
-        self.started_at = 0
-        self.closed = False  # cancelled or over: nothing may start
-        self.retry_at = 0
-        self.failures = 0
-        self.trials = 0  # failures on other machines, or on the same one after a while
-        self.lasted = False  # has a replica of it run for long?
-        self.given_up = 0  # how often a task was taken off a machine for being slow
-        self.failed_on: dict[str, int] = {}  # machines to keep it off, until when
+        self.history = FailureHistory()
+        self.retry_at = 0  # nothing is started until then
+
+        # The market.
         self.bid = 0.0
         self.slots: int | None = None  # what the auction gave it; None before its first round
         self.need: int | None = None  # what must run now for it to be done in time
-        # Has it a deadline or a promise of its class, even if it is late by now? Arrays only.
+        # Has it a deadline or an objective of its class, even if it is late by now? Arrays only.
         self.has_objective = True
-        self.finished_recent = 0
+        self.finished_recent = 0  # tasks that completed since the last round
         self.ran_us = 0  # run time of its tasks that completed, and how many those were
         self.ran_count = 0
-        self.rate = 0.0
+        self.rate = 0.0  # measured, in tasks a second; of a service, how many replicas run
+
+    # Results
 
     def is_done(self, index: int) -> bool:
+        """Has the task completed?"""
         return bool(self.done[index >> 3] >> (index & 7) & 1)
 
-    def holds(self, index: int) -> bool:
-        return any(low <= index < high for low, high in self.ranges)
-
     def note(self, index: int, own: bool) -> bool:
-        """Take in a result, ours or one that another shard recorded; True if it is news."""
+        """Take in a result, ours or one that another shard recorded; True if it is new."""
         if index >= self.job.tasks:
             return False
         bit = 1 << (index & 7)
@@ -242,88 +325,72 @@
         self.done[index >> 3] |= bit
         self.done_count += 1
         self.live_open -= index in self.live
-        self.part_done += self.holds(index)
+        self.queue_done += self.queue.holds(index)
         return True
 
     def finish(self, index: int) -> None:
-        """A task of ours has completed."""
+        """Take in that a task has completed on a machine of this shard."""
         if self.note(index, own=True):
             self.finished_recent += 1
             self.unstored.add(index)
 
+    @property
+    def complete(self) -> bool:
+        """Have all tasks completed?"""
+        return self.done_count >= self.job.tasks
+
+    @property
+    def proven(self) -> bool:
+        """Has it shown that it can run?"""
+        return bool(self.done_count) or self.history.lasted
+
+    # The tasks of this shard
+
     def assign(self, ranges: list[tuple[int, int]]) -> None:
         """From now on these tasks are this shard's to start."""
-        self.ranges = ranges
-        self.size = sum(high - low for low, high in ranges)
-        self.part_done = sum(
+        self.queue.assign(ranges)
+        self.queue_done = sum(
             1 for low, high in ranges for index in range(low, high) if self.is_done(index)
         )
-        self.fresh = (0, 0)
-        self.again.clear()
 
     def rewind(self) -> None:
-        """Look at all tasks again."""
-        self.fresh = (0, 0)
-        self.again.clear()
+        """Pass all tasks anew when the next ones are started."""
+        self.queue.rewind()
+
+    def next_index(self) -> int | None:
+        """Take the task to start next; None if there is none."""
+        return self.queue.next(self.live, self.is_done)
+
+    def spare_tail(self) -> tuple[int, int] | None:
+        """Tasks that another shard may start instead: the later half of the last range, if none
+        of it was ever started here."""
+        return self.queue.untouched_tail((*self.live, *self.unstored))
+
+    @property
+    def remaining(self) -> int:
+        """Tasks of this shard that are not done."""
+        return self.queue.size - self.queue_done
+
+    @property
+    def waiting(self) -> int:
+        """Tasks of this shard that are neither done nor bound to a machine."""
+        return self.queue.size - self.queue_done - self.live_open
+
+    # Attempts
 
     def bind(self, attempt: Attempt) -> None:
+        """The task is bound to a machine."""
         self.live[attempt.index] = attempt
         self.live_open += not self.is_done(attempt.index)
 
     def unbind(self, index: int) -> bool:
-        """False if it was not bound."""
+        """The task is bound no more; False if it was not bound."""
         if self.live.pop(index, None) is None:
             return False
         self.live_open -= not self.is_done(index)
         return True
 
-    @property
-    def complete(self) -> bool:
-        return self.done_count >= self.job.tasks
-
-    @property
-    def proven(self) -> bool:
-        """Has it shown that it can run?"""
-        return bool(self.done_count) or self.lasted
-
-    @property
-    def remaining(self) -> int:
-        """Tasks of this shard's ranges that are not done."""
-        return self.size - self.part_done
-
-    @property
-    def waiting(self) -> int:
-        """Tasks neither done nor on a machine nor bound to one."""
-        return self.remaining - self.live_open
-
     @property
     def running(self) -> int:
-        return sum(1 for attempt in self.live.values() if attempt.stage == "running")
-
-    def next_index(self) -> int | None:
-        """A task to start next; repeated ones first."""
-        while self.again:
-            index = self.again.pop()
-            if index not in self.live and not self.is_done(index) and self.holds(index):
-                return index
-        part, at = self.fresh
-        while part < len(self.ranges):
-            low, high = self.ranges[part]
-            for index in range(max(low, at), high):
-                if index not in self.live and not self.is_done(index):
-                    self.fresh = (part, index + 1)
-                    return index
-            part, at = part + 1, 0
-        self.fresh = (part, at)
-        return None
-
-    def spare_tail(self) -> tuple[int, int] | None:
-        """The later half of the last range, as far as no task of it was ever looked at here."""
-        if not self.ranges or self.fresh[0] >= len(self.ranges):
-            return None
-        low, high = self.ranges[-1]
-        if self.fresh[0] == len(self.ranges) - 1:
-            low = max(low, self.fresh[1])
-        middle = (low + high + 1) // 2
-        clear = not any(middle <= i < high for i in (*self.live, *self.unstored, *self.again))
-        return (middle, high) if middle < high and clear else None
+        """How many of its tasks run."""
+        return sum(1 for attempt in self.live.values() if attempt.stage == RUNNING)
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -6,6 +6,7 @@
 
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import Job, Resources
+from basaltlead.core.task_states import BEFORE_FIRST_RUN
 
 REPLICA_LOSS_S = 30.0  # what stopping a replica of lower rank is reckoned to cost
 
@@ -81,7 +82,7 @@
 def loss(attempt: Attempt, now: int) -> float:
     """What stopping an attempt would waste, in CPU seconds."""
     job = attempt.job_state.job
-    if attempt.stage in ("planned", "sent", "fetching", "gathering"):
+    if attempt.stage in BEFORE_FIRST_RUN:
         return 0.0
     if job.service:  # it only stands still until it runs elsewhere
         return REPLICA_LOSS_S * job.size
--- a/basaltlead/core/planning.py
+++ b/basaltlead/core/planning.py
@@ -13,6 +13,7 @@
 from basaltlead.core.jobs import RANKS, US, Job, Shape, allowed
 from basaltlead.core.replica_placement import ReplicaChoice
 from basaltlead.core.shard import Shard
+from basaltlead.core.task_states import EXECUTING
 from basaltlead.core.teams import TeamQuota
 
 MOST_STARTS = 2000  # of one job in one plan
@@ -35,8 +36,8 @@
     used = shard.used(job_state.job.team)
     count = job_state.job.together
     return (
-        used[0] + job_state.job.cpus * count <= team.cpus + 1e-6
-        and used[1] + job_state.job.gpus * count <= team.gpus + 1e-6
+        used.cpus + job_state.job.cpus * count <= team.cpus + 1e-6
+        and used.gpus + job_state.job.gpus * count <= team.gpus + 1e-6
     )
 
 
@@ -55,10 +56,10 @@
         if not job_state.closed:
             shares[job_state.job.team] = shares.get(job_state.job.team, 0.0) + job_state.bid
     total = sum(shares.values()) or 1.0
-    in_use = sum(used[0] for used in shard.team_used.values()) or 1.0
+    in_use = sum(used.cpus for used in shard.team_used.values()) or 1.0
 
     def excess(team: str) -> float:
-        return shard.used(team)[0] / in_use - shares.get(team, 0.0) / total
+        return shard.used(team).cpus / in_use - shares.get(team, 0.0) / total
 
     ready = [w for w in shard.job_states.values() if not shard.blocked(w, now) and w.waiting > 0]
     return sorted(
@@ -133,11 +134,12 @@
         for lot, machines in machine_groups.items():
             if allowed(job_state.job, *lot[:3]) and machines[0].machine_type.holds(job_state.job):
                 suited += machines
-        if self.kept or job_state.failed_on:
+        failed_on = job_state.history.failed_on
+        if self.kept or failed_on:
             return [
                 m
                 for m in suited
-                if m.name not in self.kept and job_state.failed_on.get(m.name, 0) <= self.now
+                if m.name not in self.kept and failed_on.get(m.name, 0) <= self.now
             ]
         return suited
 
@@ -145,7 +147,7 @@
         """What decides whether a job finds room. A job that failed somewhere is a case of its
         own, and so is one whose tasks must be seen together."""
         job = job_state.job
-        if job_state.failed_on or (job.whole and job_state.live):
+        if job_state.history.failed_on or (job.whole and job_state.live):
             return None
         return (
             job.shape,
@@ -171,8 +173,8 @@
             return False
         used = self.shard.used(job.team)
         return not (
-            (team.cpus_max and used[0] + job.cpus * count > team.cpus_max + 1e-6)
-            or (team.gpus_max and used[1] + job.gpus * count > team.gpus_max + 1e-6)
+            (team.cpus_max and used.cpus + job.cpus * count > team.cpus_max + 1e-6)
+            or (team.gpus_max and used.gpus + job.gpus * count > team.gpus_max + 1e-6)
         )
 
     def _tasks(self, job_state: JobState, limit: int) -> None:
@@ -258,9 +260,7 @@
         live = list(job_state.live.values())
         attempt_number = live[0].attempt_number
         if any(
-            a.stop_grace_s is not None
-            or a.attempt_number != attempt_number
-            or a.stage in ("running", "saving")
+            a.stop_grace_s is not None or a.attempt_number != attempt_number or a.stage in EXECUTING
             for a in live
         ):
             return  # they exit, then the gang is placed anew
@@ -359,7 +359,9 @@
         """Which other jobs' tasks may be stopped to make room for a replica. For a service that
         only fails nobody has to give way: it would stop others' work with each of its tries."""
         within = fits_guarantee(self.shard, job_state)
-        may = job_state.trials < TRIALS_OF_ITS_OWN and (job_state.job.rank >= HIGH_RANK or within)
+        may = job_state.history.trials < TRIALS_OF_ITS_OWN and (
+            job_state.job.rank >= HIGH_RANK or within
+        )
         return lambda other: may and self._may_stop(job_state.job, within, other)
 
     def _may_stop(self, job: Job, within: bool, victim: JobState) -> bool:
@@ -369,7 +371,7 @@
             return False
         team = self.shard.teams.get(victim.job.team, TeamQuota())
         used = self.shard.used(victim.job.team)
-        return used[0] > team.cpus + 1e-6 or used[1] > team.gpus + 1e-6
+        return used.cpus > team.cpus + 1e-6 or used.gpus > team.gpus + 1e-6
 
     def _openings(
         self, job_state: JobState, suited: list[Machine]
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -1,256 +1,225 @@
-"""One shard leader: what its machines must be told, given the picture that their reports give."""
+"""A shard as its leader acts on it: what is reported, what is decided, and the commands for it."""
 
 from collections.abc import Iterable
 
-from basaltlead.core.commands import TaskCommand
+from basaltlead.core.attempt_table import AttemptTable
+from basaltlead.core.commands import CommandGenerator, TaskCommand, has_pending_commands
+from basaltlead.core.draining import Drainer
 from basaltlead.core.entities import Attempt, JobState, Machine
-from basaltlead.core.jobs import US
-from basaltlead.core.shard_state import Message, ShardState
+from basaltlead.core.failures import FailurePolicy
+from basaltlead.core.fleet import Fleet
+from basaltlead.core.jobs import Job
+from basaltlead.core.open_jobs import OpenJobs
+from basaltlead.core.reconciliation import (
+    OUTDATED,
+    REFUSED,
+    UNPROVEN,
+    HeartbeatReconciler,
+)
+from basaltlead.core.reports import WorkerReport
+from basaltlead.core.run_times import RunTimes
+from basaltlead.core.signals import Log, ShardSignals
+from basaltlead.core.stragglers import StragglerDetector
+from basaltlead.core.task_reports import TaskReports
+from basaltlead.core.teams import TeamQuota, TeamUsage
+from basaltlead.core.timing import Timing
+
+
+def _no_log(text: str) -> None:
+    """Used where nobody reads what a shard logs."""
+
+
+class Shard:
+    """The one entrance to a shard: joins the parts that keep its jobs, attempts and machines.
+
+    Does no input or output. Each method takes the time, so that all that happens under one grant
+    is determined by the calls.
+    """
+
+    def __init__(
+        self,
+        fencing_token: int,
+        version: int,
+        now: int,
+        timing: Timing,
+        teams: dict[str, TeamQuota],
+        log: Log = _no_log,
+    ) -> None:
+        self.fencing_token = fencing_token
+        self.version = version  # of the grant: jobs accepted later were never started by others
+        self.took_at = now
+        self.timing = timing
+        self.teams = teams
+        self._signals = ShardSignals()
+        self._jobs = OpenJobs(self._signals)
+        self._attempts = AttemptTable(fencing_token, self._jobs, self._signals)
+        self._fleet = Fleet(self._attempts, self._signals, log)
+        self._failures = FailurePolicy(self._jobs, self._fleet.machines, log)
+        self._run_times = RunTimes()
+        self._stragglers = StragglerDetector(self._attempts, self._run_times, log)
+        self._drainer = Drainer(self._attempts, timing)
+        self._commands = CommandGenerator(self._jobs)
+        task_reports = TaskReports(self._jobs, self._attempts, self._failures, self._run_times, log)
+        self._reconciler = HeartbeatReconciler(
+            fencing_token, timing, self._fleet, self._attempts, task_reports
+        )
+        # Tables of the parts, which plans and sizing pass over again and again.
+        self.job_states = self._jobs.by_ref
+        self.machines = self._fleet.machines
+        self.unsynced = self._fleet.unsynced
+        self.gone = self._fleet.gone
+        self.urgent = self._signals.urgent
+        self.team_used = self._attempts.team_used
+        self.ratio = self._run_times.ratio
+
+    @property
+    def dirty(self) -> bool:
+        """May a plan bind tasks that the last one could not?"""
+        return self._signals.dirty
+
+    @dirty.setter
+    def dirty(self, dirty: bool) -> None:
+        self._signals.dirty = dirty
+
+    # Jobs
+
+    def add_job(self, job: Job, version: int, now: int, age_us: int = 0) -> JobState:
+        """Take in an open job whose record has this version; a known one stays as it is."""
+        return self._jobs.add(job, version, now, age_us)
+
+    def close_job(self, ref: str) -> None:
+        """Cancelled, or over: nothing of it may start, and what is there must go."""
+        job_state = self.job_states.get(ref)
+        if job_state is None:
+            return
+        job_state.closed = True
+        if not (job_state.history.lasted or job_state.complete):
+            self._failures.clear(job_state)  # it never showed that it can run
+        self._attempts.stop_all(job_state)
+        self._jobs.discard_if_over(job_state)
+        self._signals.dirty = True
+
+    def stored(self, job_state: JobState, indices: Iterable[int]) -> None:
+        """These results are in the key-value store: their workers may forget them."""
+        self._jobs.mark_stored(job_state, indices)
+
+    def blocked(self, job_state: JobState, now: int) -> bool:
+        """May none of its tasks be started now? Until every machine that might hold a task
+        has shown our fencing token, only jobs that no earlier shard leader can have started are
+        free."""
+        return (
+            job_state.closed
+            or now < job_state.retry_at
+            or (job_state.version <= self.version and bool(self.unsynced))
+        )
+
+    def guess_us(self, job_state: JobState) -> int:
+        """How long a task of the job will run."""
+        return self._run_times.guess_us(job_state)
+
+    # Attempts
+
+    def next_attempt_number(self) -> int:
+        """The number of a new attempt, unique among all shard leaders."""
+        return self._attempts.next_attempt_number()
+
+    def used(self, team: str) -> TeamUsage:
+        """What a team's tasks take, those counted that only may be there."""
+        return self._attempts.used(team)
+
+    def start(
+        self, job_state: JobState, index: int, machine: Machine, attempt_number: int, now: int
+    ) -> Attempt:
+        """Bind a task to a machine; its start command goes out once there is room for it."""
+        return self._attempts.start(job_state, index, machine, attempt_number, now)
 
-SLOW_TIMES = 6  # a machine is slow if a task takes that many times what others took
-MOST_GIVEN_UP = 4  # tasks of one job that are taken off slow machines
-# For how long a job keeps off a machine that was slow for it. It may be the only one that fits,
-# and no job is to wait for 90 s beside room for it.
-AVOID_US = 60 * US
-MAX_COMMANDS = 250  # in one message: keeps a line far below 64 KiB
+    def stop(self, attempt: Attempt, grace_s: float) -> None:
+        """Have an attempt stopped, with so long to save a checkpoint."""
+        self._attempts.stop(attempt, grace_s)
 
+    def stop_gracefully(self, attempt: Attempt) -> None:
+        """Stop it so that its progress is saved if that can be; a gang's tasks go together."""
+        self._attempts.stop_gracefully(attempt)
 
-class Shard(ShardState):
-    """Takes in reports and gives orders."""
+    # Machines
 
-    # Reports
+    def load_machine(self, machine: Machine) -> None:
+        """Add one that the key-value store lists as in use when we acquire the shard."""
+        self._fleet.load(machine)
 
-    def heartbeat(self, heartbeat: Message, now: int) -> list[TaskCommand] | None:
-        """A report; the orders for its answer, or None when it must not be answered with 200.
+    def add_machine(self, machine: Machine) -> None:
+        """Add one that can't hold any task yet, unless it is known."""
+        self._fleet.add(machine)
 
-        A report that does not show our fencing token may be a copy from long ago, or come from a
-        machine that our answers don't reach. It is answered, so that a live machine can show it
-        next time, but for one lease at most: after that the silence ends the machine's own lease,
-        and nothing waits for it any longer.
-        """
+    def drop_machine(self, name: str, now: int) -> None:
+        """It is deleted: everything on it is gone."""
+        self._fleet.drop(name, now)
+
+    def mark_unreachable(self, machine: Machine, now: int) -> None:
+        """A command went unanswered: nothing new is given to it until it is proven to hear us."""
+        self._fleet.mark_unreachable(machine, now)
+
+    def settled(self, machine: Machine) -> bool:
+        """Would nothing be lost if the machine were returned?"""
+        return self._commands.is_settled(machine)
+
+    @property
+    def has_unaccounted_tasks(self) -> bool:
+        """Is there, or may there be, a task on some machine that we do not account for?"""
+        return self._fleet.has_unaccounted_tasks
+
+    # Reports and commands
+
+    def heartbeat(self, heartbeat: WorkerReport, now: int) -> list[TaskCommand] | None:
+        """Take in a heartbeat; the commands for its answer, or None when it must not be answered
+        with 200, since that would renew the worker's lease."""
         machine = self.machines.get(heartbeat.machine)
-        if machine is None or heartbeat.fencing_token > self.fencing_token:
+        if machine is None:
             return None
-        if heartbeat.epoch < machine.min_epoch:
+        receipt = self._reconciler.receive(machine, heartbeat, now)
+        if receipt is REFUSED:
             return None
-        if (heartbeat.epoch, heartbeat.sequence) <= (machine.epoch, machine.heartbeat_sequence):
-            return []  # a late copy
-        if heartbeat.fencing_token < self.fencing_token:
-            machine.unsynced_since = machine.unsynced_since or now
-            if now - machine.unsynced_since > self.timing.lease_us:
-                return None
-            if machine.lost:  # only what shows our fencing token proves that it is back
-                return self.halt_orphans(heartbeat)
-        if heartbeat.epoch > machine.epoch:
-            self._begin_epoch(machine, heartbeat.epoch, now)
-        machine.heartbeat_sequence = heartbeat.sequence
-        newest = heartbeat.sequence > machine.sequence
-        machine.heard_at = now
-        machine.address = heartbeat.address
-        self._note_preemption_notice(machine, heartbeat.preemption_notice_s, newest, now)
-        if heartbeat.fencing_token == self.fencing_token:
-            self._take_in(machine, heartbeat, newest, now)
-        self._drain(machine, now)
+        if receipt is OUTDATED:
+            return []
+        if receipt is UNPROVEN:
+            return self.halt_orphans(heartbeat)
+        self._drainer.drain(machine, now)
         machine.answered_at = now
-        return self.commands(machine, now) if machine.synced else self.halt_orphans(heartbeat)
-
-    def _note_preemption_notice(
-        self, machine: Machine, preemption_notice_s: float | None, newest: bool, now: int
-    ) -> None:
-        """Take in whether the machine has a notice, which only a newer report may take back."""
-        if preemption_notice_s is None:
-            if newest:
-                machine.preemption_at = None
-            return
-        if machine.preemption_at is None:
-            self.log(f"machine {machine.name} recalled in {preemption_notice_s:.1f} s")
-            self.dirty = True
-        machine.preemption_at = now + int(max(0.0, preemption_notice_s) * US)
-
-    def _take_in(self, machine: Machine, heartbeat: Message, newest: bool, now: int) -> None:
-        """Take in a report that shows our fencing token."""
-        if machine.unsynced_since:  # it did not show it before
-            machine.unsynced_since = 0
-            self.confirm_reachable(machine)
-        doubted_at = max(machine.epoch_started_at, machine.unreachable_since)
-        if now - doubted_at > self.timing.lease_expiry_us:
-            # Did it not hear us, its lease, and with it its session, would have ended.
-            self.confirm_reachable(machine)
-        self._apply(machine, heartbeat, now, newest=newest, settles=True)
-        machine.sequence = max(machine.sequence, heartbeat.sequence)
-
-    def halt_orphans(self, heartbeat: Message) -> list[TaskCommand]:
-        """Halts for tasks of jobs that are over, on a machine of which we have no picture so far.
-        The answer renews its lease, and it may be the last one that it gets: an order that
-        waited for the next would come too late for a cancellation from long before us."""
-        out: list[TaskCommand] = []
-        for seen in heartbeat.tasks:
-            ref, _, number = seen.task.rpartition("/")
-            job_state = self.job_states.get(ref)
-            if seen.stage != "ended" and (job_state is None or job_state.closed):
-                out.append(TaskCommand("halt", ref, int(number), seen.attempt_number, 0.0))
-        return out[:MAX_COMMANDS]
-
-    def answer(self, heartbeat: Message, now: int, pushed_starts: Iterable[Attempt] = ()) -> None:
-        """The answer to direct orders. `pushed_starts` are the starts that it proves to be
-        executed."""
-        machine = self.machines.get(heartbeat.machine)
-        if machine is not None and heartbeat.epoch == machine.epoch:
-            for attempt in pushed_starts:
-                attempt.sent_sequence = max(attempt.sent_sequence, heartbeat.sequence)
-        if machine is None or heartbeat.epoch < machine.min_epoch:
-            return
-        if heartbeat.epoch > machine.epoch:
-            self._begin_epoch(machine, heartbeat.epoch, now)
-        if heartbeat.epoch < machine.epoch:
-            return
-        self.confirm_reachable(machine)
-        if heartbeat.sequence <= machine.sequence:
-            return
-        if heartbeat.fencing_token == self.fencing_token:
-            self._apply(machine, heartbeat, now, newest=True, settles=False)
-            machine.sequence = heartbeat.sequence
+        if not machine.synced:
+            return self.halt_orphans(heartbeat)
+        return self._commands.for_heartbeat(machine, machine.messages.heartbeat_sequence)
 
-    # Orders
+    def halt_orphans(self, heartbeat: WorkerReport) -> list[TaskCommand]:
+        """Halts for tasks of jobs that are over, on a machine that we do not know fully."""
+        return self._commands.halt_orphans(heartbeat)
 
-    def commands(self, machine: Machine, now: int) -> list[TaskCommand]:
-        """What the machine must be told, given what it last reported."""
-        if not machine.synced or machine.terminating:
-            return []
-        out = [*self._orphan_commands(machine), *self._stop_commands(machine)]
-        for attempt in self.startable(machine, now):
-            attempt.stage = "sent"
-            attempt.sent_sequence = machine.heartbeat_sequence
-            out.append(self._task_command("run", attempt, None))
-        return out[:MAX_COMMANDS]
-
-    def _orphan_commands(self, machine: Machine) -> list[TaskCommand]:
-        """What becomes of attempts that are over, or that nobody wants."""
-        out: list[TaskCommand] = []
-        for (ref, index, attempt_number), rest in machine.orphaned_attempts.items():
-            if not rest.ended:
-                out.append(TaskCommand("halt", ref, index, attempt_number, 0.0))
-            elif not rest.start_unacknowledged and (rest.forgettable or self._kept(ref, index)):
-                out.append(TaskCommand("forget", ref, index, attempt_number))
-            if len(out) >= MAX_COMMANDS:
-                break  # the others go with the next answer
-        return out
-
-    def _stop_commands(self, machine: Machine) -> list[TaskCommand]:
-        """Halts for attempts that are to stop. A start that was never answered goes out once
-        more before its halt, so that a copy that comes later starts nothing."""
-        out: list[TaskCommand] = []
-        for attempt in machine.attempts.values():
-            if attempt.stop_grace_s is None:
-                continue
-            if attempt.stage == "sent" and attempt.start_unacknowledged:
-                out.append(self._task_command("run", attempt, None))
-            if attempt.stage == "saving" and attempt.stop_grace_s > 0:
-                continue
-            if attempt.stage != "sent" or attempt.start_unacknowledged:
-                out.append(self._task_command("halt", attempt, attempt.stop_grace_s))
-        return out
-
-    def take_push_commands(
-        self, machine: Machine, now: int
-    ) -> tuple[list[TaskCommand], list[Attempt]]:
-        """Orders worth sending at once, and the starts among them. A start that is on its way
-        directly is in no report's answer, and bound to its machine until it is settled."""
-        if not machine.synced or machine.terminating or machine.lost or not machine.address:
-            return [], []
-        out: list[TaskCommand] = []
-        for attempt in machine.attempts.values():
-            if (
-                attempt.stop_grace_s is None
-                or attempt.pushed_grace_s == attempt.stop_grace_s
-                or attempt.stage
-                in (
-                    "planned",
-                    "sent",
-                )
-            ):
-                continue
-            attempt.pushed_grace_s = attempt.stop_grace_s
-            out.append(self._task_command("halt", attempt, attempt.stop_grace_s))
-        pushed_starts = [a for a in self.startable(machine, now) if a.stage == "planned"]
-        for attempt in pushed_starts:
-            attempt.stage = "sent"
-            attempt.start_in_flight = True
-            out.append(self._task_command("run", attempt, None))
-        return out, pushed_starts
+    def take_push_commands(self, machine: Machine) -> tuple[list[TaskCommand], list[Attempt]]:
+        """Commands worth sending at once, and the starts among them, which are in flight then."""
+        return self._commands.take_push_commands(machine)
 
     def has_pending_commands(self, machine: Machine) -> bool:
-        """Has it orders that were not sent so far? Some wait for room, or for an answer."""
-        return any(
-            a.pushed_grace_s != a.stop_grace_s
-            if a.stop_grace_s is not None
-            else a.stage == "planned"
-            for a in machine.attempts.values()
-        )
-
-    def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
-        """Direct starts were executed, were not, or (None) nobody knows."""
-        for attempt in pushed_starts:
-            attempt.start_in_flight = False
-            if executed is None:
-                attempt.start_unacknowledged = True  # sent again with the next report's answer
-            elif not executed and attempt.stage == "sent":
-                attempt.stage = "planned"
-                self.urgent[attempt.machine.name] = None
-                self.dirty = True
-
-    def startable(self, machine: Machine, now: int) -> list[Attempt]:
-        """Wishes that may go out now: there is room beside all that may be on the machine."""
-        waiting = [
-            a
-            for a in machine.attempts.values()
-            if a.stop_grace_s is None and a.stage in ("planned", "sent") and not a.start_in_flight
-        ]
-        if not waiting or machine.lost or not machine.recorded:
-            return []
-        room = machine.room()
-        out = []
-        for attempt in sorted(waiting, key=lambda a: -a.job_state.job.rank):
-            if attempt.stage == "sent":
-                out.append(attempt)
-            elif room.fits(attempt.job_state.job) and not machine.busy_with(attempt.key):
-                room.take(attempt.job_state.job)
-                out.append(attempt)
-        return out
-
-    @staticmethod
-    def _task_command(verb: str, attempt: Attempt, grace_s: float | None) -> TaskCommand:
-        return TaskCommand(
-            verb, attempt.job_state.job.ref, attempt.index, attempt.attempt_number, grace_s
-        )
+        """Has it commands that were not sent so far?"""
+        return has_pending_commands(machine)
 
-    def _kept(self, ref: str, index: int) -> bool:
-        """Is the result stored? Results of jobs that are over need none."""
-        job_state = self.job_states.get(ref)
-        return (
-            job_state is None
-            or job_state.closed
-            or (
-                index < job_state.job.tasks
-                and job_state.is_done(index)
-                and index not in job_state.unstored
-            )
-        )
+    def answer(
+        self, heartbeat: WorkerReport, now: int, pushed_starts: Iterable[Attempt] = ()
+    ) -> None:
+        """Take in the answer to pushed commands. `pushed_starts` are the starts that it proves to
+        be executed."""
+        machine = self.machines.get(heartbeat.machine)
+        if machine is not None:
+            self._reconciler.receive_answer(machine, heartbeat, now, pushed_starts)
 
-    def settled(self, machine: Machine) -> bool:
-        """Would nothing be lost if the machine were returned? An attempt whose number must not be
-        forgotten stays listed for as long as its session lasts: it is no reason to go on paying
-        for the machine."""
-        return not machine.attempts and all(
-            rest.ended and (rest.forgettable or self._kept(ref, index))
-            for (ref, index, _), rest in machine.orphaned_attempts.items()
-        )
+    def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
+        """Pushed starts were executed, were not, or (None) nobody knows."""
+        self._attempts.acknowledge_starts(pushed_starts, executed)
 
     # Time
 
     def advance(self, now: int) -> None:
-        """What changes by the mere passing of time."""
-        # Ten times a second, over thousands of machines: most have nothing to be looked at.
+        """Take in what changes by the mere passing of time: leases expire, machines with a
+        preemption notice are emptied, stragglers are stopped."""
+        # Ten times a second, over thousands of machines: most have nothing to be done for.
         silent_before = now - self.timing.lease_expiry_us
         due = [
             m
@@ -259,72 +228,8 @@
         ]
         for machine in due:
             since = max(machine.answered_at, self.took_at)
-            if not machine.lost and now - since > self.timing.lease_expiry_us:
-                if machine.up or machine.name in self.unsynced:
-                    self._lose(machine, now)
-            else:
-                self._drain(machine, now)
-        if now >= self.slow_checked_at + US:
-            self.slow_checked_at = now
-            for job_state in list(self.job_states.values()):
-                if job_state.live and not job_state.closed:
-                    self._give_up_slow(job_state, now)
-
-    def _give_up_slow(self, job_state: JobState, now: int) -> None:
-        """Take tasks off machines that are much slower than their kind: what takes many times as
-        long as the job's other tasks did, or as its class was guessed to take. A job that is
-        slow everywhere is left alone after a few tries, and one without a guess from the start."""
-        if (
-            job_state.given_up >= MOST_GIVEN_UP
-            or job_state.job.guess_us <= 0
-            or job_state.job.service
-        ):
-            return
-        if job_state.ran_count >= 3:
-            limit = SLOW_TIMES * self.guess_us(job_state) + 30 * US
-        else:
-            limit = 2 * SLOW_TIMES * self.guess_us(job_state) + 60 * US
-        for attempt in list(job_state.live.values()):
-            if (
-                attempt.stage != "running"
-                or attempt.stop_grace_s is not None
-                or not attempt.running_since
-            ):
-                continue
-            machine = attempt.machine
-            if (
-                now - attempt.running_since > limit
-                and not machine.unreachable_since
-                and not machine.lost
-            ):
-                job_state.given_up += 1
-                job_state.failed_on[machine.name] = now + AVOID_US
-                machine.straggler_jobs.add(job_state.job.ref)
-                self.log(
-                    f"machine {machine.name} is slow: {job_state.job.ref}/{attempt.index} given up"
-                )
-                if len(machine.straggler_jobs) >= 2:
-                    machine.draining = True
-                self.stop_gracefully(attempt)
-
-    def _drain(self, machine: Machine, now: int) -> None:
-        """Move work off a machine that will be taken away, saving what can be saved."""
-        if machine.preemption_at is None and not machine.draining:
-            return
-        left_us = None if machine.preemption_at is None else machine.preemption_at - now
-        last_moment_us = 2 * self.timing.heartbeat_interval_us + US
-        for attempt in list(machine.attempts.values()):
-            if attempt.stop_grace_s is not None:
-                continue
-            job = attempt.job_state.job
-            if attempt.stage in ("planned", "fetching", "gathering"):
-                self.stop(attempt, 0.0)
-            elif job.service:  # a plan moves it once there is a place for it, or it goes now
-                if left_us is not None and left_us <= last_moment_us:
-                    self.stop(attempt, 0.0)
-            elif job.checkpoint_interval_us > 0 and attempt.stage == "running":
-                need_us = int(job.checkpoint_duration_s * US) + last_moment_us
-                if left_us is None or left_us <= need_us:
-                    self.stop_gracefully(attempt)
-            elif machine.draining and (machine.failed_jobs or machine.straggler_jobs):
-                self.stop(attempt, 0.0)
+            if machine.lost or now - since <= self.timing.lease_expiry_us:
+                self._drainer.drain(machine, now)
+            elif machine.up or machine.name in self.unsynced:
+                self._fleet.lose(machine, now)
+        self._stragglers.check(self.job_states, now)
--- /dev/null
+++ b/basaltlead/core/task_queue.py
@@ -0,0 +1,65 @@
+"""In which order a shard starts the tasks of one job."""
+
+from collections.abc import Callable, Collection
+
+
+class TaskQueue:
+    """The tasks of a job that are assigned to this shard, and which of them is to start next.
+
+    Each assigned task is passed once, in order; one whose attempt was lost is put back and comes
+    before those that were not passed so far.
+    """
+
+    def __init__(self, tasks: int) -> None:
+        self.ranges: list[tuple[int, int]] = [(0, tasks)]
+        self.size = tasks
+        self._position = (0, 0)  # the range, and the task in it, before which all were passed
+        self._returned: list[int] = []
+
+    def assign(self, ranges: list[tuple[int, int]]) -> None:
+        """From now on these tasks are this shard's to start, each range from its first task to
+        before its last number."""
+        self.ranges = ranges
+        self.size = sum(high - low for low, high in ranges)
+        self.rewind()
+
+    def rewind(self) -> None:
+        """Begin again with the first task."""
+        self._position = (0, 0)
+        self._returned.clear()
+
+    def holds(self, index: int) -> bool:
+        """Is the task assigned to this shard?"""
+        return any(low <= index < high for low, high in self.ranges)
+
+    def put_back(self, index: int) -> None:
+        """The task must be started once more."""
+        self._returned.append(index)
+
+    def next(self, live: Collection[int], is_done: Callable[[int], bool]) -> int | None:
+        """Take the task to start next, which is neither done nor live; None if there is none."""
+        while self._returned:
+            index = self._returned.pop()
+            if index not in live and not is_done(index) and self.holds(index):
+                return index
+        part, at = self._position
+        while part < len(self.ranges):
+            low, high = self.ranges[part]
+            for index in range(max(low, at), high):
+                if index not in live and not is_done(index):
+                    self._position = (part, index + 1)
+                    return index
+            part, at = part + 1, 0
+        self._position = (part, at)
+        return None
+
+    def untouched_tail(self, touched: Collection[int]) -> tuple[int, int] | None:
+        """The later half of the last range, if none of it was passed, put back or is `touched`."""
+        if not self.ranges or self._position[0] >= len(self.ranges):
+            return None
+        low, high = self.ranges[-1]
+        if self._position[0] == len(self.ranges) - 1:
+            low = max(low, self._position[1])
+        middle = (low + high + 1) // 2
+        is_clear = not any(middle <= index < high for index in (*touched, *self._returned))
+        return (middle, high) if middle < high and is_clear else None
--- /dev/null
+++ b/basaltlead/core/task_reports.py
@@ -0,0 +1,153 @@
+"""What the report of a single task means for its attempt, its job and its machine."""
+
+from basaltlead.core.attempt_table import AttemptTable
+from basaltlead.core.entities import Attempt, JobState, Machine, OrphanedAttempt
+from basaltlead.core.failures import FailurePolicy
+from basaltlead.core.jobs import US
+from basaltlead.core.open_jobs import OpenJobs
+from basaltlead.core.reports import ReportedTask
+from basaltlead.core.run_times import RunTimes
+from basaltlead.core.signals import Log
+from basaltlead.core.task_keys import AttemptKey, TaskKey
+from basaltlead.core.task_states import (
+    ENDED,
+    ENDS_GANG,
+    EXECUTING,
+    IMAGE_PRESENT,
+    RUNNING,
+    SENT,
+    ExitReason,
+)
+
+
+class TaskReports:
+    """Takes in the tasks of the newest report of a machine, one by one."""
+
+    def __init__(
+        self,
+        jobs: OpenJobs,
+        attempts: AttemptTable,
+        failures: FailurePolicy,
+        run_times: RunTimes,
+        log: Log,
+    ) -> None:
+        self._jobs = jobs
+        self._attempts = attempts
+        self._failures = failures
+        self._run_times = run_times
+        self._log = log
+
+    # Attempts of ours
+
+    def progress(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
+        """Take in what is reported of an attempt of ours."""
+        stage = reported.stage
+        if stage == ENDED:
+            self._end(attempt, reported, now)
+            return
+        if stage in IMAGE_PRESENT and attempt.stage not in IMAGE_PRESENT:
+            attempt.machine.keep_image(attempt.job_state.job.image, attempt.job_state.job.image_gb)
+        if stage == RUNNING and not attempt.running_since:
+            self._begin_run(attempt, now)
+        attempt.stage = stage
+
+    def _begin_run(self, attempt: Attempt, now: int) -> None:
+        attempt.running_since = now
+        job_state, machine = attempt.job_state, attempt.machine
+        fetched_us = now - attempt.created_at
+        machine.usage.fetching_s += machine.share(job_state.job) * fetched_us / US
+        if not job_state.started_at:
+            job_state.started_at = now
+            job = job_state.job
+            self._log(
+                f"job {job.ref} ({job.job_class}, {job.tasks} tasks) runs after "
+                f"{(now - job_state.submitted_at) / US:.1f} s on {machine.name}"
+            )
+
+    def _end(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
+        """It has ended. Its worker lists it until it is told to forget it."""
+        machine, job_state = attempt.machine, attempt.job_state
+        job = job_state.job
+        reason = reported.why or ExitReason.ERROR
+        completed = reason == ExitReason.DONE and not job.service  # replicas have no result
+        machine.orphaned_attempts[attempt.attempt_key] = OrphanedAttempt(
+            ended=True,
+            forgettable=not completed,
+            start_unacknowledged=attempt.start_unacknowledged or attempt.start_in_flight,
+        )
+        is_blameless = job.service and self._failures.record_replica_end(attempt, reason, now)
+        if completed:
+            self._complete(attempt, now)
+        self._attempts.remove(attempt, now)
+        if completed or job_state.closed:
+            return
+        if not is_blameless or reason != ExitReason.ERROR:
+            self._failures.record_exit(machine, job_state, reason, now)
+        if job.gang and reason in ENDS_GANG:
+            self._attempts.stop_all(job_state)
+
+    def _complete(self, attempt: Attempt, now: int) -> None:
+        """Take in a result, and what its run time teaches: that of a gang once, since the result of
+        its first task is that of all."""
+        job_state = attempt.job_state
+        attempt.machine.failed_jobs.clear()
+        is_known = attempt.running_since and not attempt.adopted
+        if is_known and not job_state.closed and not (job_state.job.gang and job_state.done_count):
+            self._run_times.learn(job_state, now - attempt.running_since)
+        _finish(job_state, attempt.index)
+
+    # Attempts that are not ours
+
+    def reconcile_unknown(
+        self, machine: Machine, task: TaskKey, reported: ReportedTask, now: int
+    ) -> None:
+        """Take in a listed attempt that we did not start, or no longer want."""
+        key = AttemptKey(task.ref, task.task_index, reported.attempt_number)
+        job_state = self._jobs.by_ref.get(task.ref)
+        has_ended = reported.stage == ENDED
+        orphan = machine.orphaned_attempts.get(key)
+        if orphan is None:
+            orphan = machine.orphaned_attempts[key] = OrphanedAttempt(has_ended, False)
+        orphan.ended = has_ended
+        if job_state is None or job_state.closed or task.task_index >= job_state.job.tasks:
+            orphan.forgettable = has_ended
+        elif not has_ended:
+            if _is_wanted(job_state, task.task_index, machine):
+                del machine.orphaned_attempts[key]
+                self._adopt(job_state, key, machine, reported, now)
+        elif reported.why == ExitReason.DONE and not job_state.job.service:
+            _finish(job_state, task.task_index)
+        else:
+            orphan.forgettable = True
+
+    def _adopt(
+        self,
+        job_state: JobState,
+        key: AttemptKey,
+        machine: Machine,
+        reported: ReportedTask,
+        now: int,
+    ) -> None:
+        """An attempt of an earlier shard leader goes on under its number."""
+        attempt = self._attempts.start(job_state, key.task_index, machine, key.attempt_number, now)
+        attempt.stage = SENT
+        attempt.adopted = reported.stage in EXECUTING
+        self.progress(attempt, reported, now)
+
+
+def _is_wanted(job_state: JobState, index: int, machine: Machine) -> bool:
+    """May the task go on with an attempt of an earlier shard leader? Only until the machine is
+    synced: from then on all that runs there was started by us, and an attempt that we do not know
+    is one that we have given up."""
+    return (
+        index not in job_state.live
+        and not job_state.is_done(index)
+        and not machine.synced
+        and job_state.queue.holds(index)
+    )
+
+
+def _finish(job_state: JobState, index: int) -> None:
+    """Record a result. A gang's tasks complete together: the result of one is that of all."""
+    for done in range(job_state.job.tasks) if job_state.job.gang else (index,):
+        job_state.finish(done)
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -70,7 +70,7 @@
                 continue
             if name in self.pushing or now < machine.push_backoff_until:
                 continue
-            commands, pushed_starts = shard.take_push_commands(machine, now)
+            commands, pushed_starts = shard.take_push_commands(machine)
             if not shard.has_pending_commands(machine):
                 del shard.urgent[name]
             if commands:
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -97,8 +97,14 @@
         self.machine_types = machine_types
         w = settings.facts.workers
         timing = Timing(int(w.lease_s * US), int(w.report_s * US))
-        self.shard = Shard(grant.fencing_token, version, now_us(), timing, team_quotas(settings))
-        self.shard.log = lambda text: log.info("%s", text)
+        self.shard = Shard(
+            grant.fencing_token,
+            version,
+            now_us(),
+            timing,
+            team_quotas(settings),
+            lambda text: log.info("%s", text),
+        )
         self.loaded = False
         self.stepped_down = False  # we have stopped acting, for good
         # When the last good look at the open jobs was asked for. None before the first: what is
@@ -342,7 +348,7 @@
     def close(self, ref: str) -> None:
         job_state = self.shard.job_states.get(ref)
         if job_state is not None:
-            self.shard.close_job(ref, now_us())
+            self.shard.close_job(ref)
             self.results.forget(ref)
             rows = self.layout.keys(ref, job_state.job.tasks, [self.number])
             stored = [key for key in rows if self.versions.pop(key, None) is not None]
@@ -459,7 +465,7 @@
         log.info(
             "round: %d jobs, %.0f of %.0f CPUs in use, %.0f wait, %d machines up, %d not needed",
             len(job_states),
-            sum(used[0] for used in self.shard.team_used.values()),
+            sum(used.cpus for used in self.shard.team_used.values()),
             sum(m.machine_type.cpus for m in up),
             sum(w.waiting * w.job.cpus for w in job_states),
             len(up),
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -7,12 +7,15 @@
 import pytest
 
 from basaltlead.core import fleet_sizing, planning, replica_placement
+from basaltlead.core.attempt_table import AttemptTable
+from basaltlead.core.draining import Drainer
 from basaltlead.core.entities import Machine
+from basaltlead.core.failures import FailurePolicy
 from basaltlead.core.fleet import NAMES_KEPT
 from basaltlead.core.fleet_sizing import Demand, Offer
 from basaltlead.core.jobs import RANKS, US, Resources, Shape
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import ShardState
+from basaltlead.core.task_reports import TaskReports
 from basaltlead.core.teams import TeamQuota
 from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
 from tests.fakes import World
@@ -67,7 +70,7 @@
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = Counted(monkeypatch, (ShardState, "_stranger"), (ShardState, "_progress"))
+    taken = Counted(monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress"))
     for number in range(MACHINES):
         shown = _running(before, number)
         after.heartbeat(_name(number), *shown, fencing_token=7)
@@ -87,8 +90,8 @@
     for number in range(0, MACHINES, 2):
         story.heartbeat(_name(number), *_running(story, number))
     story.now += TIMING.lease_expiry_us // 2 + US
-    removed = Counted(monkeypatch, (ShardState, "_remove"))
-    drained = Counted(monkeypatch, (Shard, "_drain"))
+    removed = Counted(monkeypatch, (AttemptTable, "remove"))
+    drained = Counted(monkeypatch, (Drainer, "drain"))
     story.shard.advance(story.now)
     assert removed.calls == PLACES * MACHINES // 2
     for _ in range(10):
@@ -102,11 +105,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full(jobs=1600, tasks=10)
-    stopped = Counted(monkeypatch, (ShardState, "stop"), (ShardState, "_clear_failures"))
+    stopped = Counted(monkeypatch, (AttemptTable, "stop"), (FailurePolicy, "clear"))
     job_states = list(story.shard.job_states.values())[:1000]
     tasks = sum(len(job_state.live) for job_state in job_states)
     for job_state in job_states:
-        story.shard.close_job(job_state.job.ref, story.now)
+        story.shard.close_job(job_state.job.ref)
     assert stopped.calls == tasks + len(job_states)
     assert _plan_calls(monkeypatch, story) < 20 * MACHINES
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -197,7 +197,7 @@
     story = Story()
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
-    commands, pushed_starts = story.shard.take_push_commands(machine, story.now)
+    commands, pushed_starts = story.shard.take_push_commands(machine)
     assert [w.verb for w in commands] == ["run"]
     assert story.heartbeat("m-0") == []  # on its way: not sent twice
     assert job_state.live, "a report that does not list it proves nothing"
@@ -212,9 +212,9 @@
 def test_an_unanswered_direct_start_is_not_given_up_because_a_report_does_not_list_it() -> None:
     story = Story()
     job_state = story.submit()
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     story.shard.acknowledge_starts(pushed_starts, None)
-    story.shard.close_job("req-000001", story.now)
+    story.shard.close_job("req-000001")
     assert story.heartbeat("m-0") == [("run", "req-000001/0"), ("halt", "req-000001/0")]
     assert job_state.live  # the order may still arrive: first it is made known, then ended
     attempt = story.attempt(job_state)
@@ -226,7 +226,7 @@
     """With a single machine such a task once waited for ever."""
     story = Story()
     job_state = story.submit()
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     story.shard.acknowledge_starts(pushed_starts, None)
     first = story.attempt(job_state)
     story.heartbeat("m-0", listed(first, "ended", "full"))
@@ -239,7 +239,7 @@
 def test_a_direct_start_that_was_refused_is_free_at_once() -> None:
     story = Story()
     job_state = story.submit()
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     story.shard.acknowledge_starts(pushed_starts, False)
     assert story.attempt(job_state).stage == "planned"
 
@@ -248,7 +248,7 @@
     story = Story()
     job_state = story.submit()
     before = story.make_heartbeat("m-0")  # sent before the worker had the order
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     attempt = story.attempt(job_state)
     answer = story.make_heartbeat("m-0", listed(attempt, "fetching"))
     story.shard.answer(answer, story.now, pushed_starts)
@@ -307,7 +307,7 @@
     attempt = story.attempt(job_state)
     story.heartbeat("m-0")
     story.heartbeat("m-0", listed(attempt, "running"))
-    story.shard.close_job("req-000001", story.now)
+    story.shard.close_job("req-000001")
     assert story.heartbeat("m-0", listed(attempt, "running")) == [("halt", "req-000001/0")]
     story.heartbeat("m-0", listed(attempt, "ended", "stopped"))
     assert "req-000001" not in story.shard.job_states
@@ -324,7 +324,7 @@
         TaskStatus("req-000002/0", 7, "running"),
     ]
     assert story.heartbeat("m-9", *tasks, fencing_token=6) == [("halt", "req-000001/0")]
-    story.shard.close_job("req-000002", story.now)
+    story.shard.close_job("req-000002")
     assert ("halt", "req-000002/0") in (story.heartbeat("m-9", *tasks, fencing_token=6) or [])
 
 
@@ -414,7 +414,7 @@
     story = Story()
     filler = story.submit(1, tasks=4)
     array, gang = story.submit(2, tasks=4), story.submit(3, shape=Shape.GANG, tasks=2, cpus=2.0)
-    story.shard.close_job("req-000001", story.now)
+    story.shard.close_job("req-000001")
     assert not filler.live
     plan(story.shard, story.now)
     assert len(gang.live) == 2 and not array.live
@@ -452,7 +452,7 @@
     story = Story()
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
-    _, pushed_starts = story.shard.take_push_commands(machine, story.now)
+    _, pushed_starts = story.shard.take_push_commands(machine)
     story.shard.acknowledge_starts(pushed_starts, None)
     story.shard.mark_unreachable(machine, story.now)
     assert not machine.usable(story.now)
@@ -537,17 +537,17 @@
         attempt = everywhere.live[0]
         attempt.stage, attempt.running_since = "running", story.now
         story.now += 400 * US
-        story.shard._give_up_slow(everywhere, story.now)
+        story.shard._stragglers.stop_stragglers(everywhere, story.now)
         if attempt.stop_grace_s is None:
             break
-        story.shard._remove(attempt, story.now)
+        story.shard._attempts.remove(attempt, story.now)
         for machine in story.shard.machines.values():
             machine.draining = False
         story.now += 301 * US
         for name in story.shard.machines:
             story.heartbeat(name)
         plan(story.shard, story.now)
-    assert everywhere.given_up == 4 and attempt.stop_grace_s is None
+    assert everywhere.history.stragglers_stopped == 4 and attempt.stop_grace_s is None
 
 
 def test_a_job_does_not_wait_for_long_beside_the_only_machine_that_was_slow_for_it() -> None:
@@ -556,7 +556,7 @@
     attempt = story.attempt(job_state)
     attempt.stage, attempt.running_since = "running", story.now
     story.now += 400 * US
-    story.shard._give_up_slow(job_state, story.now)
+    story.shard._stragglers.stop_stragglers(job_state, story.now)
     assert attempt.stop_grace_s is not None
     story.heartbeat("m-0", listed(attempt, "ended", "stopped"))
     plan(story.shard, story.now)
@@ -579,7 +579,7 @@
             story.heartbeat(name, *(listed(a, "running") for a in _there(story, name)))
         first = running.pop(0).live[0]
         story.heartbeat(first.machine.name, listed(first, "ended", "done"))
-        story.shard.close_job(first.job_state.job.ref, story.now)
+        story.shard.close_job(first.job_state.job.ref)
         running.append(story.submit(number, cpus=2.0, shape=Shape.GANG))
         running = [job_state for job_state in running if job_state.live]
         if large.live:
@@ -598,7 +598,7 @@
     machine = story.shard.machines["m-0"]
     job_state = story.submit()
     attempt = story.attempt(job_state)
-    _, pushed_starts = story.shard.take_push_commands(machine, story.now)
+    _, pushed_starts = story.shard.take_push_commands(machine)
     assert not story.shard.settled(machine)
     story.shard.acknowledge_starts(pushed_starts, None)
     assert story.heartbeat("m-0", listed(attempt, "ended", "done")) == []
