--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -5,16 +5,7 @@
 
 from basaltlead.core.failure_history import FailureHistory
 from basaltlead.core.jobs import US, Job, MachineType, Resources
-from basaltlead.core.machine_state import (
-    CORDONED,
-    DRAINING,
-    LOST,
-    PROVISIONING,
-    READY,
-    SYNCING,
-    TERMINATING,
-    MachineState,
-)
+from basaltlead.core.machine_state import MachineState
 from basaltlead.core.machine_usage import MachineUsage
 from basaltlead.core.message_order import MessageOrder
 from basaltlead.core.task_keys import AttemptKey, TaskKey
@@ -149,21 +140,31 @@
 
     def state(self, now: int) -> MachineState:
         """Whether it takes tasks, and if not, why: see `MachineState` for the transitions."""
+        if self.usable(now):
+            return MachineState.READY
         if self.terminating:
-            return TERMINATING
+            return MachineState.TERMINATING
         if self.lost:
-            return LOST
+            return MachineState.LOST
         if self.is_draining:
-            return DRAINING
+            return MachineState.DRAINING
         if not (self.synced and self.recorded):
-            return SYNCING if self.up or self.recorded else PROVISIONING
-        if self.unreachable_since or now < self.cordoned_until:
-            return CORDONED
-        return READY
+            return MachineState.SYNCING if self.up or self.recorded else MachineState.PROVISIONING
+        return MachineState.CORDONED
 
     def usable(self, now: int) -> bool:
-        """May a task be started there?"""
-        return self.state(now) is READY
+        """May a task be started there, that is, is it READY? Asked of each machine in each plan,
+        so it is one expression."""
+        return (
+            self.synced
+            and self.recorded
+            and not self.lost
+            and not self.draining
+            and not self.terminating
+            and not self.unreachable_since
+            and self.preemption_at is None
+            and now >= self.cordoned_until
+        )
 
     @property
     def is_draining(self) -> bool:
--- a/basaltlead/core/machine_state.py
+++ b/basaltlead/core/machine_state.py
@@ -49,12 +49,3 @@
     DRAINING = auto()
     TERMINATING = auto()
     LOST = auto()
-
-
-PROVISIONING = MachineState.PROVISIONING  # by name: see task_states on the cost of members
-SYNCING = MachineState.SYNCING
-READY = MachineState.READY
-CORDONED = MachineState.CORDONED
-DRAINING = MachineState.DRAINING
-TERMINATING = MachineState.TERMINATING
-LOST = MachineState.LOST
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -5,14 +5,15 @@
 commands.
 """
 
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 from enum import Enum, auto
+from typing import Any
 
 from basaltlead.core.attempt_table import AttemptTable
 from basaltlead.core.entities import Attempt, Machine
 from basaltlead.core.fleet import Fleet
 from basaltlead.core.reports import ReportedTask, WorkerReport
-from basaltlead.core.task_keys import parse_task
+from basaltlead.core.task_keys import PlainAttemptKey, parse_task
 from basaltlead.core.task_reports import TaskReports
 from basaltlead.core.task_states import SENT
 from basaltlead.core.timing import Timing
@@ -122,19 +123,19 @@
 
     def _take_tasks(
         self, machine: Machine, tasks: Sequence[ReportedTask], is_newest: bool, now: int
-    ) -> set[tuple[str, int, int]]:
-        """Take in the listed tasks, if the list is the newest, and return the keys of their
-        attempts. Runs for each task of each heartbeat: the keys are made as plain tuples, which
-        equal `AttemptKey`s and are made faster."""
-        listed: set[tuple[str, int, int]] = set()
+    ) -> set[PlainAttemptKey]:
+        """Take in the listed tasks, if the list is the newest; the keys of their attempts."""
+        attempts: Mapping[Any, Attempt] = machine.attempts  # looked up by plain tuples
+        listed: set[PlainAttemptKey] = set()
         for reported in tasks:
-            task = parse_task(reported.task)
-            listed.add((*task, reported.attempt_number))
+            ref, index = parse_task(reported.task)
+            key = (ref, index, reported.attempt_number)
+            listed.add(key)
             if not is_newest:
                 continue
-            attempt = machine.attempts.get(task)
+            attempt = attempts.get((ref, index))
             if attempt is None or attempt.attempt_number != reported.attempt_number:
-                self._task_reports.reconcile_unknown(machine, task, reported, now)
+                self._task_reports.reconcile_unknown(machine, key, reported, now)
                 continue
             if attempt.stage == SENT:
                 self._fleet.confirm_reachable(machine)
@@ -142,7 +143,7 @@
         return listed
 
     def _finish_list(
-        self, machine: Machine, listed: set[tuple[str, int, int]], is_newest: bool, now: int
+        self, machine: Machine, listed: set[PlainAttemptKey], is_newest: bool, now: int
     ) -> None:
         """A list that shows our fencing token was taken in."""
         if is_newest:
--- a/basaltlead/core/task_keys.py
+++ b/basaltlead/core/task_keys.py
@@ -1,4 +1,8 @@
-"""The keys by which tasks and attempts are known."""
+"""The keys by which tasks and attempts are known.
+
+A key equals the plain tuple of its fields, which is made several times as fast. So where keys are
+only looked up, for each task of each heartbeat, they are plain tuples.
+"""
 
 from typing import NamedTuple
 
@@ -18,7 +22,10 @@
     attempt_number: int
 
 
-def parse_task(task: str) -> TaskKey:
-    """The key of a task as the worker protocol names it: "<job>/<index>"."""
+PlainAttemptKey = tuple[str, int, int]
+
+
+def parse_task(task: str) -> tuple[str, int]:
+    """The job and the index of a task as the worker protocol names it: "<job>/<index>"."""
     ref, _, index = task.rpartition("/")
-    return TaskKey(ref, int(index))
+    return ref, int(index)
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -1,5 +1,8 @@
 """What the report of a single task means for its attempt, its job and its machine."""
 
+from collections.abc import Mapping
+from typing import Any
+
 from basaltlead.core.attempt_table import AttemptTable
 from basaltlead.core.entities import Attempt, JobState, Machine, OrphanedAttempt
 from basaltlead.core.failures import FailurePolicy
@@ -8,7 +11,7 @@
 from basaltlead.core.reports import ReportedTask
 from basaltlead.core.run_times import RunTimes
 from basaltlead.core.signals import Log
-from basaltlead.core.task_keys import AttemptKey, TaskKey
+from basaltlead.core.task_keys import AttemptKey, PlainAttemptKey
 from basaltlead.core.task_states import (
     ENDED,
     ENDS_GANG,
@@ -99,24 +102,27 @@
     # Attempts that are not ours
 
     def reconcile_unknown(
-        self, machine: Machine, task: TaskKey, reported: ReportedTask, now: int
+        self, machine: Machine, plain_key: PlainAttemptKey, reported: ReportedTask, now: int
     ) -> None:
         """Take in a listed attempt that we did not start, or no longer want."""
-        key = AttemptKey(task.ref, task.task_index, reported.attempt_number)
-        job_state = self._jobs.by_ref.get(task.ref)
+        ref, index, _ = plain_key
+        job_state = self._jobs.by_ref.get(ref)
         has_ended = reported.stage == ENDED
-        orphan = machine.orphaned_attempts.get(key)
+        orphans: Mapping[Any, OrphanedAttempt] = machine.orphaned_attempts
+        orphan = orphans.get(plain_key)
         if orphan is None:
-            orphan = machine.orphaned_attempts[key] = OrphanedAttempt(has_ended, False)
+            orphan = OrphanedAttempt(has_ended, False)
+            machine.orphaned_attempts[AttemptKey(*plain_key)] = orphan
         orphan.ended = has_ended
-        if job_state is None or job_state.closed or task.task_index >= job_state.job.tasks:
+        if job_state is None or job_state.closed or index >= job_state.job.tasks:
             orphan.forgettable = has_ended
         elif not has_ended:
-            if _is_wanted(job_state, task.task_index, machine):
+            if _is_wanted(job_state, index, machine):
+                key = AttemptKey(*plain_key)
                 del machine.orphaned_attempts[key]
                 self._adopt(job_state, key, machine, reported, now)
         elif reported.why == ExitReason.DONE and not job_state.job.service:
-            _finish(job_state, task.task_index)
+            _finish(job_state, index)
         else:
             orphan.forgettable = True
 
