--- a/basaltlead/core/cancellations.py
+++ b/basaltlead/core/cancellations.py
@@ -1,37 +1,44 @@
-"""Which cancellations a controller knows to be confirmed, and how far back it knows all that it
-confirmed itself."""
+"""Which cancellations a controller knows to be confirmed.
 
-MOST = 4000
+A shard leader may start nothing of a job whose cancellation was confirmed to its user by any
+controller. Controllers therefore tell each other what they have confirmed since a given time.
+"""
+
+MAX_KNOWN = 4000
 
 
 class Cancellations:
-    """Bounded: what is forgotten shortens how far back it reaches."""
+    """The jobs known to be cancelled, the newest of them. Dropping the oldest shortens the time for
+    which the list is known to be complete."""
 
-    def __init__(self, now: int, most: int = MOST) -> None:
+    def __init__(self, now: int, most: int = MAX_KNOWN) -> None:
         self.most = most
-        self.reaches_back = now  # all that this incarnation has confirmed since then is here
-        self.known: dict[str, int] = {}  # when each job was first known to be cancelled
+        # All that this incarnation has confirmed at this time or later is listed.
+        self.complete_since = now
+        self._known: dict[str, int] = {}  # when each job was first known to be cancelled
 
     def __contains__(self, ref: str) -> bool:
-        return ref in self.known
+        return ref in self._known
 
     def add(self, ref: str, now: int) -> bool:
-        """True if it is news. To be called before a user is told."""
-        if ref in self.known:
+        """Note a cancellation; True if it was not known. Must be called before the user gets the
+        confirmation: what another controller is told must hold all that users were told."""
+        if ref in self._known:
             return False
-        self.known[ref] = now
-        while len(self.known) > self.most:
-            oldest = next(iter(self.known))
-            self.reaches_back = self.known.pop(oldest) + 1
+        self._known[ref] = now
+        while len(self._known) > self.most:
+            oldest = next(iter(self._known))
+            self.complete_since = self._known.pop(oldest) + 1
         return True
 
     def since(self, at: int) -> list[str] | None:
-        """All that were confirmed here since then, and maybe more; None if it is not known."""
-        if at < self.reaches_back:
+        """All that were confirmed here at this time or later, and maybe more; None if the list is
+        not complete for so long."""
+        if at < self.complete_since:
             return None
-        out: list[str] = []
-        for ref, known_at in reversed(self.known.items()):
+        refs: list[str] = []
+        for ref, known_at in reversed(self._known.items()):
             if known_at < at:
                 break
-            out.append(ref)
-        return out
+            refs.append(ref)
+        return refs
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -79,10 +79,11 @@
     def lose(self, machine: Machine, now: int) -> None:
         """Its lease has expired, so it has killed all its tasks. Reports of that agent epoch that
         were held up on their way prove nothing any more."""
+        state, count = machine.state(now), len(machine.attempts)
         machine.mark_lost()
         self.mark_unreachable(machine, now)
         self._empty(machine, now)
-        self._log(f"machine {machine.name} lost")
+        self._log(f"machine {machine.name} lost (was {state.name.lower()}, {count} tasks)")
 
     def begin_epoch(self, machine: Machine, epoch: int, now: int) -> None:
         """Its agent is heard in a new epoch: what ran in the one before was killed when that
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -1,19 +1,23 @@
-"""What does not change while the scheduler runs: jobs, machine types, amounts of resources."""
+"""What does not change while a job is open: jobs, machine types, and amounts of resources.
+
+Times are microseconds, memory and images are gigabytes.
+"""
 
 from enum import Enum
 
 from msgspec import Struct
 
-US = 1_000_000
-EPS = 1e-6
+US = 1_000_000  # a second
+EPS = 1e-6  # amounts are sums of fractions, and are equal if they differ by less
 
 # A replica that has run for so long shows that its service can run.
 LASTING_US = 30 * US
 # What a replica is taken to have before it wherever a run time is asked for: much longer than any
-# span that plans look at.
+# span that plans consider.
 STANDING_US = 24 * 3600 * US
 
 RANKS = {"best_effort": 0, "standard": 1, "high": 2, "production": 3}
+MIN_SIZE_CPUS = 0.1  # what a task counts as at least
 
 
 class Shape(Enum):
@@ -25,35 +29,39 @@
 
 
 class Job(Struct, frozen=True):
-    """What a user asked for."""
+    """What a user submitted."""
 
     ref: str
     job_class: str
     team: str
     shape: Shape
-    rank: int
+    rank: int  # see RANKS; a higher one goes first
     tasks: int
+    # What one task needs.
     cpus: float
     gpus: float
     memory_gb: float
     image: str
     image_gb: float
-    types: frozenset[str] | None
-    zone: str | None
-    one_zone: bool
-    apart: bool
-    spot: bool
-    guess_us: int
-    checkpoint_interval_us: int
+    # Where its tasks may run.
+    types: frozenset[str] | None  # names of machine types; None: any
+    zone: str | None  # None: any
+    one_zone: bool  # all tasks in the same zone
+    apart: bool  # no more than half of the tasks in the same zone
+    spot: bool  # also on spot machines
+    guess_us: int  # how long a task runs, by the user's guess
+    checkpoint_interval_us: int  # 0: its tasks save no checkpoints
     checkpoint_duration_s: float
     due_us: int | None  # from its submission
 
     @property
     def gang(self) -> bool:
+        """Do its tasks run all at the same time?"""
         return self.shape is Shape.GANG
 
     @property
     def service(self) -> bool:
+        """Do its tasks run until it is cancelled?"""
         return self.shape is Shape.SERVICE
 
     @property
@@ -69,7 +77,7 @@
     @property
     def size(self) -> float:
         """What one task counts as in CPUs; never nothing."""
-        return max(self.cpus, 0.1)
+        return max(self.cpus, MIN_SIZE_CPUS)
 
     @property
     def zone_cap(self) -> int:
@@ -78,7 +86,7 @@
 
 
 def fitting(job: Job, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks of a job these amounts hold."""
+    """How many tasks of a job these amounts hold, at most all of them."""
     most = float(job.tasks)
     if job.cpus > EPS:
         most = min(most, (cpus + EPS) // job.cpus)
@@ -90,17 +98,17 @@
 
 
 class MachineType(Struct, frozen=True):
-    """A machine type."""
+    """What the cloud rents out under one name."""
 
     name: str
     cpus: float
     gpus: float
     memory_gb: float
-    price: float
-    spot_price: float | None
+    price: float  # for an hour
+    spot_price: float | None  # None: it is not offered as a spot machine
     boot_us: int
-    cache_gb: float
-    pull_gb_per_s: float
+    cache_gb: float  # room for images
+    pull_gb_per_s: float  # how fast images arrive
     zones: tuple[str, ...]
 
     def fetch_s(self, job: Job) -> float:
@@ -122,7 +130,7 @@
 
 
 class Resources:
-    """Amounts of the three resources."""
+    """Amounts of the three resources; below zero where more is taken than there is."""
 
     __slots__ = ("cpus", "gpus", "memory_gb")
 
@@ -132,6 +140,7 @@
         self.memory_gb = memory_gb
 
     def fits(self, job: Job) -> bool:
+        """Is there room for one task of the job?"""
         return (
             job.cpus <= self.cpus + EPS
             and job.gpus <= self.gpus + EPS
@@ -139,17 +148,20 @@
         )
 
     def holds(self, job: Job) -> int:
-        """How many tasks of a job fit."""
+        """How many tasks of a job fit, at most all of them."""
         return fitting(job, self.cpus, self.gpus, self.memory_gb)
 
     def take(self, job: Job, times: int = 1) -> None:
+        """Take the room of so many tasks of the job; a negative number gives it back."""
         self.cpus -= job.cpus * times
         self.gpus -= job.gpus * times
         self.memory_gb -= job.memory_gb * times
 
     def copy(self) -> "Resources":
+        """Amounts to change without changing these."""
         return Resources(self.cpus, self.gpus, self.memory_gb)
 
     @staticmethod
     def of(machine_type: MachineType) -> "Resources":
+        """All that a machine of this type has."""
         return Resources(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -1,8 +1,8 @@
-"""Zones of which nothing is heard: cut off, so that what boots there can't reach us either.
+"""Zones none of whose machines is heard: cut off, so that what boots there can't reach us either.
 
-Nothing is hired in such a zone for a while, and then one machine at a time, until one from there is
-heard. Hiring as usual again after the while, a cut of two minutes cost dozens of machines that
-were paid for and never heard of.
+For a while nothing is rented in such a zone, then one machine at a time, until one from there is
+heard. If renting went on as usual after the while, a cut of two minutes would cost dozens of
+machines that are paid for and never heard.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,53 +10,56 @@
 from basaltlead.core.fleet_sizing import Offer, unit_price
 from basaltlead.core.jobs import US, MachineType
 
-SILENT_COUNT = 3  # machines that must be silent before their zone is in doubt
-PAUSE_US = 45 * US  # for how long nothing is hired there after the last of them was returned
+SILENT_COUNT = 3  # machines that must be silent before their zone is taken to be
+PAUSE_US = 45 * US  # for how long nothing is rented there after the last of them was returned
 
 
 class SilentZones:
-    """Which zones are in doubt, and what may be hired there."""
+    """Which zones are silent, and what may be rented there."""
 
     def __init__(self) -> None:
-        self.until: dict[str, int] = {}  # zones in doubt; nothing is hired there until then
+        self._paused_until: dict[str, int] = {}  # by silent zone
 
-    def look(self, heard: Mapping[str, list[bool]], now: int) -> list[str]:
-        """Take in, for each zone, which of its machines that were ever heard still are. The zones
-        that have just fallen silent. If nobody at all is heard, it is more likely our own
-        trouble."""
+    def update(self, heard: Mapping[str, list[bool]], now: int) -> list[str]:
+        """Take in, for each zone, which of its machines that were ever heard still are, and return
+        the zones that have just fallen silent. If no machine at all is heard, nothing changes: it
+        is more likely that we are cut off."""
         if not any(map(any, heard.values())):
             return []
         fallen: list[str] = []
         for zone, machines in heard.items():
             if any(machines):
-                self.until.pop(zone, None)
+                self._paused_until.pop(zone, None)
             elif len(machines) >= SILENT_COUNT:
-                if zone not in self.until:
+                if zone not in self._paused_until:
                     fallen.append(zone)
-                self.until[zone] = now + PAUSE_US
+                self._paused_until[zone] = now + PAUSE_US
         return fallen
 
     def admitted(
         self,
         offers: Mapping[Offer, int | None],
         machine_types: Mapping[str, MachineType],
-        tried: Iterable[str],
+        awaited_zones: Iterable[str],
         now: int,
     ) -> dict[Offer, int | None]:
-        """What may be hired: in a zone in doubt, after the pause, one machine of the cheapest
-        type, unless one from there (`tried`) is expected already."""
-        unheard = set(tried)
-        out: dict[Offer, int | None] = {}
+        """Which of the offers may be rented, and how many of each (None: no limit is known). In a
+        silent zone that is, after the pause, one machine of the cheapest offer as a trial, unless
+        one from there is awaited already."""
+        awaited = set(awaited_zones)
+        admitted: dict[Offer, int | None] = {}
         trials: dict[str, Offer] = {}
         for offer, most in offers.items():
-            until = self.until.get(offer.zone)
-            if until is None:
-                out[offer] = most
-            elif now >= until and offer.zone not in unheard:
-                best = trials.get(offer.zone)
-                if best is None or _price(offer, machine_types) < _price(best, machine_types):
+            paused_until = self._paused_until.get(offer.zone)
+            if paused_until is None:
+                admitted[offer] = most
+            elif now >= paused_until and offer.zone not in awaited:
+                cheapest = trials.get(offer.zone)
+                if cheapest is None or _price(offer, machine_types) < _price(
+                    cheapest, machine_types
+                ):
                     trials[offer.zone] = offer
-        return out | dict.fromkeys(trials.values(), 1)
+        return admitted | dict.fromkeys(trials.values(), 1)
 
 
 def _price(offer: Offer, machine_types: Mapping[str, MachineType]) -> float:
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -170,7 +170,7 @@
         return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
     def _update_silent_zones(self, now: int) -> None:
-        for zone in self.silent_zones.look(self.reachability.heard_by_zone(now), now):
+        for zone in self.silent_zones.update(self.reachability.heard_by_zone(now), now):
             log.info("nothing is heard from %s, no hires there", zone)
 
     def _offers(self, expected: list[Machine], now: int) -> dict[Offer, int | None]:
--- /dev/null
+++ b/tests/test_machine_state.py
@@ -0,0 +1,123 @@
+"""The states of a machine, and what leads from one to the next."""
+
+from itertools import product
+
+import pytest
+
+from basaltlead.core.entities import Machine
+from basaltlead.core.jobs import US
+from basaltlead.core.machine_state import MachineState
+from tests.test_shard import KIND, TIMING, Story, listed
+
+FACTS = ("up", "synced", "recorded", "lost", "draining", "terminating")
+
+
+def _state(story: Story, name: str = "m-0") -> MachineState:
+    return story.shard.machines[name].state(story.now)
+
+
+def test_a_machine_is_usable_exactly_if_it_is_ready() -> None:
+    now = 100 * US
+    for facts in product((False, True), repeat=len(FACTS)):
+        for preempted, cordoned, unreachable in product((False, True), repeat=3):
+            machine = Machine("m-0", KIND, "a", False, 0)
+            for name, value in zip(FACTS, facts, strict=True):
+                setattr(machine, name, value)
+            machine.preemption_at = now + US if preempted else None
+            machine.cordoned_until = now + US if cordoned else 0
+            machine.unreachable_since = now - US if unreachable else 0
+            assert machine.usable(now) == (machine.state(now) is MachineState.READY)
+
+
+def test_a_rented_machine_is_provisioned_then_synced_and_recorded_then_ready() -> None:
+    story = Story(machines=0)
+    machine = story.add("m-0")
+    machine.recorded = False
+    assert _state(story) is MachineState.PROVISIONING
+    story.heartbeat("m-0", fencing_token=6)
+    assert _state(story) is MachineState.SYNCING
+    story.heartbeat("m-0")
+    assert _state(story) is MachineState.SYNCING  # the next shard leader would not find its tasks
+    machine.recorded = True
+    assert _state(story) is MachineState.READY
+
+
+def test_a_machine_from_the_records_is_syncing_until_it_shows_the_fencing_token() -> None:
+    story = Story(machines=0)
+    story.add("m-9", loaded=True)
+    assert _state(story, "m-9") is MachineState.SYNCING
+    story.heartbeat("m-9")
+    assert _state(story, "m-9") is MachineState.READY
+
+
+@pytest.mark.parametrize(("reason", "seconds"), [("error", 4), ("full", 2), ("in_use", 1)])
+def test_a_machine_is_cordoned_for_a_while_after_a_task_failed_there(
+    reason: str, seconds: int
+) -> None:
+    story = Story()
+    attempt = story.attempt(story.submit())
+    story.heartbeat("m-0")
+    story.heartbeat("m-0", listed(attempt, "ended", reason))
+    assert _state(story) is MachineState.CORDONED
+    story.now += seconds * US - 1
+    assert _state(story) is MachineState.CORDONED
+    story.now += 1
+    assert _state(story) is MachineState.READY
+
+
+def test_an_exit_reason_or_a_stage_that_is_not_known_blames_nobody() -> None:
+    story = Story()
+    job_state = story.submit()
+    attempt = story.attempt(job_state)
+    story.heartbeat("m-0")
+    story.heartbeat("m-0", listed(attempt, "thawing"))
+    assert attempt.stage == "thawing"
+    assert attempt.may_be_on_machine
+    story.heartbeat("m-0", listed(attempt, "ended", "evicted"))
+    assert not job_state.live
+    assert job_state.waiting == 1
+    assert not job_state.history.failures
+    assert not job_state.retry_at
+    assert _state(story) is MachineState.READY
+
+
+def test_a_machine_that_may_not_hear_us_is_cordoned() -> None:
+    story = Story()
+    story.shard.mark_unreachable(story.shard.machines["m-0"], story.now)
+    assert _state(story) is MachineState.CORDONED
+    story.shard.answer(story.make_heartbeat("m-0"), story.now)
+    assert _state(story) is MachineState.READY
+
+
+def test_a_preemption_notice_drains_until_it_is_withdrawn() -> None:
+    story = Story()
+    notice = story.make_heartbeat("m-0")
+    notice.preemption_notice_s = 20.0
+    story.shard.heartbeat(notice, story.now)
+    assert _state(story) is MachineState.DRAINING
+    story.heartbeat("m-0")
+    assert _state(story) is MachineState.READY
+
+
+def test_a_lost_machine_syncs_in_a_new_epoch_and_is_cordoned_until_it_hears_us() -> None:
+    story = Story()
+    story.now += TIMING.lease_expiry_us + 1
+    story.shard.advance(story.now)
+    assert _state(story) is MachineState.LOST
+    story.heartbeat("m-0", epoch=2, tick=1, fencing_token=7)
+    assert not story.shard.machines["m-0"].lost
+    assert _state(story) is MachineState.CORDONED
+    story.shard.answer(story.make_heartbeat("m-0", epoch=2, tick=2), story.now)
+    assert _state(story) is MachineState.READY
+
+
+def test_nothing_follows_on_terminating() -> None:
+    story = Story()
+    machine = story.shard.machines["m-0"]
+    machine.terminating = True
+    machine.draining = True
+    assert _state(story) is MachineState.TERMINATING
+    story.now += TIMING.lease_expiry_us + 1
+    story.shard.advance(story.now)
+    assert machine.lost
+    assert _state(story) is MachineState.TERMINATING
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -25,23 +25,23 @@
 def test_a_zone_in_doubt_gets_one_trial_after_a_pause_until_it_is_heard() -> None:
     zones = SilentZones()
     assert zones.admitted(OFFERS, KINDS, [], 0) == OFFERS
-    assert zones.look(SILENT, 0) == ["b"]
-    assert zones.look(SILENT, US) == []  # it is known by now
+    assert zones.update(SILENT, 0) == ["b"]
+    assert zones.update(SILENT, US) == []  # it is known by now
     assert zones.admitted(OFFERS, KINDS, [], PAUSE_US) == IN_A
     after = US + PAUSE_US
     trial = Offer("cheap", "b", True)
     assert zones.admitted(OFFERS, KINDS, ["a"], after) == IN_A | {trial: 1}
     assert zones.admitted(OFFERS, KINDS, ["b"], after) == IN_A  # it has not been heard yet
-    assert zones.look({"a": [True]}, after) == []  # all machines there were returned
+    assert zones.update({"a": [True]}, after) == []  # all machines there were returned
     assert zones.admitted(OFFERS, KINDS, ["b"], after + PAUSE_US) == IN_A
-    zones.look({"a": [True], "b": [True]}, after + PAUSE_US)
+    zones.update({"a": [True], "b": [True]}, after + PAUSE_US)
     assert zones.admitted(OFFERS, KINDS, [], after + PAUSE_US) == OFFERS
 
 
 def test_the_silence_of_everybody_puts_no_zone_in_doubt() -> None:
     zones = SilentZones()
-    assert zones.look({"a": [False] * 5, "b": [False] * 5}, 0) == []
-    assert zones.look({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by chance
+    assert zones.update({"a": [False] * 5, "b": [False] * 5}, 0) == []
+    assert zones.update({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by chance
     assert zones.admitted(OFFERS, KINDS, [], 0) == OFFERS
 
 
