--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -9,7 +9,7 @@
 from basaltlead.core.machine_usage import MachineUsage
 from basaltlead.core.message_order import MessageOrder
 from basaltlead.core.task_keys import AttemptKey, TaskKey
-from basaltlead.core.task_queue import TaskQueue
+from basaltlead.core.task_queue import TaskQueue, TaskRange
 from basaltlead.core.task_states import PLANNED, RUNNING
 
 # A worker's report must fit into 64 KiB, and so must the tasks that it lists.
@@ -107,17 +107,13 @@
         self.terminating = False  # to be returned to the cloud
         self.preemption_at: int | None = None  # when the cloud takes it back
         self.cordoned_until = 0
-        # Since when there is doubt whether our commands reach it; 0: there is none.
-        self.unreachable_since = 0
+        self.unreachable_since = 0  # since when our commands may not reach it; 0: no doubt
 
         # When it was heard, and answered.
         self.messages = MessageOrder()
         self.heard_at = 0
         self.answered_at = now
-        self.up_at = 0  # when it was first synced
         self.back_at = 0  # when it was last heard again after it had been lost
-        # Since when we have answered it without its showing our fencing token; 0: it shows it.
-        self.unsynced_since = 0
         self.push_backoff_until = 0  # no commands are pushed until then
 
         # What is on it.
@@ -126,12 +122,9 @@
         self.images: dict[str, float] = {}  # sizes in GB; the most recently used last
         self.idle_since = now
         self.needed = True  # the fleet needs it: one it does not need is left to empty
-        # Kept up to date with each attempt, since plans ask for them for hundreds of machines:
-        # what is free beside the attempts that stay, and the sum of the bids of those.
-        self.free = Resources.of(machine_type)
-        self.booked = 0.0
+        self.free = Resources.of(machine_type)  # beside the attempts that stay; see book
+        self.booked = 0.0  # the sum of the bids of those
 
-        # What speaks for and against it.
         self.usage = MachineUsage()
         self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
         self.straggler_jobs: set[str] = set()  # jobs of which a task took far too long here
@@ -185,24 +178,24 @@
         self.synced = False
         self.up = True
 
-    def mark_synced(self, now: int) -> None:
+    def confirm_synced(self, now: int) -> None:
         """It has shown our fencing token, and so all that is on it."""
         self.synced = True
         self.up = True
-        self.up_at = self.up_at or now
+        self.usage.begin(now)
 
-    def mark_lost(self) -> None:
+    def lose(self) -> None:
         """Its lease has expired, and with it its agent epoch."""
         self.lost = True
         self.synced = False
-        self.unsynced_since = 0
         self.messages.end()
         self.images.clear()
 
     # Room
 
     def book(self, attempt: Attempt) -> None:
-        """Take the attempt's room."""
+        """Take the attempt's room. What is free and booked is kept up to date with each attempt,
+        since each plan asks for it."""
         attempt.bid = attempt.job_state.bid
         self.free.take(attempt.job_state.job)
         self.booked += attempt.bid
@@ -263,14 +256,12 @@
             return
         job_state = attempt.job_state
         spent_s = self.share(job_state.job) * (now - attempt.running_since) / US
-        if (
+        is_useful = (
             job_state.is_done(attempt.index)
-            or job_state.job.checkpoint_interval_us
+            or job_state.job.checkpoint_interval_us > 0
             or job_state.job.service
-        ):
-            self.usage.useful_s += spent_s
-        else:
-            self.usage.wasted_s += spent_s
+        )
+        self.usage.add_run(spent_s, is_useful)
 
 
 class JobState:
@@ -347,7 +338,7 @@
 
     # The tasks of this shard
 
-    def assign(self, ranges: list[tuple[int, int]]) -> None:
+    def assign(self, ranges: list[TaskRange]) -> None:
         """From now on these tasks are this shard's to start."""
         self.queue.assign(ranges)
         self.queue_done = sum(
@@ -362,7 +353,7 @@
         """Take the task to start next; None if there is none."""
         return self.queue.next(self.live, self.is_done)
 
-    def spare_tail(self) -> tuple[int, int] | None:
+    def spare_tail(self) -> TaskRange | None:
         """Tasks that another shard may start instead: the later half of the last range, if none
         of it was ever started here."""
         return self.queue.untouched_tail((*self.live, *self.unstored))
--- a/basaltlead/core/failure_history.py
+++ b/basaltlead/core/failure_history.py
@@ -17,6 +17,15 @@
         self.stragglers_stopped = 0  # how often a task was taken off a machine for being slow
         self.failed_on: dict[str, int] = {}  # machines to keep it off, until when
 
+    def record_failure(self) -> None:
+        """An attempt failed."""
+        self.failures += 1
+
+    def record_straggler(self, machine: str, until: int) -> None:
+        """A task was taken off this machine for being slow: the job keeps off it until then."""
+        self.stragglers_stopped += 1
+        self.failed_on[machine] = until
+
     def record_trial(self, machine: str, now: int) -> None:
         """An attempt failed on this machine; it is one more trial unless the job failed there just
         before."""
--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -44,7 +44,7 @@
                 machine.cordoned_until = now + IN_USE_CORDON_US
             case ExitReason.NO_SUCH:
                 # The user may still be uploading the job; if not, asking often helps nobody.
-                job_state.history.failures += 1
+                job_state.history.record_failure()
                 pause_s = min(MAX_LOOKUP_PAUSE_S, 1 << min(job_state.history.failures, 5))
                 job_state.retry_at = now + pause_s * US
 
@@ -77,7 +77,7 @@
         to blame for it, and after a third time it waits for longer and longer."""
         history = job_state.history
         history.record_trial(machine.name, now)
-        history.failures += 1
+        history.record_failure()
         if history.trials < TRIALS_OF_ITS_OWN or job_state.done_count:
             self._blame_machine(machine, job_state, now)
             return
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -56,7 +56,7 @@
 
     def _log_return(self, machine: Machine, now: int) -> None:
         age_s = max(1, now - machine.made_at) / US
-        up_s = (now - machine.up_at) / US if machine.up_at else 0.0
+        up_s = (now - machine.usage.up_at) / US if machine.usage.up_at else 0.0
         spot = ", spot" if machine.spot else ""
         usage = machine.usage
         self._log(
@@ -80,7 +80,7 @@
         """Its lease has expired, so it has killed all its tasks. Reports of that agent epoch that
         were held up on their way prove nothing any more."""
         state, count = machine.state(now), len(machine.attempts)
-        machine.mark_lost()
+        machine.lose()
         self.mark_unreachable(machine, now)
         self._empty(machine, now)
         self._log(f"machine {machine.name} lost (was {state.name.lower()}, {count} tasks)")
@@ -98,9 +98,9 @@
             self.mark_unreachable(machine, now)
         machine.begin_epoch(epoch, now)
 
-    def mark_synced(self, machine: Machine, now: int) -> None:
+    def confirm_synced(self, machine: Machine, now: int) -> None:
         """It has shown our fencing token, and so all that is on it."""
-        machine.mark_synced(now)
+        machine.confirm_synced(now)
         self.unsynced.discard(machine.name)
         self._signals.dirty = True
 
--- a/basaltlead/core/message_order.py
+++ b/basaltlead/core/message_order.py
@@ -15,6 +15,8 @@
         self.min_epoch = 0
         self.sequence = 0  # of the newest message whose list of tasks was taken in
         self.heartbeat_sequence = 0  # of the newest heartbeat
+        # Since when heartbeats were answered that do not show our fencing token; 0: they show it.
+        self.unsynced_since = 0
 
     def begin(self, epoch: int, now: int) -> None:
         """A new epoch begins."""
@@ -27,3 +29,8 @@
         """The epoch is over; reports of it that were held up on their way prove nothing any more.
         Before the first one there is none to end."""
         self.min_epoch = self.epoch + 1 if self.epoch else 0
+        self.unsynced_since = 0
+
+    def take_list(self, sequence: int) -> None:
+        """The list of tasks of this message was taken in."""
+        self.sequence = max(self.sequence, sequence)
--- a/basaltlead/core/open_jobs.py
+++ b/basaltlead/core/open_jobs.py
@@ -32,7 +32,7 @@
         job_state = self.by_ref.get(ref)
         return job_state is None or job_state.closed
 
-    def mark_stored(self, job_state: JobState, indices: Iterable[int]) -> None:
+    def confirm_stored(self, job_state: JobState, indices: Iterable[int]) -> None:
         """These results are in the key-value store: their workers may forget them."""
         job_state.unstored.difference_update(indices)
 
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -63,8 +63,8 @@
             return OUTDATED
         shows_token = heartbeat.fencing_token == self._fencing_token
         if not shows_token:
-            machine.unsynced_since = machine.unsynced_since or now
-            if now - machine.unsynced_since > self._timing.lease_us:
+            messages.unsynced_since = messages.unsynced_since or now
+            if now - messages.unsynced_since > self._timing.lease_us:
                 return REFUSED
             if machine.lost:  # only what shows our fencing token proves that it is back
                 return UNPROVEN
@@ -84,10 +84,11 @@
         self, machine: Machine, heartbeat: WorkerReport, is_newest: bool, now: int
     ) -> None:
         """Take in a heartbeat that shows our fencing token."""
-        if machine.unsynced_since:  # it did not show it before
-            machine.unsynced_since = 0
+        messages = machine.messages
+        if messages.unsynced_since:  # it did not show it before
+            messages.unsynced_since = 0
             self._fleet.confirm_reachable(machine)
-        doubted_at = max(machine.messages.epoch_started_at, machine.unreachable_since)
+        doubted_at = max(messages.epoch_started_at, machine.unreachable_since)
         if now - doubted_at > self._timing.lease_expiry_us:
             # Had it not heard us, its lease, and with it its agent epoch, would have ended.
             self._fleet.confirm_reachable(machine)
@@ -96,7 +97,7 @@
             if attempt.attempt_key not in listed:
                 self._take_unlisted(attempt, heartbeat.sequence, now)
         self._finish_list(machine, listed, is_newest, now)
-        machine.messages.sequence = max(machine.messages.sequence, heartbeat.sequence)
+        messages.take_list(heartbeat.sequence)
 
     def receive_answer(
         self, machine: Machine, answer: WorkerReport, now: int, pushed_starts: Iterable[Attempt]
@@ -119,7 +120,7 @@
             return
         listed = self._take_tasks(machine, answer.tasks, True, now)
         self._finish_list(machine, listed, True, now)
-        messages.sequence = answer.sequence
+        messages.take_list(answer.sequence)
 
     def _take_tasks(
         self, machine: Machine, tasks: Sequence[ReportedTask], is_newest: bool, now: int
@@ -150,7 +151,7 @@
             for key in [key for key in machine.orphaned_attempts if key not in listed]:
                 del machine.orphaned_attempts[key]
         if not machine.synced:
-            self._fleet.mark_synced(machine, now)
+            self._fleet.confirm_synced(machine, now)
 
     def _take_unlisted(self, attempt: Attempt, sequence: int, now: int) -> None:
         """A heartbeat does not list an attempt of ours."""
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -79,6 +79,7 @@
 
     @dirty.setter
     def dirty(self, dirty: bool) -> None:
+        """Ask for a plan, or begin one."""
         self._signals.dirty = dirty
 
     # Jobs
@@ -101,7 +102,7 @@
 
     def stored(self, job_state: JobState, indices: Iterable[int]) -> None:
         """These results are in the key-value store: their workers may forget them."""
-        self._jobs.mark_stored(job_state, indices)
+        self._jobs.confirm_stored(job_state, indices)
 
     def blocked(self, job_state: JobState, now: int) -> bool:
         """May none of its tasks be started now? Until every machine that might hold a task
--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -56,8 +56,7 @@
 
     def _stop(self, attempt: Attempt, now: int) -> None:
         machine, job_state = attempt.machine, attempt.job_state
-        job_state.history.stragglers_stopped += 1
-        job_state.history.failed_on[machine.name] = now + KEEP_OFF_US
+        job_state.history.record_straggler(machine.name, now + KEEP_OFF_US)
         machine.straggler_jobs.add(job_state.job.ref)
         self._log(
             f"machine {machine.name} is slow: "
--- a/basaltlead/core/task_queue.py
+++ b/basaltlead/core/task_queue.py
@@ -2,6 +2,8 @@
 
 from collections.abc import Callable, Collection
 
+TaskRange = tuple[int, int]  # the first task, and the number after the last
+
 
 class TaskQueue:
     """The tasks of a job that are assigned to this shard, and which of them is to start next.
@@ -11,14 +13,13 @@
     """
 
     def __init__(self, tasks: int) -> None:
-        self.ranges: list[tuple[int, int]] = [(0, tasks)]
+        self.ranges: list[TaskRange] = [(0, tasks)]
         self.size = tasks
         self._position = (0, 0)  # the range, and the task in it, before which all were passed
         self._returned: list[int] = []
 
-    def assign(self, ranges: list[tuple[int, int]]) -> None:
-        """From now on these tasks are this shard's to start, each range from its first task to
-        before its last number."""
+    def assign(self, ranges: list[TaskRange]) -> None:
+        """From now on these tasks are this shard's to start."""
         self.ranges = ranges
         self.size = sum(high - low for low, high in ranges)
         self.rewind()
@@ -53,7 +54,7 @@
         self._position = (part, at)
         return None
 
-    def untouched_tail(self, touched: Collection[int]) -> tuple[int, int] | None:
+    def untouched_tail(self, touched: Collection[int]) -> TaskRange | None:
         """The later half of the last range, if none of it was passed, put back or is `touched`."""
         if not self.ranges or self._position[0] >= len(self.ranges):
             return None
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -58,7 +58,7 @@
         attempt.running_since = now
         job_state, machine = attempt.job_state, attempt.machine
         fetched_us = now - attempt.created_at
-        machine.usage.fetching_s += machine.share(job_state.job) * fetched_us / US
+        machine.usage.add_fetch(machine.share(job_state.job) * fetched_us / US)
         if not job_state.started_at:
             job_state.started_at = now
             job = job_state.job
