--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -134,9 +134,14 @@
     """The picture of a shard that has just been granted: nothing is known of it so far."""
     workers = settings.facts.workers
     timing = Timing(int(workers.lease_s * US), int(workers.report_s * US))
-    shard = Shard(lease.fencing_token, lease.version, now_us(), timing, team_quotas(settings))
-    shard.log = lambda text: log.info("%s", text)
-    return shard
+    return Shard(
+        lease.fencing_token,
+        lease.version,
+        now_us(),
+        timing,
+        team_quotas(settings),
+        lambda text: log.info("%s", text),
+    )
 
 
 def team_quotas(settings: Settings) -> dict[str, TeamQuota]:
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -91,7 +91,7 @@
             "market round: %d jobs, %.0f of %.0f CPUs in use, %.0f CPUs waiting, "
             "%d machines ready, %d surplus",
             len(open_jobs),
-            sum(used[0] for used in shard.team_used.values()),
+            sum(used.cpus for used in shard.team_used.values()),
             sum(machine.machine_type.cpus for machine in machines),
             sum(job.waiting * job.job.cpus for job in open_jobs),
             len(machines),
