--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -1,33 +1,232 @@
 """Gangs are placed whole: every task finds its machine, or none is started."""
 
 from collections.abc import Sequence
+from typing import NamedTuple
 
-from basaltlead.core.entities import JobState, Machine
-from basaltlead.core.placement import Ranking, zones_open
+from basaltlead.core.entities import US, Attempt, Job, JobState, Machine
+from basaltlead.core.placement import Ranking, fetch_cost, zones_open
+from basaltlead.core.plan_context import PlanContext, requirements
+from basaltlead.core.preemption import Preemption, loss, stoppable
+
+RESERVE_AFTER_US = 20 * US  # a gang that has waited for so long has machines reserved for it
+
+
+class GangOffer(NamedTuple):
+    """Places for tasks of a gang on one machine."""
+
+    cost: float  # of each place
+    machine: Machine
+    places: int
+    stops: list[Attempt]  # what has to be stopped for all of them
+
+
+class GangPart(NamedTuple):
+    """The tasks of a gang that go to one machine."""
+
+    machine: Machine
+    tasks: int
+    stops: list[Attempt]  # of these, as many as it takes are stopped
+
+
+class GangSplit(NamedTuple):
+    """A way to spread a whole gang over machines."""
+
+    cost: float
+    parts: list[GangPart]
 
 
 def place(job_state: JobState, machines: Sequence[Machine]) -> list[Machine] | None:
-    """A machine for each task of the gang, or None."""
+    """A machine for each task of the gang among those with room; None if they don't all fit."""
     job = job_state.job
-    zones = {machine.zone for machine in machines}
-    open_zones = sorted(zones_open(job_state, zones))
-    # A gang in one zone tries them one by one; otherwise all zones together.
-    for tried in [{zone} for zone in open_zones] if job.one_zone else [set(open_zones)]:
-        usable = [m for m in machines if m.zone in tried]
-        if sum(m.free.holds(job) for m in usable) < job.tasks:
+    for zones in _zone_choices(job, zones_open(job_state, {m.zone for m in machines})):
+        usable = [machine for machine in machines if machine.zone in zones]
+        if sum(machine.free.holds(job) for machine in usable) < job.tasks:
             continue
-        trial = {m.name: m.free.copy() for m in usable}
-        ranking = Ranking(job, usable, trial)
-        held = dict.fromkeys(tried, 0)
-        chosen: list[Machine] = []
-        for _ in range(job.tasks):
-            machine = ranking.best({zone for zone in tried if held[zone] < job.zone_cap})
-            if machine is None:
-                break
-            trial[machine.name].take(job)
-            held[machine.zone] += 1
-            chosen.append(machine)
-            ranking.again(machine)
-        if len(chosen) == job.tasks:
+        chosen = _place_in(job, zones, usable)
+        if chosen is not None:
             return chosen
     return None
+
+
+def _zone_choices(job: Job, zones: set[str]) -> list[set[str]]:
+    """The sets of zones to try in turn: each zone alone for a gang in one zone, else all."""
+    return [{zone} for zone in sorted(zones)] if job.one_zone else [zones]
+
+
+def _place_in(job: Job, zones: set[str], machines: Sequence[Machine]) -> list[Machine] | None:
+    """A machine for each task, all in these zones; None if they don't all fit."""
+    trial_rooms = {machine.name: machine.free.copy() for machine in machines}
+    ranking = Ranking(job, machines, trial_rooms)
+    held = dict.fromkeys(zones, 0)
+    chosen: list[Machine] = []
+    for _ in range(job.tasks):
+        machine = ranking.best({zone for zone in zones if held[zone] < job.zone_cap})
+        if machine is None:
+            return None
+        trial_rooms[machine.name].take(job)
+        held[machine.zone] += 1
+        chosen.append(machine)
+        ranking.rerank(machine)
+    return chosen
+
+
+def cheapest_split(job: Job, zones: set[str], offers: Sequence[GangOffer]) -> GangSplit | None:
+    """The cheapest of the offered places that together hold the gang; all in one zone if the job
+    asks for that. None if there are too few."""
+    by_cost = sorted(offers, key=lambda offer: (offer.cost, offer.machine.name))
+    splits = [_split(job, choice, by_cost) for choice in _zone_choices(job, zones)]
+    return min(
+        (split for split in splits if split is not None),
+        key=lambda split: split.cost,
+        default=None,
+    )
+
+
+def _split(job: Job, zones: set[str], by_cost: Sequence[GangOffer]) -> GangSplit | None:
+    """The cheapest of the places in these zones that together hold the gang."""
+    left = job.tasks
+    held = dict.fromkeys(zones, 0)
+    cost = 0.0
+    parts = []
+    for offer in by_cost:
+        zone = offer.machine.zone
+        if zone in zones:
+            tasks = min(offer.places, left, job.zone_cap - held[zone])
+            if tasks > 0:
+                held[zone] += tasks
+                left -= tasks
+                cost += offer.cost * tasks
+                parts.append(GangPart(offer.machine, tasks, offer.stops))
+    return GangSplit(cost, parts) if left == 0 else None
+
+
+class GangPlacement:
+    """Starts gangs in one plan, and reserves machines for one that has waited for long."""
+
+    def __init__(self, context: PlanContext, preemption: Preemption) -> None:
+        self._context = context
+        self._preemption = preemption
+
+    def start(self, job_state: JobState) -> None:
+        """Start all tasks of the gang, or none; replace those that it has lost before it ran."""
+        if job_state.live:
+            self._replace_lost(job_state)
+            return
+        context = self._context
+        job = job_state.job
+        required = requirements(job_state)
+        if context.is_unplaceable(required) or not context.limits.allow(job, job.tasks):
+            return
+        machines = context.machines.for_job(job_state)
+        if job.tasks == 1:
+            chosen = self._machine_for_one(job_state, machines)
+        else:
+            with_room = context.machines.with_room_for(job_state)
+            chosen = place(job_state, with_room) or self._machines_by_preemption(
+                job_state, machines
+            )
+        if chosen is None:
+            context.note_unplaceable(required)
+            self._reserve(job_state, machines)
+            return
+        attempt_number = context.shard.next_attempt_number()
+        job_state.rewind()
+        for index, machine in enumerate(chosen):
+            context.shard.start(job_state, index, machine, attempt_number, context.now)
+
+    def _replace_lost(self, job_state: JobState) -> None:
+        """Replace lost tasks of a gang that does not run yet, under the same attempt number.
+
+        Once a task has run, or is to stop, the others end as well, and then the gang is placed
+        anew.
+        """
+        live = list(job_state.live.values())
+        attempt_number = live[0].attempt_number
+        if any(
+            a.stop_grace_s is not None
+            or a.attempt_number != attempt_number
+            or a.stage in ("running", "saving")
+            for a in live
+        ):
+            return
+        context = self._context
+        machines = context.machines.with_room_for(job_state)
+        for index in range(job_state.job.tasks):
+            if index in job_state.live:
+                continue
+            if not context.limits.allow(job_state.job):
+                return
+            zones = zones_open(job_state, context.machines.zones)
+            machine = Ranking(job_state.job, machines).best(zones)
+            if machine is None:
+                return
+            context.shard.start(job_state, index, machine, attempt_number, context.now)
+
+    def _machine_for_one(
+        self, job_state: JobState, machines: Sequence[Machine]
+    ) -> list[Machine] | None:
+        """The machine for a gang of one task, after others there were stopped for it."""
+        opening = self._preemption.for_gang_of_one(job_state, machines)
+        if opening is None:
+            return None
+        for attempt in opening.stops:
+            self._context.shard.stop_gracefully(attempt)
+        return [opening.machine]
+
+    def _machines_by_preemption(
+        self, job_state: JobState, machines: Sequence[Machine]
+    ) -> list[Machine] | None:
+        """Room for a whole gang by stopping others: only if all of it fits then, and where that
+        wastes least."""
+        job = job_state.job
+        may_stop = self._preemption.may_stop_for(job_state)
+        offers: list[GangOffer] = []
+        for machine in machines:
+            stops = stoppable(machine, may_stop)
+            room = machine.free.copy()
+            for attempt in stops:
+                room.take(attempt.job_state.job, -1)
+            places = room.holds(job)
+            if places:
+                wasted = sum(loss(attempt, self._context.now) for attempt in stops)
+                cost = (wasted + fetch_cost(job, machine)) / places
+                offers.append(GangOffer(cost, machine, places, stops))
+        zones = zones_open(job_state, self._context.machines.zones)
+        split = cheapest_split(job, zones, offers)
+        if split is None:
+            return None
+        chosen: list[Machine] = []
+        for part in split.parts:
+            self._preemption.make_room(part.machine, job, part.tasks, part.stops)
+            chosen += [part.machine] * part.tasks
+        return chosen
+
+    def _reserve(self, job_state: JobState, machines: Sequence[Machine]) -> None:
+        """Reserve the machines that will be empty soonest for a gang that has waited for long.
+
+        Work that comes one task at a time would else take each place as it falls free, and a large
+        gang would wait for ever. One gang at a time, the first in start order.
+        """
+        context = self._context
+        waited_us = context.now - job_state.submitted_at
+        if context.machines.has_reservation or waited_us < RESERVE_AFTER_US:
+            return
+        job = job_state.job
+        offers = [
+            GangOffer(float(self._busy_us(machine)), machine, machine.machine_type.holds(job), [])
+            for machine in machines
+        ]
+        split = cheapest_split(job, zones_open(job_state, context.machines.zones), offers)
+        if split is not None:
+            context.machines.reserve(part.machine.name for part in split.parts)
+
+    def _busy_us(self, machine: Machine) -> int:
+        """How long the tasks on a machine will still run, as far as can be guessed."""
+        return max((self._left_us(attempt) for attempt in machine.attempts.values()), default=0)
+
+    def _left_us(self, attempt: Attempt) -> int:
+        guess_us = self._context.shard.guess_us(attempt.job_state)
+        if attempt.job_state.job.service:
+            return guess_us
+        now = self._context.now
+        return max(guess_us - (now - (attempt.running_since or now)), US)
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -1,19 +1,20 @@
 """Which machine a task goes to: worst fit by booked bids, among the machines that suit it best."""
 
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from heapq import heapify, heappop, heappush
 
 from basaltlead.core.entities import Attempt, Job, JobState, Machine, Resources
 
-REPLICA_LOSS_S = 30.0  # what stopping a replica of lower rank is reckoned to cost
+# Lower is better; see `tier`.
+Tier = tuple[int, int, int, int]
 
 
 def zones_open(
     job_state: JobState, zones: Iterable[str], leaving: Attempt | None = None
 ) -> set[str]:
-    """Zones in which one more task of the job may start, given the tasks it has anywhere, but for
-    one that is to leave its place first."""
+    """Zones in which one more task of the job may start, given its tasks in any zone. `leaving`
+    does not count: that attempt is to end before the new one starts."""
     job = job_state.job
     if not (job.one_zone or job.apart):
         return set(zones)
@@ -23,92 +24,70 @@
     return {zone for zone in zones if held[zone] < job.zone_cap}
 
 
-def tier(job: Job, machine: Machine) -> tuple[int, int, int, int]:
-    """Lower is better. A machine the fleet does not need is left to empty; spot machines are
-    filled before ordinary ones, so that the dear ones empty first when there is less to do; one
-    that has the image starts the task at once; one that has work stays rented anyway. A gang
-    fills machines and waits as a whole for the slowest fetch: for it the image comes first."""
+def tier(job: Job, machine: Machine) -> Tier:
+    """How well a machine with room suits a job; lower is better.
+
+    A machine that the fleet does not need is left to empty; spot machines are filled before
+    ordinary ones, so that the expensive ones empty first when there is less to do; a machine that
+    has the image starts the task at once; one that has work stays rented anyway. A gang fills
+    machines and waits as a whole for the slowest fetch: for it the image comes first.
+    """
     image = 0 if job.image in machine.images else 1
-    wanted = 0 if machine.needed else 1
-    dear = 0 if machine.spot else 1
+    needed = 0 if machine.needed else 1
+    price = 0 if machine.spot else 1
     busy = 0 if machine.attempts else 1
-    return (image, wanted, dear, busy) if job.gang else (wanted, dear, image, busy)
+    return (image, needed, price, busy) if job.gang else (needed, price, image, busy)
 
 
 def fetch_cost(job: Job, machine: Machine) -> float:
-    """CPU seconds that a task would stand idle for its image."""
+    """What a task wastes while it waits for its image, in CPU seconds."""
     if job.image in machine.images:
         return 0.0
     return machine.machine_type.fetch_s(job) * job.size
 
 
 class Ranking:
-    """The machines that suit a job, best first: the least booked bids within the best tier (the
-    paper's worst fit). Made in one pass; each task then costs no more than a step in a heap."""
+    """The machines on which a task of a job fits, best first: the least booked bids within the best
+    tier (the paper's worst fit).
+
+    It is made in one pass; each task then costs no more than a step in a heap.
+    """
 
     def __init__(
-        self, job: Job, machines: Iterable[Machine], trial: dict[str, Resources] | None = None
+        self,
+        job: Job,
+        machines: Iterable[Machine],
+        trial_rooms: dict[str, Resources] | None = None,
     ) -> None:
-        """`trial` holds rooms to reckon with instead of what is free."""
-        self.job = job
-        self.trial = trial
-        self.heap = [
-            (tier(job, m), m.booked, m.name, m)
-            for m in machines
-            if self._room(m).fits(job) and not m.is_full
+        """`trial_rooms`, by machine, count in place of what is free there: the caller takes from
+        them what it places on trial."""
+        self._job = job
+        self._trial_rooms = trial_rooms
+        # Plain tuples, since a plan makes thousands of them. Names are unique, so that machines
+        # themselves are never compared.
+        self._heap: list[tuple[Tier, float, str, Machine]] = [
+            (tier(job, machine), machine.booked, machine.name, machine)
+            for machine in machines
+            if self._room(machine).fits(job) and not machine.is_full
         ]
-        heapify(self.heap)
+        heapify(self._heap)
 
     def _room(self, machine: Machine) -> Resources:
-        return machine.free if self.trial is None else self.trial[machine.name]
+        return machine.free if self._trial_rooms is None else self._trial_rooms[machine.name]
 
     def best(self, zones: set[str]) -> Machine | None:
-        """The machine for the next task. Zones only close while a job's tasks are placed, so
-        machines elsewhere are dropped for good."""
-        while self.heap and self.heap[0][3].zone not in zones:
-            heappop(self.heap)
-        return self.heap[0][3] if self.heap else None
-
-    def again(self, machine: Machine) -> None:
-        """A task was bound to it: rank it anew while it holds another."""
-        if self.heap and self.heap[0][3] is machine:
-            heappop(self.heap)
-        if self._room(machine).fits(self.job) and not machine.is_full:
-            heappush(self.heap, (tier(self.job, machine), machine.booked, machine.name, machine))
-
-
-def loss(attempt: Attempt, now: int) -> float:
-    """What stopping an attempt would waste, in CPU seconds."""
-    job = attempt.job_state.job
-    if attempt.stage in ("planned", "sent", "fetching", "gathering"):
-        return 0.0
-    if job.service:  # it only stands still until it runs elsewhere
-        return REPLICA_LOSS_S * job.size
-    lost_us = (
-        now - attempt.running_since
-        if not job.checkpoint_interval_us
-        else int(job.checkpoint_duration_s * 1e6)
-    )
-    return max(0, lost_us) / 1e6 * job.size
-
-
-def preemption_candidates(
-    job: Job, machine: Machine, now: int, may_stop: Callable[[JobState], bool]
-) -> tuple[float, list[Attempt]] | None:
-    """The attempts to stop so that a task of the job fits on the machine, and the loss."""
-    if machine.free.fits(job):
-        return 0.0, []
-    room = machine.free.copy()
-    chosen: list[Attempt] = []
-    total = 0.0
-    lower = [
-        a for a in machine.attempts.values() if a.stop_grace_s is None and may_stop(a.job_state)
-    ]
-    lower.sort(key=lambda a: (a.job_state.job.rank, loss(a, now)))
-    for attempt in lower:
-        if room.fits(job):
-            break
-        room.take(attempt.job_state.job, -1)
-        chosen.append(attempt)
-        total += loss(attempt, now)
-    return (total, chosen) if room.fits(job) else None
+        """The machine for the next task. Zones are only ever closed while the tasks of a job are
+        placed, so machines elsewhere are dropped for good."""
+        while self._heap:
+            _, _, _, machine = self._heap[0]
+            if machine.zone in zones:
+                return machine
+            heappop(self._heap)
+        return None
+
+    def rerank(self, machine: Machine) -> None:
+        """Rank a machine again after a task was bound to it; drop it if no other fits."""
+        if self._heap and self._heap[0][3] is machine:
+            heappop(self._heap)
+        if self._room(machine).fits(self._job) and not machine.is_full:
+            heappush(self._heap, (tier(self._job, machine), machine.booked, machine.name, machine))
--- /dev/null
+++ b/basaltlead/core/plan_context.py
@@ -0,0 +1,80 @@
+"""What the placements of arrays, gangs and services share during one plan."""
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from basaltlead.core.candidate_machines import CandidateMachines
+from basaltlead.core.entities import Attempt, JobState, Machine, Shape
+from basaltlead.core.shard import Shard
+from basaltlead.core.team_limits import TeamLimits
+
+
+class Requirements(NamedTuple):
+    """What decides whether a job finds room: jobs with equal ones find it or not alike."""
+
+    shape: Shape
+    together: int  # tasks that must be placed at once
+    rank: int
+    team: str
+    cpus: float
+    gpus: float
+    memory_gb: float
+    types: frozenset[str] | None
+    zone: str | None
+    one_zone: bool
+    apart: bool
+    spot: bool
+
+
+def requirements(job_state: JobState) -> Requirements | None:
+    """The job's requirements; None if its chances are its own: a job that has failed on some
+    machines, and one whose running tasks decide where the others may be."""
+    job = job_state.job
+    if job_state.failed_on or (job.whole and job_state.live):
+        return None
+    return Requirements(
+        job.shape,
+        job.tasks if job.gang else 1,
+        job.rank,
+        job.team,
+        job.cpus,
+        job.gpus,
+        job.memory_gb,
+        job.types,
+        job.zone,
+        job.one_zone,
+        job.apart,
+        job.spot,
+    )
+
+
+class PlanContext:
+    """The shard, the machines and the limits of one plan, and what has found no room in it."""
+
+    def __init__(self, shard: Shard, machines: CandidateMachines, now: int) -> None:
+        self.shard = shard
+        self.machines = machines
+        self.limits = TeamLimits(shard)
+        self.now = now
+        self._unplaceable: set[Requirements] = set()
+
+    def is_unplaceable(self, required: Requirements | None) -> bool:
+        """Whether a job with these requirements has found no room in this plan."""
+        return required in self._unplaceable
+
+    def note_unplaceable(self, required: Requirements | None) -> None:
+        """Pass over jobs with the same requirements for the rest of this plan."""
+        if required is not None:
+            self._unplaceable.add(required)
+
+    def start_next(self, job_state: JobState, machine: Machine, stops: Iterable[Attempt]) -> bool:
+        """Start the job's next task on a machine and stop what has to make room for it there;
+        False if the job has no further task."""
+        index = job_state.next_index()
+        if index is None:
+            return False
+        for attempt in stops:
+            self.shard.stop_gracefully(attempt)
+        number = self.shard.next_attempt_number()
+        self.shard.start(job_state, index, machine, number, self.now)
+        return True
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -1,32 +1,28 @@
 """Where a replica of a service is started: where it will run soonest.
 
 Users notice every second without a replica, so the time until one runs outweighs what is wasted by
-stopping others for it. That time is the fetch of its image, and the saving of tasks that give way.
+stopping others for it. That time is the fetch of its image, and the checkpoints of the tasks that
+are stopped for it.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from heapq import heapify, heappop, heappush
 from typing import NamedTuple
 
 from basaltlead.core import placement
 from basaltlead.core.entities import Attempt, Job, JobState, Machine
+from basaltlead.core.plan_context import PlanContext, requirements
+from basaltlead.core.preemption import MayStop, Opening, Preemption, preemption_candidates
 
 # A second without the replica weighs as much as so many seconds of other work of its size.
 DELAY_WEIGHT = 20.0
 
 
-class Place(NamedTuple):
-    """A machine for one replica, and the tasks that give way to it there."""
-
-    machine: Machine
-    stops: list[Attempt]
-
-
 class Ranked(NamedTuple):
-    """A machine in the order of preference: cost, tier, booked bids, name."""
+    """A machine in the order of preference. Names are unique: machines are never compared."""
 
     cost: float
-    tier: tuple[int, int, int, int]
+    tier: placement.Tier
     booked: float
     name: str
     machine: Machine
@@ -37,9 +33,9 @@
     fetch = 0.0 if job.image in machine.images else machine.machine_type.fetch_s(job)
     saving = max(
         (
-            a.job_state.job.checkpoint_duration_s
-            for a in stops
-            if a.job_state.job.checkpoint_interval_us
+            attempt.job_state.job.checkpoint_duration_s
+            for attempt in stops
+            if attempt.job_state.job.checkpoint_interval_us
         ),
         default=0.0,
     )
@@ -47,52 +43,95 @@
 
 
 class ReplicaChoice:
-    """The machines that suit a service, best first, looked at anew as replicas are bound."""
-
-    def __init__(
-        self,
-        job_state: JobState,
-        machines: Iterable[Machine],
-        may_stop: Callable[[JobState], bool],
-        now: int,
-    ) -> None:
-        self.job_state = job_state
-        self.may_stop = may_stop
-        self.now = now
+    """The machines that suit a service, best first, ranked again as replicas are bound."""
+
+    def __init__(self, job: Job, machines: Iterable[Machine], may_stop: MayStop, now: int) -> None:
+        self._job = job
+        self._may_stop = may_stop
+        self._now = now
         ranked = (self._ranked(machine) for machine in machines)
-        self.heap = [one for one in ranked if one is not None]
-        heapify(self.heap)
+        # What has to be stopped is not kept: in a large fleet that would be most of its tasks.
+        self._heap = [found[0] for found in ranked if found is not None]
+        heapify(self._heap)
 
-    def _preemption_candidates(self, machine: Machine) -> tuple[float, list[Attempt]] | None:
+    def _ranked(self, machine: Machine) -> tuple[Ranked, Opening] | None:
         if machine.is_full:
             return None
-        return placement.preemption_candidates(self.job_state.job, machine, self.now, self.may_stop)
-
-    def _ranked(self, machine: Machine) -> Ranked | None:
-        found = self._preemption_candidates(machine)
-        if found is None:
+        job = self._job
+        opening = preemption_candidates(job, machine, self._now, self._may_stop)
+        if opening is None:
             return None
-        loss, stops = found
-        job = self.job_state.job
-        cost = loss + DELAY_WEIGHT * delay_s(job, machine, stops) * job.size
+        cost = opening.loss + DELAY_WEIGHT * delay_s(job, machine, opening.stops) * job.size
         tier = placement.tier(job, machine)
-        return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine)
-
-    def best(self, zones: set[str]) -> Place | None:
-        """The place for the next replica. What was ranked before the last one was bound is checked
-        again; zones only close meanwhile, so machines elsewhere are dropped for good."""
-        while self.heap:
-            first = heappop(self.heap)
-            if first.machine.zone not in zones:
-                continue
-            again = self._ranked(first.machine)
-            if again is None:
+        return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), opening
+
+    def best(self, zones: set[str]) -> Opening | None:
+        """The machine for the next replica, and what has to be stopped there.
+
+        What was ranked before the last replica was bound is ranked again. Zones are only ever
+        closed meanwhile, so machines elsewhere are dropped for good.
+        """
+        while self._heap:
+            machine = heappop(self._heap).machine
+            if machine.zone not in zones:
                 continue
-            if self.heap and again[:4] > self.heap[0][:4]:
-                heappush(self.heap, again)
+            found = self._ranked(machine)
+            if found is None:
                 continue
-            found = self._preemption_candidates(first.machine)
-            assert found is not None  # it was ranked just now
-            heappush(self.heap, again)
-            return Place(first.machine, found[1])
+            current, opening = found
+            is_still_best = not self._heap or current[:4] <= self._heap[0][:4]
+            heappush(self._heap, current)
+            if is_still_best:
+                return opening
         return None
+
+
+class ReplicaPlacement:
+    """Starts replicas of services in one plan, and moves those whose machines are about to go."""
+
+    def __init__(self, context: PlanContext, preemption: Preemption) -> None:
+        self._context = context
+        self._preemption = preemption
+
+    def start(self, job_state: JobState) -> None:
+        """Start replicas where they run soonest; among equals where it wastes least."""
+        context = self._context
+        job = job_state.job
+        required = requirements(job_state)
+        if context.is_unplaceable(required) or not context.limits.allow(job):
+            return
+        choice = self._choice(job_state)
+        for _ in range(job_state.waiting):
+            if not context.limits.allow(job):
+                return
+            opening = choice.best(placement.zones_open(job_state, context.machines.zones))
+            if opening is None:
+                context.note_unplaceable(required)
+                return
+            if not context.start_next(job_state, opening.machine, opening.stops):
+                return
+
+    def move_from_departing_machines(self) -> None:
+        """Stop replicas on machines that are about to go, each once there is a place for it. The
+        next plans start it there as soon as it is provably gone."""
+        for machine in self._context.shard.machines.values():
+            if machine.preemption_at is None and not machine.draining:
+                continue
+            for attempt in list(machine.attempts.values()):
+                if attempt.job_state.job.service and attempt.stop_grace_s is None:
+                    self._move(attempt)
+
+    def _move(self, attempt: Attempt) -> None:
+        context = self._context
+        zones = placement.zones_open(attempt.job_state, context.machines.zones, leaving=attempt)
+        opening = self._choice(attempt.job_state).best(zones)
+        if opening is None:
+            return
+        context.shard.stop(attempt, 0.0)
+        for stopped in opening.stops:
+            context.shard.stop_gracefully(stopped)
+
+    def _choice(self, job_state: JobState) -> ReplicaChoice:
+        machines = self._context.machines.for_job(job_state)
+        may_stop = self._preemption.may_stop_for(job_state)
+        return ReplicaChoice(job_state.job, machines, may_stop, self._context.now)
--- /dev/null
+++ b/basaltlead/core/start_order.py
@@ -0,0 +1,42 @@
+"""The order in which the jobs that wait are started."""
+
+from basaltlead.core.entities import JobState
+from basaltlead.core.shard import Shard
+from basaltlead.core.team_limits import fits_guarantee
+
+
+def start_order(shard: Shard, now: int) -> list[JobState]:
+    """Open jobs with waiting tasks, in the order in which they are started.
+
+    First by the team's guarantee, then by rank; then gangs, which need whole machines, before
+    arrays take the room; jobs with an objective; those of the team furthest below its share; the
+    higher bid; the older job.
+    """
+    bids: dict[str, float] = {}  # by team
+    for job_state in shard.job_states.values():
+        if not job_state.closed:
+            bids[job_state.job.team] = bids.get(job_state.job.team, 0.0) + job_state.bid
+    total_bids = sum(bids.values()) or 1.0
+    total_cpus = sum(used_cpus for used_cpus, _ in shard.team_used.values()) or 1.0
+
+    def above_share(team: str) -> float:
+        """How much more of the used CPUs than of the bids is the team's, as a fraction."""
+        return shard.used(team)[0] / total_cpus - bids.get(team, 0.0) / total_bids
+
+    ready = [
+        job_state
+        for job_state in shard.job_states.values()
+        if not shard.blocked(job_state, now) and job_state.waiting > 0
+    ]
+    return sorted(
+        ready,
+        key=lambda job_state: (
+            not fits_guarantee(shard, job_state),
+            -job_state.job.rank,
+            not job_state.job.gang,
+            not job_state.has_objective,
+            above_share(job_state.job.team),
+            -job_state.bid,
+            job_state.submitted_at,
+        ),
+    )
--- /dev/null
+++ b/basaltlead/core/team_limits.py
@@ -0,0 +1,61 @@
+"""Whether a job fits into what its team is guaranteed, and into what its team may use at most."""
+
+from functools import cached_property
+
+from basaltlead.core.entities import EPS, Job, JobState
+from basaltlead.core.shard import Shard
+from basaltlead.core.shard_state import TeamQuota
+
+NO_QUOTA = TeamQuota()
+
+
+def fits_guarantee(shard: Shard, job_state: JobState) -> bool:
+    """Whether the job fits into its team's guarantee beside what the team uses. An array does once
+    another one of its tasks does, a gang or a service only as a whole."""
+    job = job_state.job
+    team = shard.teams.get(job.team, NO_QUOTA)
+    if not team.cpus and not team.gpus:
+        return False
+    used_cpus, used_gpus = shard.used(job.team)
+    count = job.together
+    return (
+        used_cpus + job.cpus * count <= team.cpus + EPS
+        and used_gpus + job.gpus * count <= team.gpus + EPS
+    )
+
+
+def exceeds_guarantee(shard: Shard, team_name: str) -> bool:
+    """Whether a team uses more than it is guaranteed."""
+    team = shard.teams.get(team_name, NO_QUOTA)
+    used_cpus, used_gpus = shard.used(team_name)
+    return used_cpus > team.cpus + EPS or used_gpus > team.gpus + EPS
+
+
+class TeamLimits:
+    """The limits of the teams, as one plan must keep them."""
+
+    def __init__(self, shard: Shard) -> None:
+        self._shard = shard
+
+    @cached_property
+    def _unaccounted_tasks(self) -> bool:
+        """Whether tasks may run that are not counted. Found out for teams with a limit only, and
+        once a plan: it takes a pass over the machines."""
+        return self._shard.has_unaccounted_tasks
+
+    def allow(self, job: Job, count: int = 1) -> bool:
+        """Whether the team may have so many more tasks of the job, beside all that may run.
+
+        Never for a team with a limit while tasks may run that are not counted: one of them could
+        be what exceeds it.
+        """
+        team = self._shard.teams.get(job.team, NO_QUOTA)
+        if not team.cpus_max and not team.gpus_max:
+            return True
+        if self._unaccounted_tasks:
+            return False
+        used_cpus, used_gpus = self._shard.used(job.team)
+        return not (
+            (team.cpus_max and used_cpus + job.cpus * count > team.cpus_max + EPS)
+            or (team.gpus_max and used_gpus + job.gpus * count > team.gpus_max + EPS)
+        )
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from basaltlead.core import demand, fleet_sizing, planning
+from basaltlead.core import demand, fleet_sizing, placement, planning
 from basaltlead.core.entities import US, JobState, Machine, Resources, Shape
 from basaltlead.core.fleet_sizing import Demand, Offer
 from basaltlead.core.shard_state import TeamQuota
@@ -63,9 +63,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full()
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     placed = sum(len(job_state.live) for job_state in story.shard.job_states.values())
     assert placed > MACHINES
@@ -91,9 +89,7 @@
     """Passing over all machines for each of them, a shard leader of 600 spent a fifth of a core
     so."""
     story = _full_of_arrays()
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     assert count.calls < MACHINES
 
@@ -157,9 +153,7 @@
         story.shard.add_job(
             a_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
         )
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     assert count.calls < 12 * MACHINES
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from basaltlead.core import fleet_sizing, planning, replica_placement
+from basaltlead.core import fleet_sizing, placement, planning, replica_placement
 from basaltlead.core.entities import RANKS, US, Machine, Resources, Shape
 from basaltlead.core.fleet_sizing import Demand, Offer
 from basaltlead.core.shard import Shard
@@ -46,9 +46,7 @@
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     return count.calls
 
