--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -18,8 +18,8 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.cluster_view import Grant, shard_key
 from basaltlead.core.entities import US, MachineType
-from basaltlead.core.fleet_sizing import OfferBook
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.core.offers import OfferBook
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
 from basaltlead.duties.reports import DutyReports
--- /dev/null
+++ b/basaltlead/core/rental_choice.py
@@ -0,0 +1,97 @@
+"""Which machine to rent for tasks that find no room: the one that gives it at the least price."""
+
+from collections.abc import Mapping
+
+from basaltlead.core.entities import US, Job, MachineType
+from basaltlead.core.offers import Offer, unit_price
+
+# For how long a machine must be of use, as a multiple of the time that it takes to boot. Spot
+# machines are cheap enough to be rented early and to wait for work; ordinary ones are for backlogs
+# that last.
+MIN_USE_BOOTS, MIN_USE_BOOTS_SPOT = 2.4, 0.6
+# For how long a machine is reckoned to be of use: the time to boot is paid for as well.
+STAY_US = 90 * US
+SERVICE_STAY_US = 600 * US  # the same for replicas, which stay
+# What the end of a spot machine costs a task that saves no checkpoints: a part of the price for
+# each hour that the task runs, up to a limit.
+SPOT_RISK_PER_HOUR, MAX_SPOT_RISK = 4, 0.5
+
+
+def risk_price(job: Job, machine_type: MachineType, spot: bool, run_us: int) -> float:
+    """The price for an hour of room for one task of a job that runs for `run_us`; spot is dearer by
+    what a sudden end would have the task repeat."""
+    slots = max(1, machine_type.holds(job))
+    price = unit_price(machine_type, spot) / slots
+    stay_us = SERVICE_STAY_US if job.service else STAY_US
+    price *= (machine_type.boot_us + stay_us) / stay_us
+    if spot and not job.checkpoint_interval_us:
+        price *= 1 + min(MAX_SPOT_RISK, run_us / (3600 * US) * SPOT_RISK_PER_HOUR)
+    return price
+
+
+class RentalChoice:
+    """What is rented in one pass over the demand."""
+
+    def __init__(
+        self,
+        machine_types: Mapping[str, MachineType],
+        offers: Mapping[Offer, int | None],
+        run_us: Mapping[str, int],
+        max_rentals: int,
+    ) -> None:
+        """`offers` tells how many of each may be had, None if that is not known; `run_us` how long
+        a task runs, by job."""
+        self.machine_types = machine_types
+        self.offers = offers
+        self.rentals: list[Offer] = []
+        self._run_us = run_us
+        self._max_rentals = max_rentals
+        self._counts: dict[Offer, int] = {}  # of rentals
+
+    def rent(self, job: Job, zones: set[str] | None, count: int, drain_us: float) -> Offer | None:
+        """Rent one machine for so many tasks of a job: what gives them room at the least price.
+
+        `zones` are those where they may be, None for all; `drain_us` is when all open work will be
+        done with what is rented already. None if nothing is worth its price.
+        """
+        if len(self.rentals) >= self._max_rentals:
+            return None
+        best: tuple[float, int, str, str] | None = None
+        chosen: Offer | None = None
+        for offer, available in self.offers.items():
+            rented = self._counts.get(offer, 0)
+            if available is not None and rented >= available:
+                continue
+            if not self._is_worth_renting(job, offer, zones, drain_us):
+                continue
+            price = self._price(job, offer, count)
+            key = (round(price, 6), rented, offer.type_name, offer.zone)
+            if best is None or key < best:
+                best, chosen = key, offer
+        if chosen is None:
+            return None
+        self.rentals.append(chosen)
+        self._counts[chosen] = self._counts.get(chosen, 0) + 1
+        return chosen
+
+    def _is_worth_renting(
+        self, job: Job, offer: Offer, zones: set[str] | None, drain_us: float
+    ) -> bool:
+        """Whether the job may use such a machine, which would still be of use once it is up."""
+        machine_type = self.machine_types[offer.type_name]
+        boots = MIN_USE_BOOTS_SPOT if offer.spot else MIN_USE_BOOTS
+        return (
+            offer.allows(job)
+            and (zones is None or offer.zone in zones)
+            and machine_type.holds(job) > 0
+            and machine_type.boot_us * boots <= drain_us
+        )
+
+    def _price(self, job: Job, offer: Offer, count: int) -> float:
+        """What room for a task costs. A machine far larger than what is left to place counts in
+        full."""
+        machine_type = self.machine_types[offer.type_name]
+        slots = machine_type.holds(job)
+        used = min(slots, max(1, count))
+        price = risk_price(job, machine_type, offer.spot, self._run_us.get(job.ref, 0))
+        return price * slots / used if used < slots / 2 else price
--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 
 from basaltlead.core.entities import US, MachineType
-from basaltlead.core.fleet_sizing import Offer, unit_price
+from basaltlead.core.offers import Offer, unit_price
 
 SILENT_COUNT = 3  # machines that must be silent before their zone is in doubt
 PAUSE_US = 45 * US  # for how long nothing is hired there after the last of them was returned
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -6,7 +6,7 @@
 
 from basaltlead.core.cluster_view import member_key, shard_key
 from basaltlead.core.entities import US
-from basaltlead.core.fleet_sizing import Offer
+from basaltlead.core.offers import Offer
 from basaltlead.duties.history import Event, event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.machine_deletion import MOST_NAMES
--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection, Iterable
 
 from basaltlead.core.entities import US
-from basaltlead.core.fleet_sizing import Offer
+from basaltlead.core.offers import Offer
 from basaltlead.wire.cloud import RentedMachine
 
 LAG_TIMES = 2  # a list is up to so many times as old as the settings say
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -6,8 +6,9 @@
 from basaltlead.config.settings import Settings
 from basaltlead.core import demand, fleet_sizing
 from basaltlead.core.entities import US, Machine, Shape
-from basaltlead.core.fleet_sizing import Demand, Offer, OfferBook, WarmSpare
+from basaltlead.core.fleet_sizing import Demand, WarmSpare
 from basaltlead.core.market import Market
+from basaltlead.core.offers import Offer, OfferBook
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.duties.unknown_machines import FAILED
 from basaltlead.errors import ServiceError
@@ -75,7 +76,7 @@
         out = []
         for job_state in sorted(job_states, key=lambda w: (-w.job.rank, w.submitted_at)):
             job_state.need = wanted[job_state.job.ref]
-            need = Demand(job_state, job_state.need)
+            need = Demand(job_state, job_state.need, run_us=shard.guess_us(job_state))
             if job_state.job.shape is Shape.ARRAY:
                 need.drain_us = rented.drain_us(job_state.job, backlog)
             out.append(need)
@@ -135,17 +136,15 @@
             now = now_us()
             shard = self.shard_leader.shard
             needs = self.needs(now)
-            run_us = {n.job_state.job.ref: shard.guess_us(n.job_state) for n in needs}
             room = MAX_OPEN_REQUESTS - len(self.scale_out.pending)
             self._update_silent_zones(now)
             expected = self.expected(now)
-            plan = fleet_sizing.size(
+            plan = fleet_sizing.plan_fleet(
                 needs,
                 self.spares(now),
                 expected,
                 self.shard_leader.machine_types,
                 self._offers(expected, now),
-                run_us,
                 self._max_rentals(),
             )
             grouped: dict[Offer, int] = {}
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -4,8 +4,8 @@
 import msgspec
 
 from basaltlead.clients.base import Backoff
-from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import Machine
+from basaltlead.core.offers import unit_price
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuiet
@@ -55,7 +55,7 @@
         """Is an idle machine kept?"""
         if not self.loaded or self.quiet_times.current() is None:
             return False
-        return self.allowance.keeps(fleet_sizing.unit_price(machine.machine_type, machine.spot))
+        return self.allowance.keeps(unit_price(machine.machine_type, machine.spot))
 
     async def _reserve_more(self) -> None:
         try:
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -7,8 +7,8 @@
 
 from basaltlead.clients.base import Backoff
 from basaltlead.clients.cloud import Cloud
-from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import US, Machine
+from basaltlead.core.offers import unit_price
 from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
 from basaltlead.errors import (
     PreconditionFailed,
@@ -46,7 +46,7 @@
     return (
         machine_type.boot_us
         * machine_type.price
-        / max(fleet_sizing.unit_price(machine_type, machine.spot), 1e-6)
+        / max(unit_price(machine_type, machine.spot), 1e-6)
     )
 
 
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -7,7 +7,7 @@
 
 from basaltlead.clients.cloud import Cloud
 from basaltlead.core.entities import Machine
-from basaltlead.core.fleet_sizing import Offer, OfferBook
+from basaltlead.core.offers import Offer, OfferBook
 from basaltlead.duties.machine_rental import MOST_REASON, MachineRental
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -7,7 +7,7 @@
 import pytest
 
 from basaltlead.core.entities import US
-from basaltlead.core.fleet_sizing import Offer
+from basaltlead.core.offers import Offer
 from basaltlead.duties.history import event
 from basaltlead.duties.holder import DutyHolder
 from basaltlead.duties.model import Duty
@@ -175,9 +175,7 @@
             world.crash(other)
         held = world.parts[name].duties.holders
         await world.until(
-            lambda: (
-                held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name
-            ),
+            lambda: held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name,
             seconds=4 * TAKEOVER,
         )
         fresh = held[Duty.RETURN]
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -2,7 +2,8 @@
 
 from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import US
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.offers import Offer
 from tests.fakes import World
 from tests.simulation import Loop, play
 from tests.test_shard import KIND, Story, a_job
@@ -18,7 +19,7 @@
     needs = [Demand(job_state, 40, drain_us)]
     return [
         offer.spot
-        for offer in fleet_sizing.size(needs, [], [], {"k": KIND}, offers, {}, 12).rentals
+        for offer in fleet_sizing.plan_fleet(needs, [], [], {"k": KIND}, offers, 12).rentals
     ]
 
 
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -8,8 +8,10 @@
 import pytest
 
 from basaltlead.core import demand, fleet_sizing, placement, planning
+from basaltlead.core import offers as core_offers
 from basaltlead.core.entities import US, JobState, Machine, Resources, Shape
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.offers import Offer
 from basaltlead.core.shard_state import TeamQuota
 from tests.test_shard import KIND, TIMING, Story, a_job, listed
 
@@ -101,9 +103,9 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     machines = list(story.shard.machines.values())
     count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
     )
-    fleet_sizing.size(needs, [], machines, {"k": KIND}, {}, {}, 12)
+    fleet_sizing.plan_fleet(needs, [], machines, {"k": KIND}, {}, 12)
     assert running >= 3 * MACHINES
     assert count.calls < running + 2 * MACHINES
 
@@ -168,9 +170,9 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
     count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
     )
-    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, 12)
+    plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": KIND}, offers, 12)
     assert len(plan.rentals) == 12
     assert count.calls < 6 * MACHINES * len(job_states)
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -8,7 +8,8 @@
 
 from basaltlead.core import fleet_sizing, placement, planning, replica_placement
 from basaltlead.core.entities import RANKS, US, Machine, Resources, Shape
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.offers import Offer
 from basaltlead.core.shard import Shard
 from basaltlead.core.shard_state import NAMES_KEPT, ShardState, TeamQuota
 from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
@@ -195,7 +196,7 @@
     needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
     machines: list[Machine] = list(story.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
-    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, MACHINES // 16)
+    plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": KIND}, offers, MACHINES // 16)
     assert len(plan.rentals) == MACHINES // 16
     for number in range(MACHINES):
         story.shard.drop_machine(_name(number), story.now)
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from basaltlead.core.entities import US, MachineType
-from basaltlead.core.fleet_sizing import Offer
+from basaltlead.core.offers import Offer
 from basaltlead.core.silent_zones import PAUSE_US, SilentZones
 from tests.fakes import FakeWorker, World
 from tests.simulation import Loop, play
