--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -17,9 +17,9 @@
 from basaltlead.config.settings import Settings
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.cluster_view import Grant, Versioned
-from basaltlead.core.fleet_sizing import OfferBook
 from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.core.offers import OfferBook
 from basaltlead.duties.holder import DutyServices
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable, Mapping
 
-from basaltlead.core.fleet_sizing import Offer, unit_price
 from basaltlead.core.jobs import US, MachineType
+from basaltlead.core.offers import Offer, unit_price
 
 SILENT_COUNT = 3  # machines that must be silent before their zone is taken to be
 PAUSE_US = 45 * US  # for how long nothing is rented there after the last of them was returned
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from basaltlead.core.cluster_view import Grant, member_key, shard_key
-from basaltlead.core.fleet_sizing import Offer
 from basaltlead.core.jobs import US
+from basaltlead.core.offers import Offer
 from basaltlead.duties.history import Action, Event
 from basaltlead.duties.holder import DutyHolder, DutyServices
 from basaltlead.duties.machine_deletion import MOST_NAMES
--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from basaltlead.core.fleet_sizing import Offer
 from basaltlead.core.jobs import US
+from basaltlead.core.offers import Offer
 from basaltlead.duties.unknown_machines import UnknownMachines
 from basaltlead.wire.cloud import RentedMachine
 from tests.duty_support import (
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -7,10 +7,12 @@
 
 import pytest
 
-from basaltlead.core import demand, fleet_sizing, planning
+from basaltlead.core import demand, fleet_sizing, placement, planning
+from basaltlead.core import offers as core_offers
 from basaltlead.core.entities import JobState, Machine
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.fleet_sizing import Demand
 from basaltlead.core.jobs import US, Resources, Shape
+from basaltlead.core.offers import Offer
 from basaltlead.core.teams import TeamQuota
 from tests.test_shard import KIND, TIMING, Story, a_job, listed
 
@@ -64,9 +66,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full()
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     placed = sum(len(job_state.live) for job_state in story.shard.job_states.values())
     assert placed > MACHINES
@@ -92,9 +92,7 @@
     """Passing over all machines for each of them, a shard leader of 600 spent a fifth of a core
     so."""
     story = _full_of_arrays()
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     assert count.calls < MACHINES
 
@@ -106,9 +104,9 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     machines = list(story.shard.machines.values())
     count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
     )
-    fleet_sizing.size(needs, [], machines, {"k": KIND}, {}, {}, 12)
+    fleet_sizing.plan_fleet(needs, [], machines, {"k": KIND}, {}, 12)
     assert running >= 3 * MACHINES
     assert count.calls < running + 2 * MACHINES
 
@@ -158,9 +156,7 @@
         story.shard.add_job(
             a_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
         )
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     assert count.calls < 12 * MACHINES
 
@@ -175,9 +171,9 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
     count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
     )
-    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, 12)
+    plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": KIND}, offers, 12)
     assert len(plan.rentals) == 12
     assert count.calls < 6 * MACHINES * len(job_states)
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -6,14 +6,15 @@
 
 import pytest
 
-from basaltlead.core import fleet_sizing, planning, replica_placement
+from basaltlead.core import fleet_sizing, placement, planning, replica_placement
 from basaltlead.core.attempt_table import AttemptTable
 from basaltlead.core.draining import Drainer
 from basaltlead.core.entities import Machine
 from basaltlead.core.failures import FailurePolicy
 from basaltlead.core.fleet import NAMES_KEPT
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.fleet_sizing import Demand
 from basaltlead.core.jobs import RANKS, US, Resources, Shape
+from basaltlead.core.offers import Offer
 from basaltlead.core.shard import Shard
 from basaltlead.core.task_reports import TaskReports
 from basaltlead.core.teams import TeamQuota
@@ -52,9 +53,7 @@
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     return count.calls
 
@@ -205,7 +204,7 @@
     needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
     machines: list[Machine] = list(story.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
-    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, MACHINES // 16)
+    plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": KIND}, offers, MACHINES // 16)
     assert len(plan.rentals) == MACHINES // 16
     for number in range(MACHINES):
         story.shard.drop_machine(_name(number), story.now)
