--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -65,6 +65,10 @@
         for address in list(self.workers.pools):
             self.workers.forget(address)
 
+    def note_heard(self, now: int) -> None:
+        """A machine has shown our fencing token."""
+        self.heard_at = now
+
     def push_all(self, now: int) -> None:
         """Push what can't wait for the next heartbeat."""
         shard = self.shard
@@ -204,7 +208,7 @@
                 epoch = heartbeat.epoch
                 if executed and self.lease.holds_valid_lease:
                     self.shard.answer(heartbeat, now_us())
-                    self.heard_at = now_us()
+                    self.note_heard(now_us())
                     if machine.synced and not machine.recorded:
                         self.record(machine)
                     self.context.wake.set()
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -18,10 +18,14 @@
         self.lease = context.lease
         self.shard = context.shard
         self.dispatcher = dispatcher
-        self.loaded = False
+        self._loaded = False
         # When machines were answered before the shard was loaded.
         self.answered_at: dict[str, int] = {}
 
+    def finish_loading(self) -> None:
+        """The shard is loaded: from now on heartbeats are taken in."""
+        self._loaded = True
+
     def handle(self, heartbeat: Heartbeat) -> Response | None:
         """The answer to a worker, or None when another controller must give it."""
         if not self.lease.holds_valid_lease:
@@ -29,7 +33,7 @@
         now = now_us()
         if heartbeat.fencing_token > self.lease.fencing_token:
             return None
-        if not self.loaded:
+        if not self._loaded:
             self.answered_at[heartbeat.machine] = now
             return self._renewal(self.shard.halt_orphans(heartbeat))
         if heartbeat.machine in self.shard.machines:
@@ -70,7 +74,7 @@
     def _after_heartbeat(self, machine: Machine, shows_token: bool, now: int) -> None:
         """Record a machine that is new, and probe one that may not receive our commands."""
         if shows_token:
-            self.dispatcher.heard_at = now
+            self.dispatcher.note_heard(now)
             if not machine.recorded:
                 self.dispatcher.record(machine)
         if machine.unreachable_since or not machine.synced:
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -68,13 +68,15 @@
 
     def stop(self) -> None:
         """The grant is lost, or was released: stop acting."""
-        self.lease.stepped_down = True
+        self.lease.end()
         self.context.tasks.cancel()
         self.dispatcher.close()
 
     async def _run(self, on_loaded: Callable[[], None]) -> None:
         revision = await self._load()
-        self.loaded = self.open_jobs.loaded = self.heartbeats.loaded = True
+        self.loaded = True
+        self.open_jobs.finish_loading()
+        self.heartbeats.finish_loading()
         on_loaded()
         spawn = self.context.spawn
         spawn(self.open_jobs.follow(revision), "loop watch")
--- a/basaltlead/shard/lease.py
+++ b/basaltlead/shard/lease.py
@@ -50,9 +50,13 @@
         """What every write under this lease depends on: the session lease and the grant."""
         return [self.membership.precondition(), Precondition(shard_key(self.number), self.version)]
 
-    def step_down(self) -> None:
-        """Stop acting for good: the controller releases the shard for another to acquire."""
+    def end(self) -> None:
+        """Stop acting for good."""
         self.stepped_down = True
+
+    def step_down(self) -> None:
+        """Stop acting for good, and have the election notice at once."""
+        self.end()
         self.membership.wake.set()
 
     def cancellations_read(self, requested_at: int) -> None:
--- a/basaltlead/shard/open_jobs.py
+++ b/basaltlead/shard/open_jobs.py
@@ -36,14 +36,18 @@
         self.rebalancer = rebalancer
         self.is_cancelled = is_cancelled
         self.arrivals = ArrivalHistory()
-        self.loaded = False
+        self._loaded = False
         self.orphaned_rows: list[str] = []  # results of jobs that are over, found while loading
 
     def load(self, rows: list[Row], requested_at: int) -> None:
         """Take in the first listing, which was requested at that time."""
         for row in rows:
             self.take_row(row.key, row.value, row.version, now_us())
-        self.context.lease.cancellations_as_of = requested_at
+        self.context.lease.cancellations_read(requested_at)
+
+    def finish_loading(self) -> None:
+        """From now on our own results are not taken in again, and no more rows are orphaned."""
+        self._loaded = True
 
     async def follow(self, revision: int) -> None:
         """Follow the rows from a revision on, until the shard is released."""
@@ -61,9 +65,9 @@
             return
         own = part[0] in (self.context.number, CHUNK_SHARDS + self.context.number)
         if job_state is None:
-            if not self.loaded:
+            if not self._loaded:
                 self.orphaned_rows.append(key)
-        elif not (self.loaded and own):  # else we wrote it ourselves
+        elif not (self._loaded and own):  # else we wrote it ourselves
             if own:
                 self.context.store.versions[key] = version
             load_results(job_state, self.context.number, *part, raw, self.context.layout)
--- a/basaltlead/shard/registry.py
+++ b/basaltlead/shard/registry.py
@@ -44,7 +44,7 @@
         for number, leader in list(self.leaders.items()):
             if not leader.lease.stepped_down and leader.hears_nobody():
                 log.info("shard %d: no heartbeat for too long, stepping down", number)
-                leader.lease.stepped_down = True
+                leader.lease.end()
             if leader.lease.stepped_down:
                 await self._release(number, leader, leader_too=True)
 
@@ -52,7 +52,7 @@
         """Release a shard that a controller without any should lead."""
         for number, leader in list(self.leaders.items()):
             if shard_key(number) == key and leader.holds_valid_lease:
-                leader.lease.stepped_down = True
+                leader.lease.end()
                 await self._release(number, leader, leader_too=False)
 
     async def _release(self, number: int, leader: ShardLeader, leader_too: bool) -> None:
