--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -18,7 +18,8 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.cluster_view import Grant, shard_key
 from basaltlead.core.entities import US, MachineType
-from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.core.market import Market, Terms
+from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.offers import OfferBook
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -1,8 +1,9 @@
-"""How many tasks of each open job should run now so that all are done in time.
+"""How many tasks of each open job should run now so that all jobs are done in time.
 
-Jobs are looked at in the order in which they are due. For every due time, the work due by then
-over the time left is the rate the fleet must have; the greatest of these is what is wanted, and
-it is given to the jobs in the same order. Work that can wait for room already rented so waits.
+Jobs are considered in the order in which they are due. For every due time, the work due by then
+over the time left is the rate that the fleet must have; the greatest of these is what is wanted,
+and it is given to the jobs in the same order. Work that can wait for machines that are rented
+already waits for them.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,13 +11,15 @@
 
 from basaltlead.core.entities import US, Job, JobState, Machine, Shape, allowed
 
-MARGIN = 0.85  # of the time left: guesses are often wrong by half
+TIME_LEFT_USED = 0.85  # of the time left, since guesses are often wrong by half
 BEGIN_US = 60 * US  # a job that has waited for so long is to begin, however late it is due
 LATE_US = 120 * US  # a job that can't be in time any more is to be done within that
+LEAST_LEFT_DIVISOR = 4  # a task that outlasts its guess has this part of the guess left
+ALMOST_ONE = 0.999  # rounds a number of tasks up, but for what rounding errors add
 
 
 class Due(NamedTuple):
-    """When a job should be done, if it was promised that; late if it can't be any more."""
+    """When a job should be done, if it has an objective; late if it can't meet any of them."""
 
     at: int | None
     late: bool = False
@@ -25,76 +28,100 @@
 NO_DUE = Due(None)
 
 
-def counts(
+class DatedJob(NamedTuple):
+    """A job that should be done by some time."""
+
+    due_at: int
+    run_us: int  # of one task
+    job_state: JobState
+
+
+def wanted_tasks(
     job_states: Iterable[JobState],
     now: int,
     due_of: Callable[[JobState, int], Due],
     guess_us: Callable[[JobState], int],
     lead_us: int,
-    loads: dict[str, float],
+    work_left: dict[str, float],
 ) -> dict[str, int]:
-    """Wanted tasks by job, those that run already included."""
-    out: dict[str, int] = {}
-    dated: list[tuple[int, JobState]] = []
+    """How many tasks of each job should run, by job; those that run already count.
+
+    `guess_us` tells how long a task of a job runs, `lead_us` how long a machine takes to boot, and
+    `work_left` what is left of each array (see `remaining_work`).
+    """
+    wanted: dict[str, int] = {}
+    dated: list[DatedJob] = []
     for job_state in job_states:
         due = due_of(job_state, now)
         if job_state.job.gang or due == NO_DUE:
-            out[job_state.job.ref] = job_state.remaining
-        else:  # no hurry is worth its price to a job that is late
-            each = guess_us(job_state)
-            at = due.at if due.at is not None else now + max(2 * each, LATE_US)
-            dated.append((at, job_state))
-    dated.sort(key=lambda pair: (pair[0], pair[1].submitted_at))
-    total = 0.0
-    rate = 0.0
-    for at, job_state in dated:
-        each = guess_us(job_state)
-        total += loads[job_state.job.ref]
-        left = int((at - now) * MARGIN) - (0 if job_state.live else lead_us)
-        rate = max(rate, total / max(left, each, US))
-    for _, job_state in dated:
+            wanted[job_state.job.ref] = job_state.remaining
+        else:
+            run_us = guess_us(job_state)
+            # No hurry is worth its price to a job that is late.
+            due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_US)
+            dated.append(DatedJob(due_at, run_us, job_state))
+    dated.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
+    rate = _needed_rate(dated, now, lead_us, work_left)
+    for _, _, job_state in dated:
         size = job_state.job.size
-        live = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
+        running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
         if now - job_state.submitted_at > BEGIN_US:
-            live = max(live, 1)  # nobody waits for ever: it takes part in the auction from now on
-        count = min(job_state.remaining, max(live, int(rate / size + 0.999)))
-        out[job_state.job.ref] = count
+            running = max(running, 1)  # no job waits for ever: it takes part in the auction
+        count = min(job_state.remaining, max(running, int(rate / size + ALMOST_ONE)))
+        wanted[job_state.job.ref] = count
         rate = max(0.0, rate - count * size)
-    return out
+    return wanted
 
 
-def load(job_state: JobState, each: int, now: int) -> float:
-    """What is left of a job, in CPU microseconds."""
-    left = job_state.waiting * each
-    for attempt in job_state.live.values():
-        ran = now - attempt.running_since if attempt.running_since else 0
-        left += max(each - ran, each // 4)
-    return left * job_state.job.size
+def _needed_rate(
+    dated: Iterable[DatedJob], now: int, lead_us: int, work_left: dict[str, float]
+) -> float:
+    """The CPUs that must work at once for these jobs, in the order in which they are due."""
+    total = 0.0
+    rate = 0.0
+    for due_at, run_us, job_state in dated:
+        total += work_left[job_state.job.ref]
+        left_us = int((due_at - now) * TIME_LEFT_USED) - (0 if job_state.live else lead_us)
+        rate = max(rate, total / max(left_us, run_us, US))
+    return rate
 
 
-def loads_of(
+def remaining_work(
     job_states: Iterable[JobState], now: int, guess_us: Callable[[JobState], int]
 ) -> dict[str, float]:
-    """What is left of each open array: a look at every running task, so once a pass."""
-    arrays = [job_state for job_state in job_states if job_state.job.shape is Shape.ARRAY]
-    return {job_state.job.ref: load(job_state, guess_us(job_state), now) for job_state in arrays}
+    """What is left of each array, in CPU microseconds. It passes over every running task, so it is
+    computed once a pass over the demand."""
+    return {
+        job_state.job.ref: _work_left(job_state, guess_us(job_state), now)
+        for job_state in job_states
+        if job_state.job.shape is Shape.ARRAY
+    }
+
+
+def _work_left(job_state: JobState, run_us: int, now: int) -> float:
+    left_us = job_state.waiting * run_us
+    for attempt in job_state.live.values():
+        ran_us = now - attempt.running_since if attempt.running_since else 0
+        left_us += max(run_us - ran_us, run_us // LEAST_LEFT_DIVISOR)
+    return left_us * job_state.job.size
 
 
 class RentedCapacity:
     """CPUs that arrays may use, by what decides whether a job may: counted once for all jobs."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
-        self.room: dict[tuple[str, str, bool], float] = {}
+        self._cpus: dict[tuple[str, str, bool], float] = {}  # by type, zone, spot or not
         for machine in machines:
             jobs = [attempt.job_state.job for attempt in machine.attempts.values()]
             taken = sum(job.cpus for job in jobs if job.shape is not Shape.ARRAY)
             key = (machine.machine_type.name, machine.zone, machine.spot)
-            self.room[key] = self.room.get(key, 0.0) + machine.machine_type.cpus - taken
+            self._cpus[key] = self._cpus.get(key, 0.0) + machine.machine_type.cpus - taken
 
-    def drain_us(self, job: Job, left: float) -> float:
-        """How long the machines that a job may use, booting ones included, need for a backlog.
+    def drain_us(self, job: Job, backlog: float) -> float:
+        """How long the machines that a job may use, booting ones included, need for a backlog in
+        CPU microseconds.
 
         A machine that boots for longer than this comes up when there is nothing left for it.
         """
-        room = sum(cpus for key, cpus in self.room.items() if allowed(job, *key))
-        return left / room if room > 0 else float("inf")
+        cpus = sum(cpus for key, cpus in self._cpus.items() if allowed(job, *key))
+        return backlog / cpus if cpus > 0 else float("inf")
--- /dev/null
+++ b/basaltlead/core/objectives.py
@@ -0,0 +1,76 @@
+"""The service-level objectives of job classes, and when a job is due by them."""
+
+from collections.abc import Iterable
+from typing import Protocol
+
+from msgspec import Struct
+
+from basaltlead.core.demand import NO_DUE, Due
+from basaltlead.core.entities import US, JobState
+
+MIN_SAMPLES = 3  # tasks that must have run before their run time counts in place of the guess
+
+
+class Objective(Protocol):
+    """An aim on starting or finishing, as the settings give it."""
+
+    kind: str
+    job_class: str
+    within_s: float
+    times: float
+
+
+class ServiceLevelObjectives(Struct, frozen=True):
+    """When jobs of each class should start or be done; for each class the tightest first."""
+
+    starts: dict[str, list[int]] = {}  # within how long tasks should have started, in microseconds
+    finishes: dict[str, list[int]] = {}  # within how long a job should be done, in microseconds
+    times: dict[str, list[float]] = {}  # of its deadline, by which a job should be done
+
+    @staticmethod
+    def of(objectives: Iterable[Objective]) -> "ServiceLevelObjectives":
+        """The objectives as the settings give them."""
+        starts: dict[str, list[int]] = {}
+        finishes: dict[str, list[int]] = {}
+        times: dict[str, list[float]] = {}
+        for objective in objectives:
+            if objective.kind == "deadline":
+                times.setdefault(objective.job_class, []).append(objective.times)
+            elif objective.kind in ("wait", "finished") and objective.within_s > 0:
+                spans = starts if objective.kind == "wait" else finishes
+                spans.setdefault(objective.job_class, []).append(int(objective.within_s * US))
+        for by_class in (starts, finishes, times):
+            for values in by_class.values():
+                values.sort()
+        return ServiceLevelObjectives(starts, finishes, times)
+
+    def due(self, job_state: JobState, now: int) -> Due:
+        """When the job should be done: the first of its deadline and its class's objectives that it
+        can still meet. Tasks of an array that must all have started by some time are done a run
+        later. A service is never done."""
+        job = job_state.job
+        if job.service:
+            return NO_DUE
+        if job.due_us is not None:
+            spans = [int(job.due_us * times) for times in self.times.get(job.job_class, [1.0])]
+        else:
+            spans = list(self.finishes.get(job.job_class, ()))
+        if not job.gang:
+            spans += [span + job.guess_us for span in self.starts.get(job.job_class, ())]
+        if not spans:
+            return NO_DUE
+        run_us = (
+            job_state.ran_us // job_state.ran_count
+            if job_state.ran_count >= MIN_SAMPLES
+            else job.guess_us
+        )
+        for span in sorted(spans):
+            # Guesses are often wrong: what would miss it by a quarter of a run may still meet it.
+            if now + run_us * 3 // 4 <= job_state.submitted_at + span:
+                return Due(job_state.submitted_at + span)
+        return Due(None, late=True)
+
+    def apply_to(self, job_state: JobState, now: int) -> bool:
+        """Whether the job has a deadline or an objective of its class, even if it is late by now.
+        Whoever starts a service counts on it to run."""
+        return job_state.job.service or self.due(job_state, now) != NO_DUE
--- /dev/null
+++ b/basaltlead/core/slot_auction.py
@@ -0,0 +1,109 @@
+"""Which arrays get how many slots of a shard's present capacity."""
+
+from collections.abc import Sequence
+from math import ceil
+from typing import NamedTuple
+
+from basaltlead.core.auction import Bid, allocate, price
+from basaltlead.core.entities import JobState, Shape
+from basaltlead.core.shard import Shard
+
+# Of the capacity: what jobs without an objective may always bid for, however much jobs with one
+# need. They use what the others leave; with nothing left for long they would not be served at all.
+SHARE_WITHOUT_OBJECTIVE = 0.25
+
+
+class AuctionResult(NamedTuple):
+    """Slots by job, and the price of a CPU."""
+
+    slots: dict[str, int]
+    price: float
+
+
+class SlotAuction:
+    """One auction among the arrays of a shard.
+
+    What keeps jobs with an objective in time is given out first, all others share what is left. In
+    one auction for all, a team with much work in time drained its budget, and was outbid by long
+    tasks without an objective.
+    """
+
+    def __init__(self, shard: Shard, reserve: float) -> None:
+        """`reserve` is the lowest bid."""
+        self._shard = shard
+        self._reserve = reserve
+
+    def run(self, arrays: Sequence[JobState]) -> AuctionResult:
+        """Share the present capacity. Jobs with an objective want what keeps them in time, others
+        slots for all their tasks."""
+        with_objective = [self._bid(job_state) for job_state in arrays if job_state.has_objective]
+        others = [job_state for job_state in arrays if not job_state.has_objective]
+        capacity = self._capacity()
+        kept_back = capacity * SHARE_WITHOUT_OBJECTIVE if others else 0.0
+        slots = allocate(with_objective, capacity - kept_back)
+        given = sum(slots[bid.key] * bid.size for bid in with_objective)
+        slots |= self._share_remainder(others, capacity - given)
+        all_bids = [*with_objective, *map(self._bid, others)]
+        return AuctionResult(slots, price(all_bids, capacity))
+
+    def _share_remainder(self, job_states: list[JobState], capacity: float) -> dict[str, int]:
+        """Slots for jobs without an objective: each team's share by the sum of its bids.
+
+        Within a team the job that is nearest to its end comes first: shared evenly, long jobs of
+        the same size would all end last. Every job has one slot, so that it begins.
+        """
+        teams: dict[str, list[JobState]] = {}
+        for job_state in job_states:
+            teams.setdefault(job_state.job.team, []).append(job_state)
+        bids = {job_state.job.ref: self._bid(job_state) for job_state in job_states}
+        team_bids = [
+            _team_bid(team, [bids[member.job.ref] for member in members])
+            for team, members in teams.items()
+        ]
+        shares = allocate(team_bids, capacity)
+        slots: dict[str, int] = {}
+        for team, members in teams.items():
+            left = float(shares[team])
+            for bid in (bids[member.job.ref] for member in members):
+                slots[bid.key] = min(1, bid.max_slots)
+                left -= slots[bid.key] * bid.size
+            for job_state in sorted(members, key=self._work_left):
+                bid = bids[job_state.job.ref]
+                more = min(bid.max_slots - slots[bid.key], max(0, int(left / bid.size)))
+                slots[bid.key] += more
+                left -= more * bid.size
+        return slots
+
+    def _work_left(self, job_state: JobState) -> float:
+        return job_state.remaining * job_state.job.size * self._shard.guess_us(job_state)
+
+    def _bid(self, job_state: JobState) -> Bid[str]:
+        max_slots = job_state.remaining
+        if job_state.need is not None:
+            max_slots = min(job_state.need, max_slots)
+        job = job_state.job
+        return Bid(job.ref, max(job_state.bid, self._reserve), job.size, max_slots)
+
+    def _capacity(self) -> float:
+        """CPUs that the auction gives out.
+
+        Gangs and services are placed by rank and take no part: when what they use was given out as
+        well, the shares of the jobs that come last in start order were worth nothing.
+        """
+        up = [
+            machine
+            for machine in self._shard.machines.values()
+            if machine.up and not machine.lost and not machine.unreachable_since
+        ]
+        placed = sum(
+            len(job_state.live) * job_state.job.size
+            for job_state in self._shard.job_states.values()
+            if job_state.job.shape is not Shape.ARRAY and not job_state.closed
+        )
+        return max(0.0, sum(machine.machine_type.cpus for machine in up) - placed)
+
+
+def _team_bid(team: str, bids: list[Bid[str]]) -> Bid[str]:
+    """What a team wants for its jobs together, in CPUs."""
+    cpus = ceil(sum(bid.max_slots * bid.size for bid in bids))
+    return Bid(team, sum(bid.amount for bid in bids), 1.0, cpus)
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -67,12 +67,12 @@
             for w in shard.job_states.values()
             if not w.closed and not w.complete and now >= w.retry_at
         ]
-        loads = demand.loads_of(job_states, now, shard.guess_us)
-        wanted = demand.counts(
-            job_states, now, self.market.due, shard.guess_us, self._lead_us(), loads
+        left = demand.remaining_work(job_states, now, shard.guess_us)
+        wanted = demand.wanted_tasks(
+            job_states, now, self.market.objectives.due, shard.guess_us, self._lead_us(), left
         )
         rented = demand.RentedCapacity(self.expected(now))
-        backlog = sum(loads.values())
+        backlog = sum(left.values())
         out = []
         for job_state in sorted(job_states, key=lambda w: (-w.job.rank, w.submitted_at)):
             job_state.need = wanted[job_state.job.ref]
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -274,7 +274,7 @@
             if self.shared:
                 job_state.assign(self.rebalancer.ranges_of(ref))
             job_state.bid = self.market.first_bid(job_state, now)
-            job_state.has_objective = job_state.job.gang or self.market.has_objective(
+            job_state.has_objective = job_state.job.gang or self.market.objectives.apply_to(
                 job_state, now
             )
             job_class = self.job_classes.setdefault(
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -231,7 +231,7 @@
         shard_leader = world.parts[str(world.shard_leader())].shard_leaders[0]
         job = shard_leader.shard.job_states["req-000001"]
         assert asked - 2 * off <= job.submitted_at / 1e6 <= accepted + 2 * off
-        due_at = shard_leader.market.due(job, now_us()).at
+        due_at = shard_leader.market.objectives.due(job, now_us()).at
         assert due_at is not None and abs(due_at / 1e6 - asked - 100.0) <= 2 * off + 1
         for machine in shard_leader.shard.machines.values():
             born = world.cloud.machines[machine.name].born
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -2,7 +2,8 @@
 
 from basaltlead.config.settings import Objective
 from basaltlead.core.entities import US, Job, JobState, Machine, MachineType, Shape
-from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.core.market import Market, Terms
+from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.shard import Shard
 from basaltlead.core.shard_state import TeamQuota, Timing
 from tests.test_shard import a_job
@@ -10,8 +11,8 @@
 TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
-def _market(*objectives: Objective) -> Market:
-    return Market(TERMS, ["red"], ServiceLevelObjectives.of(objectives))
+def _objectives(*objectives: Objective) -> ServiceLevelObjectives:
+    return ServiceLevelObjectives.of(objectives)
 
 
 def _work(job: Job) -> JobState:
@@ -19,30 +20,31 @@
 
 
 def test_a_job_is_due_by_the_first_promise_that_it_can_still_keep() -> None:
-    market = _market(
+    objectives = _objectives(
         Objective("deadline", "reports", times=1.5), Objective("deadline", "reports", times=1.0)
     )
     job_state = _work(a_job(tasks=4, due_us=100 * US, guess_us=20 * US))
-    assert market.due(job_state, 0).at == 100 * US
-    assert market.due(job_state, 90 * US).at == 150 * US  # a task takes 20 s: the first is lost
-    assert market.due(job_state, 140 * US).late
+    assert objectives.due(job_state, 0).at == 100 * US
+    assert objectives.due(job_state, 90 * US).at == 150 * US  # a task takes 20 s: the first is lost
+    assert objectives.due(job_state, 140 * US).late
     gang = _work(a_job(shape=Shape.GANG))
-    assert market.due(gang, 0).at is None and not market.due(gang, 0).late
+    assert objectives.due(gang, 0).at is None
+    assert not objectives.due(gang, 0).late
 
 
 def test_tasks_that_must_start_are_due_a_run_later() -> None:
-    market = _market(
+    objectives = _objectives(
         Objective("wait", "reports", within_s=60.0),
         Objective("finished", "reports", within_s=300.0),
     )
     job_state = _work(a_job(tasks=4, guess_us=20 * US))
-    assert market.due(job_state, 0).at == 80 * US
-    assert market.due(job_state, 70 * US).at == 300 * US
+    assert objectives.due(job_state, 0).at == 80 * US
+    assert objectives.due(job_state, 70 * US).at == 300 * US
 
 
 def test_a_late_job_does_not_outbid_those_that_can_be_in_time() -> None:
     """All late jobs once bid their team's whole budget, and made the others late too."""
-    market = _market()
+    market = Market(TERMS, ["red"], _objectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
     late = shard.add_job(a_job(1, tasks=50, due_us=30 * US), 1, 0)
     hasty = shard.add_job(a_job(2, tasks=50, due_us=200 * US), 1, 0)
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -4,7 +4,8 @@
 
 from basaltlead.core import demand
 from basaltlead.core.entities import RANKS, STANDING_US, US, JobState, Shape
-from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.core.market import Market, Terms
+from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.planning import plan
 from basaltlead.storage.result_rows import ResultLayout, load_results
 from tests.test_shard import TIMING, Story, a_job, listed
@@ -38,7 +39,9 @@
     job_state = JobState(a_job(shape=Shape.SERVICE, tasks=3), 5, 0, 0)
     row = msgspec.Raw(b'{"done":"Bw==","count":3,"running":0}')
     load_results(job_state, 0, 0, 0, row, ResultLayout(8192))
-    assert job_state.done_count == 0 and job_state.remaining == 3 and not job_state.complete
+    assert job_state.done_count == 0
+    assert job_state.remaining == 3
+    assert not job_state.complete
 
 
 def test_a_service_that_only_fails_stops_nobody_elses_work() -> None:
@@ -145,15 +148,16 @@
     story = Story(machines=0)
     service = _service(story, tasks=5)
     objectives = ServiceLevelObjectives(starts={"reports": [4 * US]})
-    market = Market(TERMS, ["red"], objectives)
     job_states = list(story.shard.job_states.values())
     story.now += 500 * US
-    loads = demand.loads_of(job_states, story.now, story.shard.guess_us)
+    loads = demand.remaining_work(job_states, story.now, story.shard.guess_us)
     assert loads == {}
-    wanted = demand.counts(job_states, story.now, market.due, story.shard.guess_us, 5 * US, loads)
+    wanted = demand.wanted_tasks(
+        job_states, story.now, objectives.due, story.shard.guess_us, 5 * US, loads
+    )
     assert wanted == {service.job.ref: 5}
-    assert market.due(service, story.now) == demand.NO_DUE
-    assert market.has_objective(service, story.now)
+    assert objectives.due(service, story.now) == demand.NO_DUE
+    assert objectives.apply_to(service, story.now)
 
 
 def test_a_replica_that_had_run_for_long_blames_nobody_and_one_that_had_not_does() -> None:
@@ -163,7 +167,8 @@
     (attempt,) = proven.live.values()
     story.now += 40 * US
     story.heartbeat(attempt.machine.name, listed(attempt, "ended", "error"))
-    assert proven.proven and not attempt.machine.failed_jobs
+    assert proven.proven
+    assert not attempt.machine.failed_jobs
     plan(story.shard, story.now)
     assert proven.live  # at once
     (again,) = proven.live.values()
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -11,7 +11,8 @@
 from basaltlead.clients.base import encode
 from basaltlead.controller import most_bids
 from basaltlead.core.entities import US, JobState
-from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.core.market import Market, Terms
+from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.errors import TransactionTooLarge
 from basaltlead.scaling.machine_type_catalog import pages_of
 from basaltlead.storage.client import KeyValueStore
