--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -61,7 +61,7 @@
     return f"duty {key.removeprefix(DUTY_PREFIX)}"
 
 
-def _grant_kind(key: str) -> str:
+def _grant_prefix(key: str) -> str:
     """What a key grants. Shards and duties are spread over the members independently."""
     return key.rpartition("/")[0]
 
@@ -179,7 +179,7 @@
             name = self.holder(other)
             if name is not None:
                 any_kind[name] += 1
-                same_kind[name] += _grant_kind(other) == _grant_kind(key)
+                same_kind[name] += _grant_prefix(other) == _grant_prefix(key)
         held = self.grants.get(key)
         avoid = held.value.avoid if held is not None else ""
         return min(
@@ -202,11 +202,11 @@
         for key in self.grants:
             name = self.holder(key)
             if name is not None:
-                holders.setdefault(_grant_kind(key), set()).add(name)
+                holders.setdefault(_grant_prefix(key), set()).add(name)
             if name == member:
-                own_keys.setdefault(_grant_kind(key), []).append(key)
-        for grant_kind, keys in own_keys.items():
-            if len(keys) > 1 and self.members.keys() - holders[grant_kind]:
+                own_keys.setdefault(_grant_prefix(key), []).append(key)
+        for prefix, keys in own_keys.items():
+            if len(keys) > 1 and self.members.keys() - holders[prefix]:
                 # The first duty by name is clean-up, which also a member can do that does not
                 # reach the cloud. The first shard stays: machines of no shard belong to it.
                 return min(keys) if keys[0].startswith(DUTY_PREFIX) else max(keys)
--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from basaltlead.core.entities import US, Job, JobState, Machine, Shape, allowed
+from basaltlead.core.entities import US, Job, JobState, Machine, Shape
+from basaltlead.core.offers import Offer
 
 TIME_LEFT_USED = 0.85  # of the time left, since guesses are often wrong by half
 BEGIN_US = 60 * US  # a job that has waited for so long is to begin, however late it is due
@@ -42,12 +43,12 @@
     due_of: Callable[[JobState, int], Due],
     guess_us: Callable[[JobState], int],
     lead_us: int,
-    work_left: dict[str, float],
+    cpu_us_left: dict[str, float],
 ) -> dict[str, int]:
     """How many tasks of each job should run, by job; those that run already count.
 
     `guess_us` tells how long a task of a job runs, `lead_us` how long a machine takes to boot, and
-    `work_left` what is left of each array (see `remaining_work`).
+    `cpu_us_left` what is left of each array (see `remaining_cpu_us`).
     """
     wanted: dict[str, int] = {}
     dated: list[DatedJob] = []
@@ -61,7 +62,7 @@
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_US)
             dated.append(DatedJob(due_at, run_us, job_state))
     dated.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
-    rate = _needed_rate(dated, now, lead_us, work_left)
+    rate = _needed_rate(dated, now, lead_us, cpu_us_left)
     for _, _, job_state in dated:
         size = job_state.job.size
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
@@ -74,31 +75,31 @@
 
 
 def _needed_rate(
-    dated: Iterable[DatedJob], now: int, lead_us: int, work_left: dict[str, float]
+    dated: Iterable[DatedJob], now: int, lead_us: int, cpu_us_left: dict[str, float]
 ) -> float:
     """The CPUs that must work at once for these jobs, in the order in which they are due."""
     total = 0.0
     rate = 0.0
     for due_at, run_us, job_state in dated:
-        total += work_left[job_state.job.ref]
+        total += cpu_us_left[job_state.job.ref]
         left_us = int((due_at - now) * TIME_LEFT_USED) - (0 if job_state.live else lead_us)
         rate = max(rate, total / max(left_us, run_us, US))
     return rate
 
 
-def remaining_work(
+def remaining_cpu_us(
     job_states: Iterable[JobState], now: int, guess_us: Callable[[JobState], int]
 ) -> dict[str, float]:
     """What is left of each array, in CPU microseconds. It passes over every running task, so it is
     computed once a pass over the demand."""
     return {
-        job_state.job.ref: _work_left(job_state, guess_us(job_state), now)
+        job_state.job.ref: _cpu_us_left(job_state, guess_us(job_state), now)
         for job_state in job_states
         if job_state.job.shape is Shape.ARRAY
     }
 
 
-def _work_left(job_state: JobState, run_us: int, now: int) -> float:
+def _cpu_us_left(job_state: JobState, run_us: int, now: int) -> float:
     left_us = job_state.waiting * run_us
     for attempt in job_state.live.values():
         ran_us = now - attempt.running_since if attempt.running_since else 0
@@ -110,12 +111,12 @@
     """CPUs that arrays may use, by what decides whether a job may: counted once for all jobs."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
-        self._cpus: dict[tuple[str, str, bool], float] = {}  # by type, zone, spot or not
+        self._cpus: dict[Offer, float] = {}
         for machine in machines:
             jobs = [attempt.job_state.job for attempt in machine.attempts.values()]
             taken = sum(job.cpus for job in jobs if job.shape is not Shape.ARRAY)
-            key = (machine.machine_type.name, machine.zone, machine.spot)
-            self._cpus[key] = self._cpus.get(key, 0.0) + machine.machine_type.cpus - taken
+            offer = Offer(machine.machine_type.name, machine.zone, machine.spot)
+            self._cpus[offer] = self._cpus.get(offer, 0.0) + machine.machine_type.cpus - taken
 
     def drain_us(self, job: Job, backlog: float) -> float:
         """How long the machines that a job may use, booting ones included, need for a backlog in
@@ -123,5 +124,5 @@
 
         A machine that boots for longer than this comes up when there is nothing left for it.
         """
-        cpus = sum(cpus for key, cpus in self._cpus.items() if allowed(job, *key))
+        cpus = sum(cpus for offer, cpus in self._cpus.items() if offer.allows(job))
         return backlog / cpus if cpus > 0 else float("inf")
--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -1,6 +1,7 @@
 """The service-level objectives of job classes, and when a job is due by them."""
 
 from collections.abc import Iterable
+from enum import StrEnum
 from typing import Protocol
 
 from msgspec import Struct
@@ -11,6 +12,14 @@
 MIN_SAMPLES = 3  # tasks that must have run before their run time counts in place of the guess
 
 
+class ObjectiveKind(StrEnum):
+    """The kinds of objectives, as the settings name them, that decide when a job is due."""
+
+    DEADLINE = "deadline"  # jobs should be done by a multiple of their deadline
+    WAIT = "wait"  # tasks should start within a span
+    FINISHED = "finished"  # jobs should be done within a span
+
+
 class Objective(Protocol):
     """An aim on starting or finishing, as the settings give it."""
 
@@ -34,11 +43,15 @@
         finishes: dict[str, list[int]] = {}
         times: dict[str, list[float]] = {}
         for objective in objectives:
-            if objective.kind == "deadline":
-                times.setdefault(objective.job_class, []).append(objective.times)
-            elif objective.kind in ("wait", "finished") and objective.within_s > 0:
-                spans = starts if objective.kind == "wait" else finishes
-                spans.setdefault(objective.job_class, []).append(int(objective.within_s * US))
+            job_class = objective.job_class
+            within_us = int(objective.within_s * US)
+            match objective.kind:
+                case ObjectiveKind.DEADLINE:
+                    times.setdefault(job_class, []).append(objective.times)
+                case ObjectiveKind.WAIT if objective.within_s > 0:
+                    starts.setdefault(job_class, []).append(within_us)
+                case ObjectiveKind.FINISHED if objective.within_s > 0:
+                    finishes.setdefault(job_class, []).append(within_us)
         for by_class in (starts, finishes, times):
             for values in by_class.values():
                 values.sort()
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -8,6 +8,9 @@
 
 # Lower is better; see `tier`.
 Tier = tuple[int, int, int, int]
+# A machine in the order of preference: tier, booked bids, name, machine. A plain tuple, since a
+# plan makes thousands of them. Names are unique, so that machines themselves are never compared.
+RankedMachine = tuple[Tier, float, str, Machine]
 
 
 def zones_open(
@@ -63,9 +66,7 @@
         them what it places on trial."""
         self._job = job
         self._trial_rooms = trial_rooms
-        # Plain tuples, since a plan makes thousands of them. Names are unique, so that machines
-        # themselves are never compared.
-        self._heap: list[tuple[Tier, float, str, Machine]] = [
+        self._heap: list[RankedMachine] = [
             (tier(job, machine), machine.booked, machine.name, machine)
             for machine in machines
             if self._room(machine).fits(job) and not machine.is_full
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -105,6 +105,7 @@
             return lambda _: False
 
         def may_stop(other: JobState) -> bool:
+            """Whether tasks of the other job may be stopped."""
             if other.job.rank >= job.rank and (
                 not guaranteed
                 or other.job.team == job.team
@@ -128,28 +129,24 @@
             and not fits_guarantee(self._shard, job_state)
         ):
             return None
-        best: Opening | None = None
-        for opening in self._openings(job_state, self._machines.for_job(job_state)):
-            if opening.machine.zone in zones and (
-                best is None
-                or (opening.loss, opening.machine.name) < (best.loss, best.machine.name)
-            ):
-                best = opening
-        return best
+        openings = self._openings(job_state, self._machines.for_job(job_state))
+        return min(
+            (opening for opening in openings if opening.machine.zone in zones),
+            key=lambda opening: (opening.loss, opening.machine.name),
+            default=None,
+        )
 
     def for_gang_of_one(self, job_state: JobState, machines: Sequence[Machine]) -> Opening | None:
         """For a gang of one task, which often fills a machine: where stopping others and waiting
         for the image together waste least."""
         job = job_state.job
-        best: tuple[float, tuple[int, ...], float, str] | None = None
-        chosen: Opening | None = None
-        for opening in self._openings(job_state, machines):
+
+        def preference(opening: Opening) -> tuple[object, ...]:
             machine = opening.machine
             cost = opening.loss + placement.fetch_cost(job, machine)
-            key = (cost, placement.tier(job, machine), machine.booked, machine.name)
-            if best is None or key < best:
-                best, chosen = key, opening
-        return chosen
+            return (cost, placement.tier(job, machine), machine.booked, machine.name)
+
+        return min(self._openings(job_state, machines), key=preference, default=None)
 
     def make_room(self, machine: Machine, job: Job, count: int, stops: Iterable[Attempt]) -> None:
         """Stop attempts on a machine until so many tasks of the job fit there."""
--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -56,22 +56,26 @@
         """
         if len(self.rentals) >= self._max_rentals:
             return None
-        best: tuple[float, int, str, str] | None = None
-        chosen: Offer | None = None
-        for offer, available in self.offers.items():
-            rented = self._counts.get(offer, 0)
-            if available is not None and rented >= available:
-                continue
-            if not self._is_worth_renting(job, offer, zones, drain_us):
-                continue
-            price = self._price(job, offer, count)
-            key = (round(price, 6), rented, offer.type_name, offer.zone)
-            if best is None or key < best:
-                best, chosen = key, offer
-        if chosen is None:
+        counts = self._counts
+        candidates = [
+            offer
+            for offer, available in self.offers.items()
+            if (available is None or counts.get(offer, 0) < available)
+            and self._is_worth_renting(job, offer, zones, drain_us)
+        ]
+        if not candidates:
             return None
+        chosen = min(
+            candidates,
+            key=lambda offer: (
+                round(self._price(job, offer, count), 6),
+                counts.get(offer, 0),
+                offer.type_name,
+                offer.zone,
+            ),
+        )
         self.rentals.append(chosen)
-        self._counts[chosen] = self._counts.get(chosen, 0) + 1
+        counts[chosen] = counts.get(chosen, 0) + 1
         return chosen
 
     def _is_worth_renting(
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -67,7 +67,7 @@
             for w in shard.job_states.values()
             if not w.closed and not w.complete and now >= w.retry_at
         ]
-        left = demand.remaining_work(job_states, now, shard.guess_us)
+        left = demand.remaining_cpu_us(job_states, now, shard.guess_us)
         wanted = demand.wanted_tasks(
             job_states, now, self.market.objectives.due, shard.guess_us, self._lead_us(), left
         )
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -150,7 +150,7 @@
     objectives = ServiceLevelObjectives(starts={"reports": [4 * US]})
     job_states = list(story.shard.job_states.values())
     story.now += 500 * US
-    loads = demand.remaining_work(job_states, story.now, story.shard.guess_us)
+    loads = demand.remaining_cpu_us(job_states, story.now, story.shard.guess_us)
     assert loads == {}
     wanted = demand.wanted_tasks(
         job_states, story.now, objectives.due, story.shard.guess_us, 5 * US, loads
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -187,7 +187,7 @@
         return demand.Due(job_state.submitted_at + (job_state.job.due_us or 0))
 
     def wanted() -> dict[str, int]:
-        loads = demand.remaining_work([late, hasty], story.now, story.shard.guess_us)
+        loads = demand.remaining_cpu_us([late, hasty], story.now, story.shard.guess_us)
         return demand.wanted_tasks([late, hasty], story.now, due, story.shard.guess_us, 0, loads)
 
     assert wanted()[late.job.ref] == 0
