--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Iterable, Sequence
 
-from basaltlead.core.entities import EPS, Job, JobState, Machine, allowed
+from basaltlead.core.entities import JobState, Machine
+from basaltlead.core.jobs import EPS, Job, allowed
 from basaltlead.core.shard import Shard
 
 
@@ -95,11 +96,11 @@
 
     def _open_to(self, job_state: JobState, machines: list[Machine]) -> list[Machine]:
         """Without those that are reserved, or that the job keeps off since it failed there."""
-        if not self._reserved and not job_state.failed_on:
+        failed_on = job_state.history.failed_on
+        if not self._reserved and not failed_on:
             return machines
         return [
             machine
             for machine in machines
-            if machine.name not in self._reserved
-            and job_state.failed_on.get(machine.name, 0) <= self._now
+            if machine.name not in self._reserved and failed_on.get(machine.name, 0) <= self._now
         ]
--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from basaltlead.core.entities import US, Job, JobState, Machine, Shape
+from basaltlead.core.entities import JobState, Machine
+from basaltlead.core.jobs import US, Job, Shape
 from basaltlead.core.offers import Offer
 
 TIME_LEFT_USED = 0.85  # of the time left, since guesses are often wrong by half
--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -5,7 +5,8 @@
 
 from msgspec import Struct
 
-from basaltlead.core.entities import EPS, Attempt, Job, JobState, Machine, MachineType, Resources
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import EPS, Job, MachineType, Resources
 from basaltlead.core.offers import Offer, unit_price
 from basaltlead.core.rental_choice import RentalChoice
 
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -3,10 +3,12 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from basaltlead.core.entities import US, Attempt, Job, JobState, Machine
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import US, Job
 from basaltlead.core.placement import Ranking, fetch_cost, zones_open
 from basaltlead.core.plan_context import PlanContext, requirements
 from basaltlead.core.preemption import Preemption, loss, stoppable
+from basaltlead.core.task_states import EXECUTING
 
 RESERVE_AFTER_US = 20 * US  # a gang that has waited for so long has machines reserved for it
 
@@ -143,9 +145,7 @@
         live = list(job_state.live.values())
         attempt_number = live[0].attempt_number
         if any(
-            a.stop_grace_s is not None
-            or a.attempt_number != attempt_number
-            or a.stage in ("running", "saving")
+            a.stop_grace_s is not None or a.attempt_number != attempt_number or a.stage in EXECUTING
             for a in live
         ):
             return
--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -3,7 +3,8 @@
 from msgspec import Struct
 
 from basaltlead.core.bidding import BidDirection, Budget
-from basaltlead.core.entities import US, JobState, Shape
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US, Shape
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.shard import Shard
 from basaltlead.core.slot_auction import SlotAuction
--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -7,7 +7,8 @@
 from msgspec import Struct
 
 from basaltlead.core.demand import NO_DUE, Due
-from basaltlead.core.entities import US, JobState
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
 
 MIN_SAMPLES = 3  # tasks that must have run before their run time counts in place of the guess
 
--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from basaltlead.core.entities import US, Job, MachineType, allowed
+from basaltlead.core.jobs import US, Job, MachineType, allowed
 
 
 class Offer(Struct, frozen=True):
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -4,7 +4,8 @@
 from collections.abc import Iterable
 from heapq import heapify, heappop, heappush
 
-from basaltlead.core.entities import Attempt, Job, JobState, Machine, Resources
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import Job, Resources
 
 # Lower is better; see `tier`.
 Tier = tuple[int, int, int, int]
--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -4,7 +4,8 @@
 from typing import NamedTuple
 
 from basaltlead.core.candidate_machines import CandidateMachines
-from basaltlead.core.entities import Attempt, JobState, Machine, Shape
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import Shape
 from basaltlead.core.shard import Shard
 from basaltlead.core.team_limits import TeamLimits
 
@@ -30,7 +31,7 @@
     """The job's requirements; None if its chances are its own: a job that has failed on some
     machines, and one whose running tasks decide where the others may be."""
     job = job_state.job
-    if job_state.failed_on or (job.whole and job_state.live):
+    if job_state.history.failed_on or (job.whole and job_state.live):
         return None
     return Requirements(
         job.shape,
--- a/basaltlead/core/planning.py
+++ b/basaltlead/core/planning.py
@@ -8,8 +8,9 @@
 
 from basaltlead.core.array_placement import ArrayPlacement
 from basaltlead.core.candidate_machines import CandidateMachines, usable_machines
-from basaltlead.core.entities import JobState, Machine, Shape
+from basaltlead.core.entities import JobState, Machine
 from basaltlead.core.gang_placement import GangPlacement
+from basaltlead.core.jobs import Shape
 from basaltlead.core.plan_context import PlanContext
 from basaltlead.core.preemption import Preemption
 from basaltlead.core.replica_placement import ReplicaPlacement
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -5,9 +5,11 @@
 
 from basaltlead.core import placement
 from basaltlead.core.candidate_machines import CandidateMachines
-from basaltlead.core.entities import RANKS, Attempt, Job, JobState, Machine
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.failures import TRIALS_OF_ITS_OWN
+from basaltlead.core.jobs import RANKS, Job
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import TRIALS_OF_ITS_OWN
+from basaltlead.core.task_states import BEFORE_FIRST_RUN
 from basaltlead.core.team_limits import exceeds_guarantee, fits_guarantee
 
 REPLICA_LOSS_S = 30.0  # what stopping a replica is reckoned to cost, in seconds of its CPUs
@@ -28,7 +30,7 @@
 def loss(attempt: Attempt, now: int) -> float:
     """What stopping an attempt would waste, in CPU seconds."""
     job = attempt.job_state.job
-    if attempt.stage in ("planned", "sent", "fetching", "gathering"):
+    if attempt.stage in BEFORE_FIRST_RUN:
         return 0.0
     if job.service:  # nothing is repeated: it is only away until it runs elsewhere
         return REPLICA_LOSS_S * job.size
@@ -101,7 +103,7 @@
         guaranteed = fits_guarantee(self._shard, job_state)
         ordinary = not job.gang and job.rank < HIGH_RANK and not guaranteed
         # A service that only fails would stop others' work with each of its attempts.
-        if job.service and (ordinary or job_state.trials >= TRIALS_OF_ITS_OWN):
+        if job.service and (ordinary or job_state.history.trials >= TRIALS_OF_ITS_OWN):
             return lambda _: False
 
         def may_stop(other: JobState) -> bool:
--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from basaltlead.core.entities import US, Job, MachineType
+from basaltlead.core.jobs import US, Job, MachineType
 from basaltlead.core.offers import Offer, unit_price
 
 # For how long a machine must be of use, as a multiple of the time that it takes to boot. Spot
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -10,7 +10,8 @@
 from typing import NamedTuple
 
 from basaltlead.core import placement
-from basaltlead.core.entities import Attempt, Job, JobState, Machine
+from basaltlead.core.entities import Attempt, JobState, Machine
+from basaltlead.core.jobs import Job
 from basaltlead.core.plan_context import PlanContext, requirements
 from basaltlead.core.preemption import MayStop, Opening, Preemption, preemption_candidates
 
--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -5,7 +5,8 @@
 from typing import NamedTuple
 
 from basaltlead.core.auction import Bid, allocate, price
-from basaltlead.core.entities import JobState, Shape
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import Shape
 from basaltlead.core.shard import Shard
 
 # Of the capacity: what jobs without an objective may always bid for, however much jobs with one
--- a/basaltlead/core/start_order.py
+++ b/basaltlead/core/start_order.py
@@ -17,11 +17,11 @@
         if not job_state.closed:
             bids[job_state.job.team] = bids.get(job_state.job.team, 0.0) + job_state.bid
     total_bids = sum(bids.values()) or 1.0
-    total_cpus = sum(used_cpus for used_cpus, _ in shard.team_used.values()) or 1.0
+    total_cpus = sum(used.cpus for used in shard.team_used.values()) or 1.0
 
     def above_share(team: str) -> float:
         """How much more of the used CPUs than of the bids is the team's, as a fraction."""
-        return shard.used(team)[0] / total_cpus - bids.get(team, 0.0) / total_bids
+        return shard.used(team).cpus / total_cpus - bids.get(team, 0.0) / total_bids
 
     ready = [
         job_state
--- a/basaltlead/core/team_limits.py
+++ b/basaltlead/core/team_limits.py
@@ -2,9 +2,10 @@
 
 from functools import cached_property
 
-from basaltlead.core.entities import EPS, Job, JobState
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import EPS, Job
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import TeamQuota
+from basaltlead.core.teams import TeamQuota
 
 NO_QUOTA = TeamQuota()
 
@@ -16,19 +17,19 @@
     team = shard.teams.get(job.team, NO_QUOTA)
     if not team.cpus and not team.gpus:
         return False
-    used_cpus, used_gpus = shard.used(job.team)
+    used = shard.used(job.team)
     count = job.together
     return (
-        used_cpus + job.cpus * count <= team.cpus + EPS
-        and used_gpus + job.gpus * count <= team.gpus + EPS
+        used.cpus + job.cpus * count <= team.cpus + EPS
+        and used.gpus + job.gpus * count <= team.gpus + EPS
     )
 
 
 def exceeds_guarantee(shard: Shard, team_name: str) -> bool:
     """Whether a team uses more than it is guaranteed."""
     team = shard.teams.get(team_name, NO_QUOTA)
-    used_cpus, used_gpus = shard.used(team_name)
-    return used_cpus > team.cpus + EPS or used_gpus > team.gpus + EPS
+    used = shard.used(team_name)
+    return used.cpus > team.cpus + EPS or used.gpus > team.gpus + EPS
 
 
 class TeamLimits:
@@ -54,8 +55,8 @@
             return True
         if self._unaccounted_tasks:
             return False
-        used_cpus, used_gpus = self._shard.used(job.team)
+        used = self._shard.used(job.team)
         return not (
-            (team.cpus_max and used_cpus + job.cpus * count > team.cpus_max + EPS)
-            or (team.gpus_max and used_gpus + job.gpus * count > team.gpus_max + EPS)
+            (team.cpus_max and used.cpus + job.cpus * count > team.cpus_max + EPS)
+            or (team.gpus_max and used.gpus + job.gpus * count > team.gpus_max + EPS)
         )
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -1,15 +1,18 @@
-"""The leader leases the tasks of new jobs to shards; and every node knows whose a machine is."""
+"""Several shards: the leader assigns the tasks of new jobs to shards, and every controller knows to
+which shard a machine belongs."""
 
 import asyncio
 import zlib
 from functools import partial
+from typing import NamedTuple
 
 import msgspec
 
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.cluster_view import LEADER
-from basaltlead.core.entities import STANDING_US, Job
-from basaltlead.core.shard_state import NAMES_KEPT, TeamQuota
+from basaltlead.core.fleet import NAMES_KEPT
+from basaltlead.core.jobs import STANDING_US, Job
+from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.events import wait_for_event
 from basaltlead.runtime.logs import log
@@ -26,9 +29,18 @@
     job_of,
 )
 from basaltlead.storage.result_rows import split_open
-from basaltlead.storage.watch import follow
+from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
+ASSIGN_INTERVAL_S = 0.5  # between two passes, should nothing have changed
+
+
+class OpenJob(NamedTuple):
+    """A job under `open/`, and the version of its record."""
+
+    job: Job
+    version: int
+
 
 def home_shard(team: str, shards: int) -> int:
     """The shard of a team whose tasks must be counted together."""
@@ -36,23 +48,25 @@
 
 
 def assignment_parts(
-    job: Job, limits: TeamQuota, shards: int, loads: dict[int, float]
+    job: Job, quota: TeamQuota, shards: int, loads: dict[int, float]
 ) -> list[tuple[int, int, int]]:
-    """Which shard gets which tasks of a new job: a team with a limit or a guarantee has one
-    shard for all its jobs, jobs that must be placed as a whole go to the least loaded one, and
-    other arrays are dealt out evenly."""
-    least = min(range(shards), key=lambda shard: (loads.get(shard, 0.0), shard))
-    if limits.is_limited:
+    """Which shard gets which tasks of a new job, as (first, end, shard).
+
+    A team with a quota has one shard for all its jobs, jobs that must be placed as a whole go to
+    the least loaded one, and other arrays are divided evenly.
+    """
+    least_loaded = min(range(shards), key=lambda shard: (loads.get(shard, 0.0), shard))
+    if quota.is_limited:
         return [(0, job.tasks, home_shard(job.team, shards))]
     if job.whole or job.tasks < 2 * shards:
-        return [(0, job.tasks, least)]
-    cuts = [job.tasks * number // shards for number in range(shards + 1)]
-    return [(cuts[shard], cuts[shard + 1], shard) for shard in range(shards)]
+        return [(0, job.tasks, least_loaded)]
+    bounds = [job.tasks * number // shards for number in range(shards + 1)]
+    return [(bounds[shard], bounds[shard + 1], shard) for shard in range(shards)]
 
 
 class ShardAssigner:
-    """Follows open jobs, leases, machines and rental requests on every node, if there are several
-    shards; acts on them on the leader."""
+    """Follows open jobs, assignments, machines and scale-out requests on every controller, if there
+    are several shards; the leader acts on them."""
 
     def __init__(
         self, membership: Membership, store: KeyValueStore, teams: dict[str, TeamQuota], shards: int
@@ -61,107 +75,109 @@
         self.store = store
         self.teams = teams
         self.shards = shards
-        self.jobs: dict[str, tuple[Job, int]] = {}
-        self.assignments: dict[str, TaskAssignment] = {}
-        self.machines: dict[str, int] = {}
-        self.hired: dict[str, int] = {}
-        self.wake = asyncio.Event()
+        self._jobs: dict[str, OpenJob] = {}
+        self._assignments: dict[str, TaskAssignment] = {}
+        self._recorded_machines: dict[str, int] = {}  # to shards
+        self._rented_machines: dict[str, int] = {}  # to shards; bounded
+        self._wake = asyncio.Event()
 
     def shard_of(self, machine: str) -> int | None:
-        found = self.machines.get(machine)
-        return self.hired.get(machine) if found is None else found
+        """The shard to which a machine belongs; None if that is not known."""
+        shard = self._recorded_machines.get(machine)
+        return self._rented_machines.get(machine) if shard is None else shard
 
     async def follow(self, prefix: str) -> None:
-        """Keep one of our tables like the keys under a prefix."""
-        await follow(
-            self.store,
-            prefix,
-            self.membership.watch_ms,
-            partial(self._load, prefix),
-            partial(self._take, prefix),
-        )
-
-    def _take(self, prefix: str, change: Change) -> None:
-        if change.put is not None:
-            self._put(prefix, change.put, change.value, change.version)
-        elif change.drop is not None:
-            self._drop(prefix, change.drop)
+        """Follow the keys under one of the four prefixes; never returns."""
+        watch = KeyWatch(self.store, prefix, self.membership.watch_ms)
+        await watch.run(partial(self._load, prefix), partial(self._apply, prefix))
 
     def _load(self, prefix: str, rows: list[Row]) -> None:
         if prefix == OPEN:
-            self.jobs.clear()
+            self._jobs.clear()
         elif prefix == ASSIGNMENT:
-            self.assignments.clear()
+            self._assignments.clear()
         elif prefix == MACHINE:
-            self.machines.clear()
+            self._recorded_machines.clear()
         for row in rows:
             self._put(prefix, row.key, row.value, row.version)
 
+    def _apply(self, prefix: str, change: Change) -> None:
+        if change.put is not None:
+            self._put(prefix, change.put, change.value, change.version)
+        elif change.drop is not None:
+            self._drop(prefix, change.drop)
+
     def _put(self, prefix: str, key: str, raw: msgspec.Raw, version: int) -> None:
         name = key[len(prefix) :]
         if prefix == OPEN:
             ref, part = split_open(key)
             if part is None:
                 job = job_of(msgspec.json.decode(raw, type=StoredJob).sent)
-                self.jobs[ref] = (job, version)
-                self.wake.set()
+                self._jobs[ref] = OpenJob(job, version)
+                self._wake.set()
         elif prefix == ASSIGNMENT:
-            self.assignments[name] = msgspec.json.decode(raw, type=TaskAssignment)
+            self._assignments[name] = msgspec.json.decode(raw, type=TaskAssignment)
         elif prefix == MACHINE:
-            self.machines[name] = msgspec.json.decode(raw, type=StoredMachine).shard
+            self._recorded_machines[name] = msgspec.json.decode(raw, type=StoredMachine).shard
         elif prefix == SCALE_OUT:
-            scale_out = msgspec.json.decode(raw, type=StoredScaleOut)
-            for machine in scale_out.names or ():
-                self.hired[machine] = scale_out.shard
-            while len(self.hired) > NAMES_KEPT:
-                del self.hired[next(iter(self.hired))]
+            self._note_rented(msgspec.json.decode(raw, type=StoredScaleOut))
+
+    def _note_rented(self, scale_out: StoredScaleOut) -> None:
+        for machine in scale_out.names or ():
+            self._rented_machines[machine] = scale_out.shard
+        while len(self._rented_machines) > NAMES_KEPT:
+            del self._rented_machines[next(iter(self._rented_machines))]
 
     def _drop(self, prefix: str, key: str) -> None:
         name = key[len(prefix) :]
         if prefix == OPEN:
             ref, part = split_open(key)
             if part is None:
-                self.jobs.pop(ref, None)
+                self._jobs.pop(ref, None)
         elif prefix == ASSIGNMENT:
-            self.assignments.pop(name, None)
+            self._assignments.pop(name, None)
         elif prefix == MACHINE:
-            self.machines.pop(name, None)
+            self._recorded_machines.pop(name, None)
 
     async def assign_jobs(self) -> None:
-        """On the leader: a assignment for every open job that has none."""
+        """On the leader, assign every open job that has no assignment; never returns."""
         while True:
-            await wait_for_event(self.wake, 0.5)
+            await wait_for_event(self._wake, ASSIGN_INTERVAL_S)
             if not self.membership.holds_valid_lease or not self.membership.leads:
                 continue
-            for ref, (job, version) in list(self.jobs.items()):
-                if ref not in self.assignments:
-                    await self._assign(ref, job, version)
+            for ref, open_job in list(self._jobs.items()):
+                if ref not in self._assignments:
+                    await self._assign(ref, open_job)
 
-    def _loads(self) -> dict[int, float]:
-        out: dict[int, float] = {}
-        for ref, assignment in self.assignments.items():
-            known = self.jobs.get(ref)
-            if known is not None:
-                for low, high, shard in assignment.parts:
-                    each = STANDING_US if known[0].service else max(known[0].guess_us, 1)
-                    load = (high - low) * known[0].cpus * each
-                    out[shard] = out.get(shard, 0.0) + load
-        return out
-
-    async def _assign(self, ref: str, job: Job, version: int) -> None:
+    async def _assign(self, ref: str, open_job: OpenJob) -> None:
         leader = self.membership.cluster.leader
         if leader is None:
             return
-        limits = self.teams.get(job.team, TeamQuota())
-        assignment = TaskAssignment(assignment_parts(job, limits, self.shards, self._loads()))
+        quota = self.teams.get(open_job.job.team, TeamQuota())
+        parts = assignment_parts(open_job.job, quota, self.shards, self._loads())
+        assignment = TaskAssignment(parts)
         preconditions = [
             self.membership.precondition(),
             Precondition(LEADER, leader.version),
-            Precondition(OPEN + ref, version),
+            Precondition(OPEN + ref, open_job.version),
             Precondition(ASSIGNMENT + ref, 0),
         ]
         try:
             await self.store.compare_and_swap(preconditions, [Put(ASSIGNMENT + ref, assignment)])
-            self.assignments[ref] = assignment
         except ServiceError as fault:
-            log.debug("assigning tasks of %s: %s", ref, fault)
+            log.debug("job %s not assigned, will retry: %s", ref, fault)
+        else:
+            self._assignments[ref] = assignment
+
+    def _loads(self) -> dict[int, float]:
+        """CPU time that is assigned to each shard, in CPU microseconds."""
+        loads: dict[int, float] = {}
+        for ref, assignment in self._assignments.items():
+            open_job = self._jobs.get(ref)
+            if open_job is None:
+                continue
+            job = open_job.job
+            run_us = STANDING_US if job.service else max(job.guess_us, 1)
+            for first, end, shard in assignment.parts:
+                loads[shard] = loads.get(shard, 0.0) + (end - first) * job.cpus * run_us
+        return loads
--- a/tests/fakes/replies.py
+++ b/tests/fakes/replies.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from basaltlead.net.http import Response
+from basaltlead.net.http.messages import Response
 
 
 def reply(status: int, value: Any) -> Response:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -4,7 +4,9 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from basaltlead.net.http import Pool, Request, Response, Server
+from basaltlead.net.http.client import Pool
+from basaltlead.net.http.messages import Request, Response
+from basaltlead.net.http.server import Server
 from tests.fakes.replies import reply
 from tests.simulation import on_host
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,10 +5,12 @@
 
 import pytest
 
-from basaltlead.clients.base import Budget
+from basaltlead.clients.rate_budget import RateBudget
 from basaltlead.clients.workers import Workers
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http import Pool, Request, Response, Server
+from basaltlead.net.http.client import Pool
+from basaltlead.net.http.messages import Request, Response
+from basaltlead.net.http.server import Server
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
 from tests.fakes import FakeWorker, World
 from tests.simulation import Loop, play
@@ -325,8 +327,8 @@
     """Hundreds of machines and results fill the limit on writes by themselves."""
 
     async def story(loop: Loop) -> None:
-        budget = Budget(rate=20.0)
-        records = [loop.create_task(budget.spare(4)) for _ in range(50)]
+        budget = RateBudget(rate=20.0)
+        records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
         for _ in range(10):
             await asyncio.sleep(0.5)
             asked = loop.time()
@@ -361,11 +363,11 @@
         for comer in comers:
             assert (await comer.request("GET", "/"))[0] == 200
         assert len(workers.pools) == 0 and len(server.connections) == 6
-        assert all(comer.resting for comer in comers)  # nobody was thrown out
+        assert all(comer.idle for comer in comers)  # nobody was thrown out
         late = Pool("10.0.0.9:80", 1)
         assert (await late.request("GET", "/"))[0] == 200  # now the longest unused goes
         await asyncio.sleep(0.1)
-        assert [bool(comer.resting) for comer in comers] == [False] + [True] * 5
+        assert [bool(comer.idle) for comer in comers] == [False] + [True] * 5
 
     play(story)
 
@@ -382,12 +384,12 @@
         halt = WorkerCommand("halt", "req-000001/0", attempt.attempt_number, 0.0)
         workers = Workers(most=1)
         async with workers.calls:
-            command = DirectCommand(shard_leader.grant.fencing_token, machine.epoch, [halt])
+            command = DirectCommand(shard_leader.lease.fencing_token, machine.epoch, [halt])
             asked = loop.create_task(
                 workers.command(machine.address, command, lambda: shard_leader.holds_valid_lease)
             )
             await asyncio.sleep(0.1)
-            shard_leader.stepped_down = True
+            shard_leader.lease.stepped_down = True
         with pytest.raises(RequestFailed) as caught:
             await asked
         assert not caught.value.sent and world.on("req-000001") == ["req-000001/0"]
@@ -442,7 +444,7 @@
         await Server(answer, 10).start("10.0.0.1:8080")
         pool = Pool("10.0.0.1:8080", 1)
         with pytest.raises(RequestFailed) as failed:
-            await pool.request("POST", "/", still=lambda: False)
+            await pool.request("POST", "/", may_send=lambda: False)
         assert not failed.value.sent
         await asyncio.sleep(0.1)
         del failed, pool  # nothing may hold the reply any more
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -2,12 +2,14 @@
 requests."""
 
 import asyncio
+import dataclasses
 
 import pytest
 
+from basaltlead.clients.workers import Workers
 from basaltlead.core.entities import Machine
 from basaltlead.runtime.clock import now_us
-from basaltlead.shard.dispatcher import WorkerDispatcher
+from basaltlead.shard.dispatcher import WorkerDispatcher, worker_sockets
 from basaltlead.wire.workers import DirectCommand
 from tests.fakes import FakeWorker, World
 from tests.simulation import HOST, Loop, play
@@ -119,8 +121,8 @@
         world.write_rps = 30.0
         name = await world.busy(8, 4.0)
         await world.submit(world.job(2, Pieces=40, RunS=4.0))  # has results to store all the time
-        writes = world.parts[name].shard_leaders[0].store.writes
-        records = [loop.create_task(writes.spare(4)) for _ in range(100)]
+        writes = world.parts[name].shard_leaders[0].context.store.client.writes
+        records = [loop.create_task(writes.take_low_priority(4)) for _ in range(100)]
         await world.submit(world.job(3, RunS=2.0, Rank="high"))
         await world.until(lambda: "req-000003/0" in world.rule_checker.results, seconds=40)
         await asyncio.sleep(3)
@@ -140,7 +142,10 @@
         name = await world.busy(1, 60.0)
         shard_leader = world.parts[name].shard_leaders[0]
         (live,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
-        shard_leader.dispatcher = WorkerDispatcher(shard_leader)
+        context = shard_leader.context
+        own_connections = Workers(worker_sockets(context.settings))  # from the test's own host
+        context = dataclasses.replace(context, workers=own_connections)
+        shard_leader.dispatcher = WorkerDispatcher(context)
         for number in range(2 * shard_leader.dispatcher.workers.most):
             silent = Machine(f"m-9{number:05d}", live.machine_type, "b", False, now_us())
             silent.address = f"10.1.3.{number}:9000"
@@ -149,7 +154,7 @@
             shard_leader.dispatcher.probe(silent)
         await asyncio.sleep(0.1)
         asked = loop.time()
-        command = DirectCommand(shard_leader.grant.fencing_token, live.epoch, [])
+        command = DirectCommand(shard_leader.lease.fencing_token, live.epoch, [])
         assert (await shard_leader.dispatcher.workers.command(live.address, command))[0]
         assert loop.time() - asked < 0.1
         world.verdict()
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -3,7 +3,8 @@
 import msgspec
 
 from basaltlead.core import demand
-from basaltlead.core.entities import RANKS, STANDING_US, US, JobState, Shape
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import RANKS, STANDING_US, US, Shape
 from basaltlead.core.market import Market, Terms
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.planning import plan
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -7,11 +7,17 @@
 import pytest
 
 from basaltlead.core import fleet_sizing, placement, planning, replica_placement
-from basaltlead.core.entities import RANKS, US, Machine, Resources, Shape
+from basaltlead.core.attempt_table import AttemptTable
+from basaltlead.core.draining import Drainer
+from basaltlead.core.entities import Machine
+from basaltlead.core.failures import FailurePolicy
+from basaltlead.core.fleet import NAMES_KEPT
 from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.jobs import RANKS, US, Resources, Shape
 from basaltlead.core.offers import Offer
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import NAMES_KEPT, ShardState, TeamQuota
+from basaltlead.core.task_reports import TaskReports
+from basaltlead.core.teams import TeamQuota
 from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
 from tests.fakes import World
 from tests.simulation import Loop, play
@@ -63,7 +69,7 @@
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = Counted(monkeypatch, (ShardState, "_reconcile_unknown"), (ShardState, "_progress"))
+    taken = Counted(monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress"))
     for number in range(MACHINES):
         shown = _running(before, number)
         after.heartbeat(_name(number), *shown, fencing_token=7)
@@ -83,8 +89,8 @@
     for number in range(0, MACHINES, 2):
         story.heartbeat(_name(number), *_running(story, number))
     story.now += TIMING.lease_expiry_us // 2 + US
-    removed = Counted(monkeypatch, (ShardState, "_remove"))
-    drained = Counted(monkeypatch, (Shard, "_drain"))
+    removed = Counted(monkeypatch, (AttemptTable, "remove"))
+    drained = Counted(monkeypatch, (Drainer, "drain"))
     story.shard.advance(story.now)
     assert removed.calls == PLACES * MACHINES // 2
     for _ in range(10):
@@ -98,11 +104,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full(jobs=1600, tasks=10)
-    stopped = Counted(monkeypatch, (ShardState, "stop"), (ShardState, "_clear_failures"))
+    stopped = Counted(monkeypatch, (AttemptTable, "stop"), (FailurePolicy, "clear"))
     job_states = list(story.shard.job_states.values())[:1000]
     tasks = sum(len(job_state.live) for job_state in job_states)
     for job_state in job_states:
-        story.shard.close_job(job_state.job.ref, story.now)
+        story.shard.close_job(job_state.job.ref)
     assert stopped.calls == tasks + len(job_states)
     assert _plan_calls(monkeypatch, story) < 20 * MACHINES
 
@@ -172,7 +178,9 @@
             machine = Machine(_name(number), KIND, "a", False, 0)
             machine.recorded = True
             shard_leader.shard.add_machine(machine)
-        recordable = int((5.0 + RECORD_S) * shard_leader.store.writes.rate)  # types boot in 5 s
+        recordable = int(
+            (5.0 + RECORD_S) * shard_leader.context.store.client.writes.rate
+        )  # types boot in 5 s
         assert autoscaler._max_rentals() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
         for number in range(recordable - 100):
             shard_leader.shard.machines[_name(number)].recorded = False
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -8,9 +8,10 @@
 import pytest
 
 from basaltlead import cli
-from basaltlead.clients.base import encode
-from basaltlead.controller import most_bids
-from basaltlead.core.entities import US, JobState
+from basaltlead.clients.codec import encode
+from basaltlead.controller import max_stored_bids
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
 from basaltlead.core.market import Market, Terms
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.errors import TransactionTooLarge
@@ -40,7 +41,7 @@
 
 def test_each_limit_holds_to_the_byte_and_to_the_operation() -> None:
     assert _sizes(12, [200, 200, 200], TRANSACTION_BYTES) == ""
-    assert "guards" in _sizes(13, [1], 100)
+    assert "preconditions" in _sizes(13, [1], 100)
     assert "operations" in _sizes(1, [1, 1, 1, 1], 100)
     assert "201 bytes" in _sizes(1, [200, 201], 500)
     assert f"{TRANSACTION_BYTES + 1} bytes" in _sizes(1, [1], TRANSACTION_BYTES + 1)
@@ -131,7 +132,7 @@
 
 def test_budgets_types_and_hires_fit_into_values_however_many_there_are() -> None:
     value_bytes = 2048
-    terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, most_bids(value_bytes))
+    terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, max_stored_bids(value_bytes))
     market = Market(terms, ["red"], ServiceLevelObjectives())
     job_states = {}
     for number in range(500):
@@ -300,8 +301,8 @@
 def test_the_lower_of_both_limits_holds_from_the_start(
     text: str, wanted: StoreLimits, tmp_path: Path
 ) -> None:
-    from basaltlead.config import settings
+    from basaltlead.config import loader
 
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace("{next}", text))
-    assert settings.load(str(path)).store_limits == wanted
+    assert loader.load(str(path)).store_limits == wanted
