--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -12,7 +12,8 @@
 from basaltlead.controller import max_stored_bids
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import US
-from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
+from basaltlead.core.market import Market, Terms
+from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.errors import TransactionTooLarge
 from basaltlead.scaling.machine_type_catalog import pages_of
 from basaltlead.storage.client import KeyValueStore
