--- /dev/null
+++ b/basaltlead/scaling/machine_list.py
@@ -0,0 +1,90 @@
+"""The comparison of a shard's machines with the cloud's list of rented machines."""
+
+import asyncio
+from collections.abc import Callable
+
+from basaltlead.clients.cloud import Cloud
+from basaltlead.core.entities import Machine
+from basaltlead.core.jobs import US
+from basaltlead.duties.unknown_machines import FAILED
+from basaltlead.errors import ServiceError
+from basaltlead.runtime.clock import now_us
+from basaltlead.runtime.logs import log
+from basaltlead.scaling.scale_out import ScaleOut
+from basaltlead.scaling.termination import TerminationReason, mark_terminating
+from basaltlead.shard.context import ShardContext
+from basaltlead.wire.cloud import RentedMachine
+
+MIN_PAUSE_S = 4.0  # between two reads of the list
+UNRECORDED_S = 30  # a rented machine's names may take so long to be recorded by its shard
+
+
+class MachineListComparison:
+    """Takes in rented machines that the shard does not know, and returns those that have failed.
+
+    Only while duties are not granted on their own: otherwise the duty of reclaiming does this for
+    all shards.
+    """
+
+    def __init__(
+        self,
+        context: ShardContext,
+        cloud: Cloud,
+        scale_out: ScaleOut,
+        shard_of: Callable[[str], int | None],
+    ) -> None:
+        """`shard_of` returns the shard to which a machine belongs, or None if that is unknown."""
+        self.context = context
+        self.cloud = cloud
+        self.scale_out = scale_out
+        self.shard_of = shard_of
+
+    async def run(self) -> None:
+        """Read the list again and again; never returns."""
+        pause_s = max(MIN_PAUSE_S, self.context.settings.facts.cloud.list_lag_s)
+        while True:
+            await asyncio.sleep(pause_s)
+            if (
+                not self.context.lease.holds_valid_lease
+                or not self.context.machine_types
+                or self.context.membership.duties_granted
+            ):
+                continue
+            try:
+                rented = await self.cloud.machines()
+            except ServiceError as fault:
+                log.info("machine list not read from the cloud: %s", fault)
+                continue
+            self._compare(rented, now_us())
+            await self.scale_out.drop_completed()
+
+    def _compare(self, rented: list[RentedMachine], now: int) -> None:
+        shard = self.context.shard
+        for listed in rented:
+            if listed.name in shard.gone:
+                continue
+            machine = shard.machines.get(listed.name)
+            if machine is None:
+                if self._left_to_others(listed):
+                    continue
+                machine = self._add(listed, now)
+            if listed.stage == FAILED and not machine.terminating:
+                mark_terminating(machine, TerminationReason.FAILED)
+
+    def _left_to_others(self, listed: RentedMachine) -> bool:
+        """Does an unknown machine belong to another shard, or may it?
+
+        With several shards, the one that requested it may just not have recorded its name so far.
+        After that time it falls to the first shard.
+        """
+        if self.shard_of(listed.name) not in (None, self.context.number):
+            return True
+        return self.context.sharded and (self.context.number != 0 or listed.age_s < UNRECORDED_S)
+
+    def _add(self, listed: RentedMachine, now: int) -> Machine:
+        machine_type = self.context.machine_type(listed.type)
+        machine = Machine(listed.name, machine_type, listed.zone, listed.spot, now)
+        machine.made_at = now - int(listed.age_s * US)
+        self.context.shard.add_machine(machine)
+        log.info("machine %s added: unexpected in the cloud's list (%s)", listed.name, listed.stage)
+        return machine
