--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -1,5 +1,8 @@
-"""A shard leader's side of quiet times: which idle machines are kept, and what is reserved for
-them."""
+"""Which idle machines of a shard are retained during quiet times.
+
+Retaining them costs money, which is bounded by the operators' settings and reserved in the
+key-value store before it is spent.
+"""
 
 from typing import Protocol
 
@@ -14,6 +17,9 @@
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
+LOAD_SHORTEST_RETRY_US = 200_000
+LOAD_LONGEST_RETRY_US = 2_000_000
+
 
 class QuietSchedule(Protocol):
     """The operators' calendar of quiet times."""
@@ -23,7 +29,10 @@
 
 
 class IdleRetention:
-    """Runs beside a shard leader, if a calendar is configured."""
+    """Decides for one shard which idle machines are retained, if a calendar is configured.
+
+    No machine is retained before `load` has read what earlier shard leaders have reserved.
+    """
 
     def __init__(self, context: ShardContext, quiet_times: QuietSchedule) -> None:
         operator = context.settings.operator
@@ -36,13 +45,15 @@
         self.reserving = False
 
     async def load(self) -> None:
-        """What an earlier shard leader has reserved."""
-        backoff = Backoff(200_000, 2_000_000, self.context.membership.chance)
+        """Read what earlier shard leaders have reserved; tries until it succeeds."""
+        backoff = Backoff(
+            LOAD_SHORTEST_RETRY_US, LOAD_LONGEST_RETRY_US, self.context.membership.chance
+        )
         while not self.loaded:
             try:
                 row = await self.context.store.get(self.key)
             except (RequestFailed, Unavailable) as fault:
-                log.info("reading quiet times: %s", fault)
+                log.info("quiet time reservation not read: %s", fault)
                 await backoff.wait()
                 continue
             if row is not None:
@@ -51,14 +62,14 @@
             self.loaded = True
 
     def begin(self, now: int) -> None:
-        """A pass over the machines begins."""
+        """Begin a pass over the machines at `now` (steady clock); may reserve more money."""
         quiet = self.quiet_times.current() if self.loaded else None
         if self.allowance.begin(quiet, now) and not self.reserving:
             self.reserving = True
-            self.context.spawn(self._reserve_more(), "reserve for quiet time")
+            self.context.spawn(self._reserve_more(), "reserve for a quiet time")
 
     def keeps(self, machine: Machine) -> bool:
-        """Is an idle machine kept?"""
+        """Is an idle machine retained until the next pass? If so, that is charged."""
         if not self.loaded or self.quiet_times.current() is None:
             return False
         return self.allowance.keeps(fleet_sizing.unit_price(machine.machine_type, machine.spot))
@@ -70,9 +81,10 @@
             self.reserving = False
 
     async def _reserve(self, stored: StoredQuiet) -> bool:
+        """Record a reservation; False if that is not confirmed."""
         try:
             await self.context.store.put({self.key: stored})
         except (PreconditionFailed, RequestFailed, Unavailable, SessionLeaseExpired) as fault:
-            log.info("reserving for a quiet time: %s", fault)
+            log.info("quiet time reservation not recorded: %s", fault)
             return False
         return True
