--- a/basaltlead/api/responses.py
+++ b/basaltlead/api/responses.py
@@ -1,7 +1,7 @@
 """Answers that several parts of the interface give."""
 
 from basaltlead.clients.codec import encode
-from basaltlead.net.http import Response
+from basaltlead.net.http.messages import Response
 from basaltlead.wire.users import JobAnswer, Refusal
 
 RETRY_SOON = "Retry-After: 1\r\n"
--- a/basaltlead/api/routing.py
+++ b/basaltlead/api/routing.py
@@ -9,7 +9,7 @@
 from basaltlead.api.users import UserApi
 from basaltlead.clients.codec import encode
 from basaltlead.cluster.membership import Membership
-from basaltlead.net.http import Request, Response
+from basaltlead.net.http.messages import Request, Response
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.shard.assignment import ShardAssigner
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -8,15 +8,16 @@
 from basaltlead.clients.cloud import Cloud
 from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import Machine
-from basaltlead.core.fleet_sizing import Offer, OfferBook
 from basaltlead.core.jobs import US
 from basaltlead.core.market import Market
+from basaltlead.core.offers import Offer, OfferBook
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.fleet_demand import FleetDemand
-from basaltlead.scaling.idle_retention import IdleRetention, QuietSchedule
+from basaltlead.scaling.idle_retention import IdleRetention
 from basaltlead.scaling.machine_list import MachineListComparison
+from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.scaling.scale_in import ScaleIn
 from basaltlead.scaling.scale_out import ScaleOut
@@ -48,7 +49,7 @@
     cloud: Cloud
     offer_book: OfferBook
     shard_of: Callable[[str], int | None]
-    quiet_times: QuietSchedule | None
+    quiet_times: QuietTimes | None
 
 
 class Autoscaler:
@@ -106,15 +107,13 @@
         shard = self.context.shard
         expected = self.expected(now)
         needs = self.demand.of_open_jobs(now, expected)
-        run_us = {need.job_state.job.ref: shard.guess_us(need.job_state) for need in needs}
         self._update_silent_zones(now)
-        plan = fleet_sizing.size(
+        plan = fleet_sizing.plan_fleet(
             needs,
             self.demand.warm_spares(now),
             expected,
             self.context.machine_types,
             self._offers(expected, now),
-            run_us,
             self._max_rentals(),
         )
         self._request(plan.rentals)
@@ -151,7 +150,7 @@
         return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
     def _update_silent_zones(self, now: int) -> None:
-        for zone in self.silent_zones.look(self.reachability.heard_by_zone(now), now):
+        for zone in self.silent_zones.update(self.reachability.heard_by_zone(now), now):
             log.info("zone %s silent: renting there is paused", zone)
 
     def _offers(self, expected: list[Machine], now: int) -> dict[Offer, int | None]:
@@ -163,8 +162,8 @@
         offers = self.offer_book.offers(machine_types.values(), requests.held(), now)
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
-        tried_zones = {m.zone for m in expected if not m.heard_at and _may_come_up(m, now)}
-        return self.silent_zones.admitted(offers, machine_types, tried_zones, now)
+        awaited_zones = {m.zone for m in expected if not m.heard_at and _may_come_up(m, now)}
+        return self.silent_zones.admitted(offers, machine_types, awaited_zones, now)
 
 
 def _may_come_up(machine: Machine, now: int) -> bool:
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -41,7 +41,7 @@
         needs = []
         for state in sorted(job_states, key=lambda state: (-state.job.rank, state.submitted_at)):
             state.need = counts[state.job.ref]
-            need = Demand(state, state.need)
+            need = Demand(state, state.need, run_us=shard.guess_us(state))
             if state.job.shape is Shape.ARRAY:
                 need.drain_us = capacity.drain_us(state.job, backlog)
             needs.append(need)
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -4,16 +4,15 @@
 key-value store before it is spent.
 """
 
-from typing import Protocol
-
 import msgspec
 
 from basaltlead.clients.backoff import Backoff
-from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import Machine
+from basaltlead.core.offers import unit_price
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.quiet_budget import QuietBudget, QuietTime, StoredQuiet
+from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuiet
+from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
@@ -21,26 +20,19 @@
 LOAD_LONGEST_RETRY_US = 2_000_000
 
 
-class QuietSchedule(Protocol):
-    """The operators' calendar of quiet times."""
-
-    def current(self) -> QuietTime | None:
-        """The quiet time that it is now, if any."""
-
-
 class IdleRetention:
     """Decides for one shard which idle machines are retained, if a calendar is configured.
 
     No machine is retained before `load` has read what earlier shard leaders have reserved.
     """
 
-    def __init__(self, context: ShardContext, quiet_times: QuietSchedule) -> None:
+    def __init__(self, context: ShardContext, quiet_times: QuietTimes) -> None:
         operator = context.settings.operator
         assert operator.quiet is not None
         self.context = context
         self.quiet_times = quiet_times
         self.key = f"{QUIET}{context.number}"
-        self.allowance = QuietBudget(operator.quiet.most_cost / operator.shards, self._reserve)
+        self.budget = QuietBudget(operator.quiet.most_cost / operator.shards, self._reserve)
         self.loaded = False
         self.reserving = False
 
@@ -58,13 +50,13 @@
                 continue
             if row is not None:
                 self.context.store.versions[self.key] = row.version
-                self.allowance.load(msgspec.json.decode(row.value, type=StoredQuiet))
+                self.budget.load(msgspec.json.decode(row.value, type=StoredQuiet))
             self.loaded = True
 
     def begin(self, now: int) -> None:
         """Begin a pass over the machines at `now` (steady clock); may reserve more money."""
         quiet = self.quiet_times.current() if self.loaded else None
-        if self.allowance.begin(quiet, now) and not self.reserving:
+        if self.budget.begin(quiet, now) and not self.reserving:
             self.reserving = True
             self.context.spawn(self._reserve_more(), "reserve for a quiet time")
 
@@ -72,11 +64,11 @@
         """Is an idle machine retained until the next pass? If so, that is charged."""
         if not self.loaded or self.quiet_times.current() is None:
             return False
-        return self.allowance.keeps(fleet_sizing.unit_price(machine.machine_type, machine.spot))
+        return self.budget.keeps(unit_price(machine.machine_type, machine.spot))
 
     async def _reserve_more(self) -> None:
         try:
-            await self.allowance.reserve_more()
+            await self.budget.reserve_more()
         finally:
             self.reserving = False
 
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -5,7 +5,7 @@
 """
 
 from basaltlead.clients.cloud import Cloud
-from basaltlead.core.fleet_sizing import Offer, OfferBook
+from basaltlead.core.offers import Offer, OfferBook
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import wall_us
--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -42,17 +42,17 @@
         if name not in self.requests.pending:
             self.requests.expect(name, stored)
         try:
-            names = await self.machine_rental.ask(
+            names = await self.machine_rental.rent(
                 name, stored, partial(self.requests.rejected, name)
             )
             version = self.context.store.versions.pop(SCALE_OUT + name, 0)
             if names is None:
                 self.requests.no_capacity(name)
-                await self.machine_rental.settle(name, None, version)
+                await self.machine_rental.record_outcome(name, None, version)
             else:
                 stored.names, stored.refused = names, msgspec.UNSET
                 self.requests.rented(name, stored)
-                await self.machine_rental.settle(name, stored, version)
+                await self.machine_rental.record_outcome(name, stored, version)
         except ServiceError as fault:
             log.info("scale-out request %s: outcome not recorded: %s", name, fault)
         finally:
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from basaltlead.core.entities import Machine
-from basaltlead.core.fleet_sizing import Offer, OfferBook
+from basaltlead.core.offers import Offer, OfferBook
 from basaltlead.duties.machine_rental import MOST_REASON
 from basaltlead.runtime.clock import age_us, now_us
 from basaltlead.shard.context import ShardContext
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -2,9 +2,9 @@
 
 from enum import StrEnum
 
-from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
+from basaltlead.core.offers import unit_price
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.idle_retention import IdleRetention
 from basaltlead.scaling.reachability import Reachability
@@ -20,7 +20,7 @@
 
 
 class TerminationReason(StrEnum):
-    """Why a machine is to be returned, as the log tells it."""
+    """Why a machine is to be returned; the values appear in the log."""
 
     NEVER_CAME_UP = "never came up"
     FAILED = "failed"
@@ -56,7 +56,7 @@
     return (
         machine_type.boot_us
         * machine_type.price
-        / max(fleet_sizing.unit_price(machine_type, machine.spot), MIN_UNIT_PRICE)
+        / max(unit_price(machine_type, machine.spot), MIN_UNIT_PRICE)
     )
 
 
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -75,7 +75,7 @@
                 continue
             if name in self._pushing or now < machine.push_backoff_until:
                 continue
-            commands, starts = shard.take_push_commands(machine, now)
+            commands, starts = shard.take_push_commands(machine)
             if not shard.has_pending_commands(machine):
                 del shard.urgent[name]
             if commands:
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -11,7 +11,7 @@
 from basaltlead.core.teams import TeamQuota
 from basaltlead.core.timing import Timing
 from basaltlead.errors import ServiceError
-from basaltlead.net.http import Response
+from basaltlead.net.http.messages import Response
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
@@ -92,9 +92,10 @@
 
     async def _load(self) -> int:
         backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
-        while not self.context.machine_types:  # without them no machine's room is known
-            await asyncio.sleep(MACHINE_TYPES_PAUSE_S)
         while True:
+            if not self.context.machine_types:  # without them no machine's room is known
+                await asyncio.sleep(MACHINE_TYPES_PAUSE_S)
+                continue
             try:
                 return await self.loader.load(self.heartbeats.answered_at)
             except ServiceError as fault:
@@ -133,9 +134,14 @@
     """The picture of a shard that has just been granted: nothing is known of it so far."""
     workers = settings.facts.workers
     timing = Timing(int(workers.lease_s * US), int(workers.report_s * US))
-    shard = Shard(lease.fencing_token, lease.version, now_us(), timing, team_quotas(settings))
-    shard.log = lambda text: log.info("%s", text)
-    return shard
+    return Shard(
+        lease.fencing_token,
+        lease.version,
+        now_us(),
+        timing,
+        team_quotas(settings),
+        lambda text: log.info("%s", text),
+    )
 
 
 def team_quotas(settings: Settings) -> dict[str, TeamQuota]:
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -124,7 +124,7 @@
         ref = job_state.job.ref
         if ref not in self.context.shard.job_states:
             return  # closed while its end was being stored
-        self.context.shard.close_job(ref, now_us())
+        self.context.shard.close_job(ref)
         self.forget(ref)
         versions = self.context.store.versions
         rows = self.context.layout.keys(ref, job_state.job.tasks, [self.context.number])
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -5,7 +5,8 @@
 import random
 from typing import Any
 
-from basaltlead.net.http import Pool, Server
+from basaltlead.net.http.client import Pool
+from basaltlead.net.http.server import Server
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.duty_checker import DutyChecker
 from tests.fakes.old_version import OldController
@@ -67,9 +68,10 @@
             self.boot(name)
 
     def settings(self, name: str) -> Any:
-        from basaltlead.config.settings import Settings, _convert
+        from basaltlead.config.loader import convert
+        from basaltlead.config.settings import Settings
 
-        return _convert(self.settings_file(name), Settings, "test")
+        return convert(self.settings_file(name), Settings, "test")
 
     def settings_file(self, name: str) -> dict[str, Any]:
         """What the platform tells a controller."""
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -7,7 +7,8 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from basaltlead.net.http import Request, Response, Server
+from basaltlead.net.http.messages import Request, Response
+from basaltlead.net.http.server import Server
 from tests.fakes.replies import reply
 from tests.simulation import PEER, Loop
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -6,13 +6,17 @@
 
 import pytest
 
-from basaltlead.core import fleet_sizing, planning, replica_placement
+from basaltlead.core import fleet_sizing, placement, planning, replica_placement
+from basaltlead.core.attempt_table import AttemptTable
+from basaltlead.core.draining import Drainer
 from basaltlead.core.entities import Machine
+from basaltlead.core.failures import FailurePolicy
 from basaltlead.core.fleet import NAMES_KEPT
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.fleet_sizing import Demand
 from basaltlead.core.jobs import RANKS, US, Resources, Shape
+from basaltlead.core.offers import Offer
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import ShardState
+from basaltlead.core.task_reports import TaskReports
 from basaltlead.core.teams import TeamQuota
 from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
 from tests.fakes import World
@@ -49,9 +53,7 @@
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = Counted(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = Counted(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     return count.calls
 
@@ -67,7 +69,7 @@
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = Counted(monkeypatch, (ShardState, "_reconcile_unknown"), (ShardState, "_progress"))
+    taken = Counted(monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress"))
     for number in range(MACHINES):
         shown = _running(before, number)
         after.heartbeat(_name(number), *shown, fencing_token=7)
@@ -87,8 +89,8 @@
     for number in range(0, MACHINES, 2):
         story.heartbeat(_name(number), *_running(story, number))
     story.now += TIMING.lease_expiry_us // 2 + US
-    removed = Counted(monkeypatch, (ShardState, "_remove"))
-    drained = Counted(monkeypatch, (Shard, "_drain"))
+    removed = Counted(monkeypatch, (AttemptTable, "remove"))
+    drained = Counted(monkeypatch, (Drainer, "drain"))
     story.shard.advance(story.now)
     assert removed.calls == PLACES * MACHINES // 2
     for _ in range(10):
@@ -102,11 +104,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     story = _full(jobs=1600, tasks=10)
-    stopped = Counted(monkeypatch, (ShardState, "stop"), (ShardState, "_clear_failures"))
+    stopped = Counted(monkeypatch, (AttemptTable, "stop"), (FailurePolicy, "clear"))
     job_states = list(story.shard.job_states.values())[:1000]
     tasks = sum(len(job_state.live) for job_state in job_states)
     for job_state in job_states:
-        story.shard.close_job(job_state.job.ref, story.now)
+        story.shard.close_job(job_state.job.ref)
     assert stopped.calls == tasks + len(job_states)
     assert _plan_calls(monkeypatch, story) < 20 * MACHINES
 
@@ -202,7 +204,7 @@
     needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
     machines: list[Machine] = list(story.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
-    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, MACHINES // 16)
+    plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": KIND}, offers, MACHINES // 16)
     assert len(plan.rentals) == MACHINES // 16
     for number in range(MACHINES):
         story.shard.drop_machine(_name(number), story.now)
