--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -8,6 +8,7 @@
 
 from basaltlead import __version__
 
+SERVE = "serve"
 BAD_SETTINGS = 2  # the exit status, which is also that of a wrong command line
 
 
@@ -18,7 +19,7 @@
     top = argparse.ArgumentParser(prog="basaltlead", description="A cluster scheduler.")
     top.add_argument("--version", action="version", version=f"basaltlead {__version__}")
     verbs = top.add_subparsers(dest="verb", required=True, metavar="VERB")
-    serve = verbs.add_parser("serve", help="run one controller until it is killed")
+    serve = verbs.add_parser(SERVE, help="run one controller until it is killed")
     serve.add_argument("--operator", metavar="FILE", help="the operators' own settings (YAML)")
     serve.add_argument("--config", metavar="FILE", required=True, help="the platform's TOML file")
     commands.add_to(verbs)
@@ -28,7 +29,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Run the command line; the exit status."""
     options = parser().parse_args(argv)
-    if options.verb == "serve":
+    if options.verb == SERVE:
         return _serve(options.config, options.operator)
     from basaltlead.operators import commands
 
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -130,11 +130,7 @@
         moment: the request may have waited for a connection, or the whole process may have stood
         still.
         """
-        request = (
-            f"{method} {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
-            f"Content-Length: {len(body)}\r\n\r\n".encode("latin-1")
-            + body
-        )
+        request = self._encode(method, path, body)
         connection: ClientProtocol | None = None
         sent = False
         self.running += 1
@@ -160,6 +156,13 @@
         finally:
             self.running -= 1
 
+    def _encode(self, method: str, path: str, body: bytes) -> bytes:
+        head = (
+            f"{method} {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n"
+        )
+        return head.encode("latin-1") + body
+
     async def _connect(self) -> ClientProtocol:
         loop = asyncio.get_running_loop()
         _, protocol = await loop.create_connection(
--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -83,6 +83,7 @@
     keys = set(known)
 
     def load(rows: list[Row]) -> None:
+        """Take in a list: first drop what is no longer in it."""
         for key in keys - {row.key for row in rows}:
             drop(key)
         keys.clear()
@@ -91,6 +92,7 @@
             put(row.key, row.value, row.version)
 
     def apply(change: Change) -> None:
+        """Take in one change."""
         if change.put is not None:
             keys.add(change.put)
             put(change.put, change.value, change.version)
