--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -38,8 +38,8 @@
 
 def _serve(config: str, operator: str | None) -> int:
     """Run a controller until it is killed; the exit status."""
-    from basaltlead.config.errors import SettingsError
     from basaltlead.config.loader import load
+    from basaltlead.errors import SettingsError
 
     try:
         settings = load(config, operator)
--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -30,9 +30,9 @@
 
 TIMEOUT_US = 4_000_000
 CONNECTIONS = 6
-RATE_SHARE = 0.85  # of the allowed rate, so that requests that are sent again fit in
+RATE_SHARE = 0.85  # of our part of the allowed rate
 LEAST_RATE = 0.2
-BURST_S = 1.5  # of the allowed rate
+BURST_S = 1.5  # seconds' worth of that part that may be called at once
 STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
 STATUSES_REJECTED = (
     STATUS_BAD_REQUEST,
@@ -60,6 +60,10 @@
         """From now on make so many calls a second at most."""
         self.budget = RateBudget(max(LEAST_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
 
+    def reset_unanswered(self) -> None:
+        """Measure anew for how long the cloud has not answered."""
+        self.unanswered_since = 0
+
     async def _call(
         self,
         method: str,
--- a/basaltlead/cluster/cancellation_exchange.py
+++ b/basaltlead/cluster/cancellation_exchange.py
@@ -1,6 +1,6 @@
-"""What controllers tell each other about cancelled jobs.
+"""The exchange of confirmed cancellations among controllers.
 
-A shard leader must know every cancellation that a user was told of. While it can't read the
+A shard leader must know every cancellation that was confirmed to a user. While it can't read the
 key-value store, each answer to its deferral requests brings all cancellations that the peer has
 confirmed to anybody since the shard leader's last read. The answers of *every* other controller,
 none of which was silent or has restarted since, are as good as a read at the time the request was
@@ -29,8 +29,8 @@
         on_confirmed: Callable[[int, int], None],
     ) -> None:
         """`as_of` gives the time up to which all shards of this controller know all cancellations,
-        None without a shard. `on_cancelled` gets a job that a peer says is cancelled, and
-        `on_confirmed` the beginning and end of a span of which all peers have told everything."""
+        None without a shard. `on_cancelled` gets a job that a peer names as cancelled, and
+        `on_confirmed` the beginning and end of a span of which all peers have named everything."""
         self.cancellations = cancellations
         self.as_of = as_of
         self.on_cancelled = on_cancelled
@@ -43,10 +43,10 @@
                 self.on_cancelled(ref)
 
     def confirmed_since(self, unconfirmed_us: int | None) -> list[str] | None:
-        """All cancellations that we have confirmed since the asker's last read, None if we can't
-        say or are not asked.
+        """All cancellations that we have confirmed since the requester's last read; None if we do
+        not know all of them, or it does not need them.
 
-        That read is `unconfirmed_us` ago by the asker's clock at the time of its request. The
+        That read is `unconfirmed_us` ago by the requester's clock at the time of its request. The
         drift of the clocks and the time the request was under way are added to it.
         """
         if unconfirmed_us is None:
--- a/basaltlead/cluster/failover_deferrals.py
+++ b/basaltlead/cluster/failover_deferrals.py
@@ -1,8 +1,8 @@
 """The failover deferrals that this controller has granted, and when it may replace a holder.
 
 A shard leader that can't renew its session lease asks every other controller not to replace it for
-a short span (see peer_requests for the asking side). The safety of that rests on this side keeping
-to what it granted: until a deferral is over, `may_replace` refuses.
+a short span (see lease_extension for the requesting side). That is safe only if this side keeps to
+what it granted: until a deferral is over, `may_replace` refuses.
 """
 
 from typing import NamedTuple
@@ -21,7 +21,7 @@
 
 
 class FailoverDeferrals:
-    """Grants deferrals, and tells when those that may have been granted are over."""
+    """Grants deferrals, and knows when all that may have been granted to a holder are over."""
 
     def __init__(self, session: SessionLeaseKeeper, watch: ClusterWatch) -> None:
         self.session = session
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -20,7 +20,7 @@
 
 
 class Membership:
-    """What the other parts ask of the cluster, and how they give a grant back.
+    """The cluster as the other parts of the controller need it, and the release of grants.
 
     The session lease, the view of the cluster and the failover deferrals are kept by one
     collaborator each.
@@ -81,7 +81,7 @@
 
     @property
     def cut_off(self) -> bool:
-        """Whether the key-value store has been silent for too long to ask it for a user."""
+        """Whether the key-value store has been silent for too long to serve users from it."""
         return self.session.cut_off
 
     @property
@@ -120,7 +120,7 @@
         return self.cluster.holder(shard_key(shard))
 
     def notify(self) -> None:
-        """The view of the cluster has changed: wake the election, and tell the parts that depend
+        """The view of the cluster has changed: wake the election, and notify the parts that depend
         on grants."""
         self.wake.set()
         self.on_change()
--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -39,7 +39,7 @@
     """A deferral request that is not answered so far."""
 
     sent_at: int
-    cancellations_as_of: int | None  # from when on it asked for cancellations, if it did
+    cancellations_as_of: int | None  # from when on it needs cancellations, if it does
 
 
 class ConfirmedSpan(NamedTuple):
@@ -58,7 +58,7 @@
         # A deferral that was granted to an earlier incarnation of ours is worth nothing.
         self.deferred_incarnation = ""
         self.heard_at = 0  # the last answer
-        self.partitioned = False  # whether it said that the peer has lost the key-value store
+        self.partitioned = False  # whether the peer had lost the key-value store then
         self.confirmed_span: ConfirmedSpan | None = None
 
     def note_request(self, sequence: int, request: SentRequest) -> None:
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -39,7 +39,7 @@
         return self.extension.all_peers_partitioned()
 
     def announce_cancellation(self, ref: str) -> None:
-        """Announce a cancellation just before a user is told of it.
+        """Announce a cancellation just before it is confirmed to a user.
 
         A shard leader that can't read the key-value store learns of it from us, if it can, before
         it starts another task of the job.
--- a/basaltlead/config/loader.py
+++ b/basaltlead/config/loader.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from basaltlead.config.errors import SettingsError
 from basaltlead.config.settings import US, Operator, Settings
+from basaltlead.errors import SettingsError
 
 SHORTEST_SESSION_LEASE_US = US // 2
 
--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -59,7 +59,7 @@
                     self.settings, self.membership, self.store, self.cloud, *held
                 )
                 self.holders[duty].quiet_times = self.quiet_times
-                self.cloud.unanswered_since = 0  # it has its own time to find out
+                self.cloud.reset_unanswered()  # it has its own time to find out
                 self.holders[duty].start()
         self._share_cloud()
 
--- a/basaltlead/errors.py
+++ b/basaltlead/errors.py
@@ -1,8 +1,8 @@
-"""The errors that a call to another service may raise.
+"""The errors that a call to another service may raise, and the one of unusable settings.
 
-All of them derive from `ServiceError`, which callers catch where the difference doesn't matter to
-them. `RequestFailed.sent` tells whether the request may have been executed; the others say that it
-was not.
+Those of calls derive from `ServiceError`, which callers catch where the difference doesn't matter
+to them. `RequestFailed.sent` tells whether the request may have been executed; the others say that
+it was not.
 """
 
 from collections.abc import Sequence
@@ -38,6 +38,10 @@
     """The session lease has expired, and the keys attached to it are gone."""
 
 
+class SettingsError(Exception):
+    """Settings, or a file that they name, can't be used; the text names file and field."""
+
+
 class RevisionCompacted(ServiceError):
     """The changes that a watch asked for are no longer kept: the keys must be listed again."""
 
--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -151,7 +151,7 @@
         self.answer(response, close=not keep)
 
     def answer(self, response: Response, close: bool = False) -> None:
-        """Send an answer, and close the connection after it if so asked or already decided."""
+        """Send an answer, and close the connection after it if so requested or already decided."""
         self.busy = False
         self.active_at = self.server.loop.time()
         self.server.used(self)
@@ -182,8 +182,8 @@
         except OSError as fault:
             if fault.errno != errno.EADDRINUSE:
                 raise
-            log.error("%s is in use, trying again", address)
-            await asyncio.sleep(RETRY_LISTEN_S)
+        log.error("%s is in use, trying again", address)
+        await asyncio.sleep(RETRY_LISTEN_S)
 
 
 class Server:
@@ -198,8 +198,8 @@
     ) -> None:
         """`limit` holds for the sockets of this server and those that are in use elsewhere.
 
-        At the limit `close_idle_elsewhere` is asked first to close one of the others that is idle;
-        it returns whether it did. So no client of this server is refused for the sake of idle
+        At the limit `close_idle_elsewhere` is called first, to close one of the others that is
+        idle; it returns whether it did. So no client of this server is refused for the sake of idle
         connections elsewhere.
         """
         self.handler = handler
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from basaltlead.clients.codec import encode
-from basaltlead.config.errors import SettingsError
 from basaltlead.config.settings import Settings
+from basaltlead.errors import SettingsError
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
     Answer,
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from basaltlead.config.errors import SettingsError
 from basaltlead.config.loader import load
+from basaltlead.errors import SettingsError
 from basaltlead.operators import client
 from basaltlead.runtime.clock import wall_us
 from basaltlead.wire.peers import DutiesAnswer
--- a/basaltlead/scaling/quiet_times.py
+++ b/basaltlead/scaling/quiet_times.py
@@ -13,8 +13,8 @@
 import recurring_ical_events
 from icalendar.parser import Contentline
 
-from basaltlead.config.errors import SettingsError
 from basaltlead.core.entities import US
+from basaltlead.errors import SettingsError
 from basaltlead.runtime.clock import wall_us
 from basaltlead.runtime.logs import log
 
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -41,8 +41,7 @@
 )
 
 PAGE = 500  # rows in one answer
-# Of the allowed rates, the parts that all controllers together use. The rest is left for requests
-# that were sent again and for clocks that differ.
+# Of the allowed rates, the parts that all controllers together use.
 REQUESTS_SHARE = 0.8
 WRITES_SHARE = 0.85
 SINGLE_WRITER_SHARE = 0.6  # of the writes, what the only shard leader uses
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -14,12 +14,7 @@
 }
 
 
-class DeferralRequest(
-    Struct,
-    tag="ask",
-    tag_field="is",
-    rename=PEER_NAMES,
-):
+class DeferralRequest(Struct, tag="ask", tag_field="is", rename=PEER_NAMES):
     """A controller without the key-value store requests not to be replaced for a span."""
 
     sequence: int
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -12,10 +12,10 @@
 import pytest
 
 from basaltlead import cli
-from basaltlead.config.errors import SettingsError
 from basaltlead.core.entities import US
 from basaltlead.duties.history import PAGES, HistoryPage, event
 from basaltlead.duties.model import Duty
+from basaltlead.errors import SettingsError
 from basaltlead.operators import client
 from basaltlead.operators.audit_export import export
 from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuiet
