--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
+from typing import NamedTuple
 
 from basaltlead.clients.codec import decode, encode
 from basaltlead.errors import RequestFailed
@@ -13,6 +14,13 @@
 MOST_ANSWER_BYTES = 4 * 1024 * 1024
 
 
+class CommandAnswer(NamedTuple):
+    """A worker's answer to pushed commands."""
+
+    executed: bool  # else refused: a newer fencing token was seen, or the epoch is another one
+    heartbeat: Heartbeat
+
+
 class Workers:
     """Connections to workers, one a machine; a machine that does not answer delays no other.
 
@@ -36,10 +44,10 @@
 
     async def command(
         self, address: str, command: DirectCommand, may_send: Callable[[], bool] = lambda: True
-    ) -> tuple[bool, Heartbeat]:
-        """Whether the worker executed the command, and its heartbeat.
+    ) -> CommandAnswer:
+        """Push commands to a worker and await its answer.
 
-        `may_send` is called when the command is about to be sent. Raises `RequestFailed` if it
+        `may_send` is called when they are about to be sent. Raises `RequestFailed` if it
         returns False, or if there is no usable answer.
         """
         async with self.calls:
@@ -53,7 +61,7 @@
             )
         if status not in (STATUS_OK, STATUS_CONFLICT):
             raise RequestFailed(f"worker: {status}", sent=True)
-        return status == STATUS_OK, decode(body, Heartbeat)
+        return CommandAnswer(status == STATUS_OK, decode(body, Heartbeat))
 
     def _make_room(self) -> None:
         """Close idle connections until there is room for one more."""
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -41,6 +41,9 @@
 )
 
 PAGE = 500  # rows in one answer
+CONNECTIONS = 24
+WATCH_CONNECTIONS = 8
+RENEWAL_CONNECTIONS = 4
 # Of the allowed rates, the parts that all controllers together use.
 REQUESTS_SHARE = 0.8
 WRITES_SHARE = 0.85
@@ -70,9 +73,9 @@
     def __init__(self, address: str, limits: StoreLimits, nodes: int, writers: int) -> None:
         """`nodes` is the number of controllers, `writers` that of those that lead a shard."""
         self.limits = limits
-        self.pool = Pool(address, limit=24)
-        self.watches = Pool(address, limit=8)
-        self.renewals = Pool(address, limit=4)
+        self.pool = Pool(address, limit=CONNECTIONS)
+        self.watches = Pool(address, limit=WATCH_CONNECTIONS)
+        self.renewals = Pool(address, limit=RENEWAL_CONNECTIONS)
         self.requests = RateBudget(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
         # Shard leaders store results; all others only what users request now and then.
         share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
