--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from basaltlead.config.errors import SettingsError
 from basaltlead.config.loader import load
 from basaltlead.core.jobs import US
+from basaltlead.errors import SettingsError
 from basaltlead.operators import client
 from basaltlead.runtime.clock import wall_us
 from basaltlead.wire.peers import DutiesAnswer, OpenIntent
