--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -20,6 +20,7 @@
 from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.core.offers import OfferBook
+from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.duties.holder import DutyServices
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
@@ -30,7 +31,6 @@
 from basaltlead.runtime.tasks import BackgroundTasks
 from basaltlead.scaling.autoscaler import Autoscaler, ScalingEnvironment
 from basaltlead.scaling.machine_type_catalog import MachineTypeCatalog
-from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.shard.assignment import ShardAssigner
 from basaltlead.shard.context import ShardContext
 from basaltlead.shard.dispatcher import MIN_WORKER_SOCKETS, worker_sockets
--- a/basaltlead/scaling/quiet_times.py
+++ b/basaltlead/core/quiet_times.py
@@ -1,7 +1,7 @@
 """Quiet times: when idle machines are retained and clean-up waits.
 
-Without imports, as every controller loads this module; the calendar (quiet_calendar) needs
-libraries that only deployments with quiet times have.
+Every controller loads this module; the calendar (scaling/quiet_calendar) needs libraries that only
+deployments with quiet times have.
 """
 
 from typing import NamedTuple, Protocol
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -9,12 +9,12 @@
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
 from basaltlead.core.cluster_view import Grant
+from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.duties.history import Action, Event, History
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.logs import log
 from basaltlead.runtime.tasks import BackgroundTasks
-from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Precondition
 
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -11,12 +11,12 @@
 from basaltlead.core.jobs import US, Shape
 from basaltlead.core.market import Market
 from basaltlead.core.offers import Offer, OfferBook
+from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.duties.unknown_machines import FAILED
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.scaling.scale_in import ScaleIn, provisioning_overdue
 from basaltlead.scaling.scale_out import ScaleOut
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -6,10 +6,10 @@
 from basaltlead.clients.backoff import Backoff
 from basaltlead.core.entities import Machine
 from basaltlead.core.offers import unit_price
+from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuiet
-from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from basaltlead.core.jobs import US
-from basaltlead.scaling.quiet_times import QuietTime
+from basaltlead.core.quiet_times import QuietTime
 
 PARTS = 10  # of the bound, reserved one after the other
 HOUR_US = 3600 * US
--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -15,9 +15,9 @@
 
 from basaltlead.config.errors import SettingsError
 from basaltlead.core.jobs import US
+from basaltlead.core.quiet_times import QuietTime
 from basaltlead.runtime.clock import wall_us
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.quiet_times import QuietTime
 
 LONGEST = timedelta(hours=24)  # that a quiet time may last
 HORIZON = timedelta(hours=6)  # occurrences are computed so far ahead
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -10,6 +10,7 @@
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
 from basaltlead.core.offers import unit_price
+from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
 from basaltlead.errors import (
     PreconditionFailed,
@@ -21,7 +22,6 @@
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.idle_retention import IdleRetention
-from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import MACHINE, SCALE_IN, StoredScaleIn
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -14,13 +14,13 @@
 from basaltlead import cli
 from basaltlead.config.errors import SettingsError
 from basaltlead.core.jobs import US
+from basaltlead.core.quiet_times import QuietTime
 from basaltlead.duties.history import PAGES, Action, Event, HistoryPage
 from basaltlead.duties.model import Duty
 from basaltlead.operators import client
 from basaltlead.operators.audit_export import export
 from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuiet
 from basaltlead.scaling.quiet_calendar import QuietCalendar, read_calendar
-from basaltlead.scaling.quiet_times import QuietTime
 from basaltlead.wire.peers import (
     DutiesAnswer,
     DutiesQuestion,
