--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -21,6 +21,7 @@
 from basaltlead.core.market import Market, Terms
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.offers import OfferBook
+from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.duties.holder import DutyServices
 from basaltlead.duties.model import DUTY_KEYS
 from basaltlead.duties.registry import HeldDuties
@@ -31,7 +32,6 @@
 from basaltlead.runtime.tasks import BackgroundTasks
 from basaltlead.scaling.autoscaler import Autoscaler, ScalingEnvironment
 from basaltlead.scaling.machine_type_catalog import MachineTypeCatalog
-from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.shard.assignment import ShardAssigner
 from basaltlead.shard.context import ShardContext
 from basaltlead.shard.dispatcher import MIN_WORKER_SOCKETS, worker_sockets
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -11,13 +11,13 @@
 from basaltlead.core.jobs import US
 from basaltlead.core.market import Market
 from basaltlead.core.offers import Offer, OfferBook
+from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.fleet_demand import FleetDemand
 from basaltlead.scaling.idle_retention import IdleRetention
 from basaltlead.scaling.machine_list import MachineListComparison
-from basaltlead.scaling.quiet_times import QuietTimes
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.scaling.scale_in import ScaleIn
 from basaltlead.scaling.scale_out import ScaleOut
