--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -175,9 +175,7 @@
             world.crash(other)
         held = world.parts[name].duties.holders
         await world.until(
-            lambda: (
-                held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name
-            ),
+            lambda: held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name,
             seconds=4 * TAKEOVER,
         )
         fresh = held[Duty.RETURN]
