--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -6,6 +6,11 @@
 from basaltlead.core.jobs import EPS, Job, allowed
 from basaltlead.core.shard import Shard
 
+# What makes machines alike: name of the type, zone, spot or not, CPUs. A type that was unknown when
+# a machine was first heard of has no CPUs, and is known by the same name later. A plain tuple,
+# since each plan makes one for each machine.
+GroupKey = tuple[str, str, bool, float]
+
 
 def usable_machines(shard: Shard, now: int) -> list[Machine]:
     """The machines on which tasks may be started now.
@@ -54,12 +59,15 @@
         self._now = now
         self._reserved: set[str] = set()  # names of machines that are kept free for a gang
         least_cpus = min((job_state.job.cpus for job_state in waiting), default=0.0) - EPS
-        # The CPUs are part of what makes machines alike: a type that was unknown when a machine
-        # was first heard of has none, and is known by the same name later.
-        groups: dict[tuple[str, str, bool, float], MachineGroup] = {}
+        groups: dict[GroupKey, MachineGroup] = {}
         for machine in machines:
             machine_type = machine.machine_type
-            key = (machine_type.name, machine.zone, machine.spot, machine_type.cpus)
+            key: GroupKey = (
+                machine_type.name,
+                machine.zone,
+                machine.spot,
+                machine_type.cpus,
+            )
             group = groups.get(key)
             if group is None:
                 group = groups[key] = MachineGroup(machine)
--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -13,7 +13,7 @@
 MIN_SAMPLES = 3  # tasks that must have run before their run time counts in place of the guess
 
 
-class ObjectiveKind(StrEnum):
+class ObjectiveType(StrEnum):
     """The kinds of objectives, as the settings name them, that decide when a job is due."""
 
     DEADLINE = "deadline"  # jobs should be done by a multiple of their deadline
@@ -47,11 +47,11 @@
             job_class = objective.job_class
             within_us = int(objective.within_s * US)
             match objective.kind:
-                case ObjectiveKind.DEADLINE:
+                case ObjectiveType.DEADLINE:
                     times.setdefault(job_class, []).append(objective.times)
-                case ObjectiveKind.WAIT if objective.within_s > 0:
+                case ObjectiveType.WAIT if objective.within_s > 0:
                     starts.setdefault(job_class, []).append(within_us)
-                case ObjectiveKind.FINISHED if objective.within_s > 0:
+                case ObjectiveType.FINISHED if objective.within_s > 0:
                     finishes.setdefault(job_class, []).append(within_us)
         for by_class in (starts, finishes, times):
             for values in by_class.values():
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -144,6 +144,7 @@
         job = job_state.job
 
         def preference(opening: Opening) -> tuple[object, ...]:
+            """Sort key, best first."""
             machine = opening.machine
             cost = opening.loss + placement.fetch_cost(job, machine)
             return (cost, placement.tier(job, machine), machine.booked, machine.name)
