--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -236,7 +236,7 @@
         pending.append(asyncio.get_running_loop().create_task(fault))
 
 
-@pytest.mark.parametrize("blocks", [1, 3])
+@pytest.mark.parametrize("shards", [1, 3])
 @pytest.mark.parametrize("seed", range(10))
 def test_no_rule_breaks_on_a_day_of_random_failures(seed: int, shards: int) -> None:
     _play_day(seed, shards, machines=12, count=25)
@@ -253,7 +253,7 @@
     _play_day(seed, shards=1 if seed % 4 else 3, machines=12, count=15, standing=8)
 
 
-@pytest.mark.parametrize("blocks", [1, 3])
+@pytest.mark.parametrize("shards", [1, 3])
 @pytest.mark.parametrize("seed", range(300, 306))
 def test_no_rule_breaks_and_no_stale_holder_acts_with_duties(seed: int, shards: int) -> None:
     _play_day(seed, shards, machines=12, count=25, duties=True)
