--- /dev/null
+++ b/tests/builders.py
@@ -0,0 +1,103 @@
+"""Builders of what several test files start from: jobs, machines, and a shard of its own."""
+
+from basaltlead.core.entities import US, Attempt, Job, JobState, Machine, MachineType, Shape
+from basaltlead.core.planning import plan
+from basaltlead.core.shard import Shard
+from basaltlead.core.shard_state import TeamQuota, Timing
+from basaltlead.wire.workers import Heartbeat, TaskStatus
+
+MACHINE_TYPE = MachineType("k", 4.0, 0.0, 16.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a", "b"))
+TIMING = Timing(10 * US, US)
+
+
+def job_refs(first: int, last: int) -> list[str]:
+    """The references of the jobs with these numbers, both included."""
+    return [f"req-{number:06d}" for number in range(first, last + 1)]
+
+
+def make_job(number: int = 1, **fields: object) -> Job:
+    """A job of one small task of team red; `fields` replace its values."""
+    values: dict[str, object] = {
+        "ref": f"req-{number:06d}",
+        "job_class": "reports",
+        "team": "red",
+        "shape": Shape.ARRAY,
+        "rank": 1,
+        "tasks": 1,
+        "cpus": 1.0,
+        "gpus": 0.0,
+        "memory_gb": 1.0,
+        "image": "img",
+        "image_gb": 1.0,
+        "types": None,
+        "zone": None,
+        "one_zone": False,
+        "apart": False,
+        "spot": True,
+        "guess_us": 10 * US,
+        "checkpoint_interval_us": 0,
+        "checkpoint_duration_s": 0.0,
+        "due_us": None,
+    }
+    return Job(**(values | fields))  # type: ignore[arg-type]
+
+
+class Story:
+    """A shard with fencing token 7, granted at revision 100, and one synced machine, m-0."""
+
+    def __init__(self, machines: int = 1, limits: dict[str, TeamQuota] | None = None) -> None:
+        self.now = 1000 * US
+        self.shard = Shard(7, 100, self.now, TIMING, limits or {"red": TeamQuota()})
+        self.ticks: dict[str, int] = {}
+        for number in range(machines):
+            self.add(f"m-{number}")
+            self.heartbeat(f"m-{number}")
+
+    def add(self, name: str, zone: str = "a", loaded: bool = False) -> Machine:
+        """Add a recorded machine, or one `loaded` from an earlier shard leader's records."""
+        machine = Machine(name, MACHINE_TYPE, zone, False, self.now)
+        if loaded:
+            self.shard.load_machine(machine)
+        else:
+            machine.recorded = True
+            self.shard.add_machine(machine)
+        return machine
+
+    def make_heartbeat(
+        self,
+        name: str,
+        *tasks: TaskStatus,
+        fencing_token: int = 7,
+        epoch: int = 1,
+        tick: int | None = None,
+    ) -> Heartbeat:
+        """A heartbeat of a machine, by default the next one in sequence."""
+        if tick is None:
+            tick = self.ticks[name] = self.ticks.get(name, 0) + 1
+        return Heartbeat(
+            name, "10.1.0.1:9", "k", "a", False, epoch, tick, fencing_token, list(tasks)
+        )
+
+    def heartbeat(
+        self, name: str, *tasks: TaskStatus, **fields: int
+    ) -> list[tuple[str, str]] | None:
+        """Send a heartbeat; the commands in its answer as (verb, task), None if it is ignored."""
+        commands = self.shard.heartbeat(self.make_heartbeat(name, *tasks, **fields), self.now)
+        return None if commands is None else [(w.verb, f"{w.ref}/{w.index}") for w in commands]
+
+    def submit(self, number: int = 1, version: int = 200, **fields: object) -> JobState:
+        """Accept a job at a version of the store, and plan."""
+        job_state = self.shard.add_job(make_job(number, **fields), version, self.now)
+        plan(self.shard, self.now)
+        return job_state
+
+    def attempt(self, job_state: JobState, index: int = 0) -> Attempt:
+        """The live attempt of one task of a job."""
+        return job_state.live[index]
+
+
+def task_status(attempt: Attempt, stage: str, why: str | None = None) -> TaskStatus:
+    """What a worker reports about an attempt: its stage and, if it ended, why."""
+    return TaskStatus(
+        f"{attempt.job_state.job.ref}/{attempt.index}", attempt.attempt_number, stage, why
+    )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,7 +22,7 @@
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print the list, and which of it passed after all and is to be taken out."""
     entries = known_red.read()
-    passed = {heartbeat.nodeid for heartbeat in terminalreporter.stats.get("xpassed", [])}
+    passed = {report.nodeid for report in terminalreporter.stats.get("xpassed", [])}
     terminalreporter.write_line(f"known red: {len(entries)} listed")
     for entry in entries:
         verdict = "passed, take it out" if entry.test in passed else "known to fail"
--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,9 +1,9 @@
-"""Stand-ins for the key-value store, the cloud, the workers and the users, by their protocols."""
+"""Fakes for the key-value store, the cloud, the workers and the users, by their protocols."""
 
 from tests.fakes.cloud import FakeCloud
-from tests.fakes.deployment import World
+from tests.fakes.deployment import Deployment
 from tests.fakes.rule_checker import RuleChecker
-from tests.fakes.store import FakeState
+from tests.fakes.store import FakeKeyValueStore
 from tests.fakes.worker import FakeWorker
 
-__all__ = ["FakeCloud", "FakeState", "FakeWorker", "RuleChecker", "World"]
+__all__ = ["Deployment", "FakeCloud", "FakeKeyValueStore", "FakeWorker", "RuleChecker"]
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud, by its protocol."""
+"""A fake of the cloud, by its protocol."""
 
 import asyncio
 import json
@@ -11,15 +11,15 @@
 from tests.fakes.worker import FakeWorker
 
 if TYPE_CHECKING:
-    from tests.fakes.deployment import World
+    from tests.fakes.deployment import Deployment
 
 
 class FakeCloud:
-    """Rents FakeWorkers; its list lags."""
+    """Rents out FakeWorkers; its list of machines lags, as the real one's does."""
 
     HOST = "10.2.0.2"
     ADDRESS = "10.2.0.2:8443"
-    TYPES = (
+    TYPES: tuple[dict[str, Any], ...] = (
         {
             "Label": "small",
             "Cores": 4,
@@ -46,47 +46,53 @@
         },
     )
 
-    def __init__(self, world: "World") -> None:
-        self.world = world
+    def __init__(self, deployment: "Deployment") -> None:
+        self.deployment = deployment
         self.scale_outs: dict[str, list[str]] = {}
         self.machines: dict[str, FakeWorker] = {}
-        self.garble: Callable[[Response], Response] | None = None  # what becomes of its answers
-        self.count = 0
+        self.corrupt_reply: Callable[[Response], Response] | None = None
+        self.rented_count = 0
         self.capacity = 12
-        self.page = 500  # rows of a page of the list at most
-        self.lag = 2.0  # how old a page of the list is, at least; some are twice that old
-        self.mute = 0  # that many rental requests will be executed without an answer
-        self.trouble = 0  # the status that every call gets; 0: none
-        self.refusing: set[str] = set()  # types and machines that calls are refused for with 400
-        self.slowness = 0.02  # s until it answers
-        self.accepting: Callable[[str, dict[str, Any]], None] = lambda path, body: None
-        self.past: dict[str, tuple[float, float, dict[str, Any]]] = {}  # born, gone, row
+        self.page_rows = 500  # rows of a page of the list at most
+        self.list_lag_s = 2.0  # how old a page of the list is, at least; some are twice that old
+        self.unanswered_rentals = 0  # that many rental requests will be executed without an answer
+        self.error_status = 0  # the status that every call gets; 0: none
+        self.refused_names: set[str] = set()  # types and machines that are refused with 400
+        self.answer_delay_s = 0.02  # s until it answers
+        self.on_accept: Callable[[str, dict[str, Any]], None] = lambda path, body: None
+        self.deleted: dict[str, tuple[float, float, dict[str, Any]]] = {}  # created_at, gone, row
 
     async def start(self) -> None:
+        """Listen."""
         await Server(self.handle, 1000).start(self.ADDRESS)
 
     async def handle(self, request: Request) -> Response:
+        """Answer a request, or corrupt the answer if a test asks for it."""
         answer = await self._answer(request)
-        return answer if self.garble is None else self.garble(answer)
+        return answer if self.corrupt_reply is None else self.corrupt_reply(answer)
 
     async def _answer(self, request: Request) -> Response:
-        await asyncio.sleep(self.slowness)
+        await asyncio.sleep(self.answer_delay_s)
         path = request.path
-        if self.trouble:
-            return reply(self.trouble, {"error": "trouble"})
+        if self.error_status:
+            return reply(self.error_status, {"error": "trouble"})
         if path == "/machine_types":
             return reply(200, {"Grades": list(self.TYPES)})
         if path == "/machines" and request.method == "GET":
             return self._list({k: v[0] for k, v in parse_qs(request.query).items()})
         body = json.loads(request.body)
-        if self.refusing & {body.get("Grade", ""), *body.get("Anvils", [])}:
+        if self.refused_names & {body.get("Grade", ""), *body.get("Anvils", [])}:
             return reply(400, {"error": "malformed"})
-        self.accepting(path, body)
+        self.on_accept(path, body)
         if path == "/machines/delete":
             for name in body["Anvils"]:
                 worker = self.machines.pop(name, None)
                 if worker is not None:
-                    self.past[name] = (worker.born, self.world.loop.time(), worker.listed())
+                    self.deleted[name] = (
+                        worker.created_at,
+                        self.deployment.loop.time(),
+                        worker.listed(),
+                    )
                     worker.stop()
             return reply(200, {})
         if body["Hire"] not in self.scale_outs:
@@ -95,25 +101,29 @@
                 return reply(503, {"error": "no capacity"})
             names = []
             for _ in range(free):
-                name = f"m-{self.count:06d}"
-                self.count += 1
+                name = f"m-{self.rented_count:06d}"
+                self.rented_count += 1
                 machine_type = next(t for t in self.TYPES if t["Label"] == body["Grade"])
                 self.machines[name] = FakeWorker(
-                    self.world, name, machine_type, body["Yard"], body["Loaners"]
+                    self.deployment, name, machine_type, body["Yard"], body["Loaners"]
                 )
                 names.append(name)
             self.scale_outs[body["Hire"]] = names
-        if self.mute:
-            self.mute -= 1
+        if self.unanswered_rentals:
+            self.unanswered_rentals -= 1
             await asyncio.sleep(30)
         return reply(200, {"Anvils": self.scale_outs[body["Hire"]]})
 
     def _list(self, query: dict[str, str]) -> Response:
         """Each page shows the machines of a moment of its own: new ones are missing, and those
         that are gone still stand there."""
-        at = self.world.loop.time() - self.lag * self.world.chance.uniform(1.0, 2.0)
-        rows = {name: w.listed() for name, w in self.machines.items() if w.born <= at}
-        rows |= {name: row for name, (born, gone, row) in self.past.items() if born <= at < gone}
+        at = self.deployment.loop.time() - self.list_lag_s * self.deployment.rng.uniform(1.0, 2.0)
+        rows = {name: w.listed() for name, w in self.machines.items() if w.created_at <= at}
+        rows |= {
+            name: row
+            for name, (created_at, gone, row) in self.deleted.items()
+            if created_at <= at < gone
+        }
         names = sorted(name for name in rows if name > query.get("Since", ""))
-        shown = names[: min(self.page, int(query.get("Most", "500")))]
+        shown = names[: min(self.page_rows, int(query.get("Most", "500")))]
         return reply(200, {"Anvils": [rows[n] for n in shown], "HasNext": len(names) > len(shown)})
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -5,18 +5,19 @@
 import random
 from typing import Any
 
+from basaltlead.errors import RequestFailed
 from basaltlead.net.http import Pool, Server
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.duty_checker import DutyChecker
 from tests.fakes.old_version import OldController
 from tests.fakes.rule_checker import RuleChecker
-from tests.fakes.store import FakeState
+from tests.fakes.store import FakeKeyValueStore
 from tests.fakes.worker import FakeWorker
 from tests.simulation import Loop, on_host
 
 
-class World:
-    """Three controllers and everything around them."""
+class Deployment:
+    """Three controllers, the key-value store, the cloud with its workers, and the users."""
 
     CANCEL = 20.0  # s: `cancel_s`
     NETWORK = "10"  # first part of all addresses
@@ -30,49 +31,53 @@
         operator: dict[str, Any] | None = None,
         lease: float = FakeWorker.LEASE,
         cancel: float = CANCEL,
-        later: dict[str, float] | None = None,
+        announced_limits: dict[str, float] | None = None,
     ) -> None:
         self.loop = loop
         self.net = loop.net
         self.lease = lease
         self.cancel_s = cancel
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.limits = limits or {}
         self.nodes = [f"node-{i}" for i in range(nodes)]
         self.operator = operator or {}
-        self.later = later  # what the key-value store will limit to from some moment on
-        self.old: set[str] = set()  # controllers that start in the version before services
+        self.announced_limits = announced_limits  # hold once `apply_announced_limits` is called
+        self.old_version_nodes: set[str] = set()  # they start in the version before services
         self.write_rps = 200.0  # changes a second that the key-value store takes
-        self.copies = 0.0  # how many of the workers' reports arrive a second time, late
-        self.store = FakeState(loop)
+        self.heartbeat_copy_rate = 0.0  # share of heartbeats that arrive a second time, late
+        self.store = FakeKeyValueStore(loop)
         self.cloud = FakeCloud(self)
         self.rule_checker = RuleChecker(self)
         self.duty_checker = DutyChecker(self.store, self.cloud)
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.asked_cancel: dict[str, bool] = {}
-        self.running: dict[str, asyncio.Task[Any]] = {}
+        self.cancel_requested: dict[str, bool] = {}
+        self.controller_tasks: dict[str, asyncio.Task[Any]] = {}
         self.servers: dict[str, Server] = {}  # of the workers, by host
-        self.parts: dict[str, Any] = {}
+        self.controllers: dict[str, Any] = {}
 
-    def fronts(self) -> list[tuple[str, str]]:
+    def front_addresses(self) -> list[tuple[str, str]]:
+        """The controllers' names and the addresses that users and workers call."""
         return [(name, f"{self.host(name)}:8080") for name in self.nodes]
 
     def host(self, name: str) -> str:
+        """The host of a controller."""
         return f"{self.NETWORK}.0.0.{self.nodes.index(name) + 1}"
 
     async def start(self) -> None:
+        """Start the key-value store, the cloud and all controllers."""
         await self.store.start()
         await self.cloud.start()
         for name in self.nodes:
-            self.boot(name)
+            self.start_controller(name)
 
     def settings(self, name: str) -> Any:
+        """The settings of a controller as it loads them."""
         from basaltlead.config.settings import Settings, _convert
 
         return _convert(self.settings_file(name), Settings, "test")
 
     def settings_file(self, name: str) -> dict[str, Any]:
-        """What the platform tells a controller."""
+        """The settings file that the platform hands to a controller."""
         host = self.host(name)
         return {
             "member": name,
@@ -84,7 +89,7 @@
                 for n in self.nodes
                 if n != name
             ],
-            "services": {"state": FakeState.ADDRESS, "cloud": FakeCloud.ADDRESS},
+            "services": {"state": FakeKeyValueStore.ADDRESS, "cloud": FakeCloud.ADDRESS},
             "operator": {"idle_share": 3.0} | self.operator,
             "facts": {
                 "nodes": len(self.nodes),
@@ -106,33 +111,36 @@
                     "value_kb": 8.0,
                     "txn_ops": 8,
                 }
-                | ({"next": self.later} if self.later is not None else {}),
+                | ({"next": self.announced_limits} if self.announced_limits is not None else {}),
                 "cloud": {"rps": 10.0, "list_lag_s": 2.0},
             },
         }
 
-    def boot(self, name: str) -> None:
+    def start_controller(self, name: str) -> None:
+        """Start a controller's process."""
         from basaltlead.controller import Controller
 
         async def run() -> None:
-            node = (OldController if name in self.old else Controller)(self.settings(name))
-            self.parts[name] = node
+            node = (OldController if name in self.old_version_nodes else Controller)(
+                self.settings(name)
+            )
+            self.controllers[name] = node
             await node.run()
 
-        self.running[name] = on_host(self.host(name), run())
+        self.controller_tasks[name] = on_host(self.host(name), run())
 
-    def lower_limits(self) -> None:
+    def apply_announced_limits(self) -> None:
         """The announced limits hold from now on."""
-        assert self.later is not None
-        if "value_kb" in self.later:
-            self.store.value_bytes = int(self.later["value_kb"] * 1024)
-        self.store.write_rps = self.later.get("write_rps")
-        self.store.operations = int(self.later.get("txn_ops", self.store.operations))
+        assert self.announced_limits is not None
+        if "value_kb" in self.announced_limits:
+            self.store.value_bytes = int(self.announced_limits["value_kb"] * 1024)
+        self.store.write_rps = self.announced_limits.get("write_rps")
+        self.store.operations = int(self.announced_limits.get("txn_ops", self.store.operations))
 
     def crash(self, name: str) -> None:
-        """The process ends without a word."""
-        node = self.parts.pop(name, None)
-        self.running.pop(name).cancel()
+        """The process ends at once, without releasing anything."""
+        node = self.controllers.pop(name, None)
+        self.controller_tasks.pop(name).cancel()
         if node is not None:
             for task in node.every_task():
                 task.cancel()
@@ -143,94 +151,114 @@
         self.loop.freeze(self.host(name))
 
     def thaw(self, name: str) -> None:
+        """A frozen controller goes on, with everything that fell due meanwhile."""
         self.loop.thaw(self.host(name))
 
-    def heal(self) -> None:
-        """All troubles end at once: from now on the rule checker wants every job served."""
+    def end_all_faults(self) -> None:
+        """All faults end at once: from now on the rule checker wants every job served."""
         for name in self.nodes:
             self.thaw(name)
             self.rejoin(name)
-            if name not in self.running:
-                self.boot(name)
+            if name not in self.controller_tasks:
+                self.start_controller(name)
         for machine in self.cloud.machines.values():
-            machine.hung = machine.deaf = machine.mute = machine.answers_lost = False
-        self.store.refused.clear()
-        self.store.late_writes = 0.0
-        self.store.garble = self.cloud.garble = None
-        self.cloud.trouble = 0
-        self.cloud.slowness = 0.02
+            machine.hung = machine.unreachable = machine.sends_no_heartbeats = (
+                machine.answers_lost
+            ) = False
+        self.store.refused_hosts.clear()
+        self.store.late_write_share = 0.0
+        self.store.corrupt_reply = self.cloud.corrupt_reply = None
+        self.cloud.error_status = 0
+        self.cloud.answer_delay_s = 0.02
         self.store.slowness = 1.0
         self.net.slow.clear()
         self.net.refusing.clear()
         if self.store.down:
-            self.store.outage_over()
-        self.rule_checker.calm()
+            self.store.end_outage()
+        self.rule_checker.all_faults_over()
 
     def isolate(self, name: str, store: bool = True, cloud: bool = True) -> None:
         """Cut a controller off from everybody, or from all but some."""
-        for host in self._around(name, store, cloud):
+        for host in self._all_hosts_but(name, store, cloud):
             self.net.cut(self.host(name), host)
 
     def rejoin(self, name: str, deliver: bool = True) -> None:
-        for host in self._around(name, True, True):
+        """End `isolate`; what was sent meanwhile is delivered late or lost."""
+        for host in self._all_hosts_but(name, True, True):
             self.net.heal(self.host(name), host, deliver)
 
-    def estrange(self, name: str) -> None:
+    def cut_from_store_and_peers(self, name: str) -> None:
         """Cut a controller off from the key-value store and the other controllers, but not from
         its workers."""
-        for host in self._betters(name):
+        for host in self._store_and_peers(name):
             self.net.cut(self.host(name), host)
 
-    def reconcile(self, name: str, deliver: bool = True) -> None:
-        for host in self._betters(name):
+    def rejoin_store_and_peers(self, name: str, deliver: bool = True) -> None:
+        """End `cut_from_store_and_peers`."""
+        for host in self._store_and_peers(name):
             self.net.heal(self.host(name), host, deliver)
 
-    def _betters(self, name: str) -> list[str]:
-        return [self.host(n) for n in self.nodes if n != name] + [FakeState.HOST]
+    def _store_and_peers(self, name: str) -> list[str]:
+        return [self.host(n) for n in self.nodes if n != name] + [FakeKeyValueStore.HOST]
 
-    def _around(self, name: str, store: bool, cloud: bool) -> list[str]:
+    def _all_hosts_but(self, name: str, store: bool, cloud: bool) -> list[str]:
         out = [self.host(n) for n in self.nodes if n != name]
         out += [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
         out += ["10.9.9.9"]
-        return out + [FakeState.HOST] * store + [FakeCloud.HOST] * cloud
+        return out + [FakeKeyValueStore.HOST] * store + [FakeCloud.HOST] * cloud
 
     def shard_leader(self, shard: int = 0) -> str | None:
         """The node that acts for a shard, if one does; never two."""
         acting = [
             name
-            for name, node in self.parts.items()
+            for name, node in self.controllers.items()
             if shard in node.shard_leaders and node.shard_leaders[shard].holds_valid_lease
         ]
         assert len(acting) <= 1, acting
         return acting[0] if acting else None
 
+    def acting_shard_leader(self, shard: int = 0) -> str:
+        """The node that acts for a shard; fails if there is none."""
+        name = self.shard_leader(shard)
+        assert name is not None, f"no controller acts for shard {shard}"
+        return name
+
     def holder(self, duty: str) -> str | None:
         """The node that acts for a duty, if one does; never two."""
         acting = [
             name
-            for name, node in self.parts.items()
+            for name, node in self.controllers.items()
             for one, holder in node.duties.holders.items()
             if one == duty and holder.holds_valid_lease
         ]
         assert len(acting) <= 1, acting
         return acting[0] if acting else None
 
+    def acting_holder(self, duty: str) -> str:
+        """The node that acts for a duty; fails if there is none."""
+        name = self.holder(duty)
+        assert name is not None, f"no controller acts for duty {duty}"
+        return name
+
+    def other_nodes(self, *names: str | None) -> list[str]:
+        """The controllers that are none of these, in their order."""
+        return [name for name in self.nodes if name not in names]
+
     def other_node(self, *names: str | None) -> str:
-        """A controller that is none of these."""
-        return next(name for name in self.nodes if name not in names)
+        """The first controller that is none of these."""
+        return self.other_nodes(*names)[0]
 
-    async def busy(self, pieces: int, run_s: float) -> str:
-        """Start, and have job 1 run with all its tasks; who owns the shard."""
+    async def start_with_running_job(self, pieces: int, run_s: float) -> str:
+        """Start, and have job 1 run with all its tasks; the shard leader's name."""
         await self.start()
         await self.submit(self.job(1, Pieces=pieces, RunS=run_s))
-        await self.until(lambda: len(self.on("req-000001")) == pieces)
-        shard_leader = self.shard_leader()
-        assert shard_leader is not None
-        return shard_leader
+        await self.wait_until(lambda: len(self.running_tasks("req-000001")) == pieces)
+        return self.acting_shard_leader()
 
     def gang_complete(self, task: str, token: int) -> bool:
+        """Whether all tasks of a gang's attempt are on their machines."""
         ref = task.partition("/")[0]
-        pieces = self.jobs[ref]["Pieces"]
+        pieces: int = self.jobs[ref]["Pieces"]
         ready = 0
         for worker in self.cloud.machines.values():
             for (one, number), entry in worker.tasks.items():
@@ -252,13 +280,14 @@
         whole = len(found) == self.jobs[ref]["Pieces"] and not any(w.hung for w, _ in found)
         for worker, key in found:
             if whole:
-                self.rule_checker.completed(key[0])
+                self.rule_checker.task_completed(key[0])
             if not worker.hung:
                 worker.finish(key, "done" if whole else "peers")
 
     # Users
 
     def job(self, number: int, **fields: Any) -> dict[str, Any]:
+        """A submission as it is sent, a small array by default; `fields` replace its values."""
         job = {
             "Ref": f"req-{number:06d}",
             "Lane": "reports",
@@ -284,16 +313,17 @@
         }
         return job | fields
 
-    async def ask(
+    async def request(
         self, node: str, method: str, path: str, body: Any = None
     ) -> tuple[int, dict[str, Any]]:
+        """Send a user's request to a controller: status and answer, (0, {}) if there is none."""
         raw = (
             b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
         )
-        pool = Pool(dict(self.fronts())[node], 1)
+        pool = Pool(dict(self.front_addresses())[node], 1)
         try:
             status, answer = await pool.request(method, path, raw, 5_000_000)
-        except Exception:
+        except RequestFailed:
             return 0, {}
         finally:
             pool.close()
@@ -312,43 +342,47 @@
         return self.job(number, **(values | fields))
 
     async def submit(self, job: dict[str, Any], node: str | None = None) -> int:
-        """Until it is accepted, at any node."""
+        """Submit a job, at any node, until it is accepted or refused for good: the status."""
         self.jobs[job["Ref"]] = job
         while True:
-            name = node or self.chance.choice(self.nodes)
-            before = self.rule_checker.told.get(job["Ref"])
-            status, body = await self.ask(name, "POST", "/api/jobs", job)
-            self.rule_checker.answered(job["Ref"], "submit", status, body, before)
+            name = node or self.rng.choice(self.nodes)
+            before = self.rule_checker.last_stage.get(job["Ref"])
+            status, body = await self.request(name, "POST", "/api/jobs", job)
+            self.rule_checker.user_answered(job["Ref"], "submit", status, body, before)
             if status in (200, 201, 400, 422):
                 return status
             await asyncio.sleep(1)
 
     async def poll(self, ref: str, node: str | None = None) -> str:
-        name = node or self.chance.choice(self.nodes)
-        before = self.rule_checker.told.get(ref)
-        status, body = await self.ask(name, "GET", f"/api/jobs/{ref}")
-        self.rule_checker.answered(ref, "poll", status, body, before)
+        """Ask for a job's stage, at any node; the status if it is not known."""
+        name = node or self.rng.choice(self.nodes)
+        before = self.rule_checker.last_stage.get(ref)
+        status, body = await self.request(name, "GET", f"/api/jobs/{ref}")
+        self.rule_checker.user_answered(ref, "poll", status, body, before)
         return str(body.get("Stage", status))
 
     async def cancel(self, ref: str, node: str | None = None) -> str:
-        self.asked_cancel[ref] = True
+        """Cancel a job, at any node, until it is answered."""
+        self.cancel_requested[ref] = True
         while True:
-            name = node or self.chance.choice(self.nodes)
-            before = self.rule_checker.told.get(ref)
-            status, body = await self.ask(name, "POST", f"/api/jobs/{ref}/cancel")
-            self.rule_checker.answered(ref, "cancel", status, body, before)
+            name = node or self.rng.choice(self.nodes)
+            before = self.rule_checker.last_stage.get(ref)
+            status, body = await self.request(name, "POST", f"/api/jobs/{ref}/cancel")
+            self.rule_checker.user_answered(ref, "cancel", status, body, before)
             if status in (200, 404):
                 return str(body.get("Stage", status))
             await asyncio.sleep(1)
 
-    async def until(self, what: Any, seconds: float = 60.0) -> None:
+    async def wait_until(self, what: Any, seconds: float = 60.0) -> None:
+        """Wait for a condition while the rule checker checks; fails after some seconds."""
         end = self.loop.time() + seconds
         while not what():
             assert self.loop.time() < end, "waited in vain"
             self.rule_checker.check()
             await asyncio.sleep(0.1)
 
-    async def until_done(self, *refs: str, seconds: float = 90.0) -> None:
+    async def wait_until_done(self, *refs: str, seconds: float = 90.0) -> None:
+        """Poll jobs until all are done; fails after some seconds."""
         end = self.loop.time() + seconds
         left = set(refs)
         while left:
@@ -357,18 +391,21 @@
             left = {ref for ref in left if await self.poll(ref) != "done"}
             await asyncio.sleep(1)
 
-    async def until_served(self, *refs: str, seconds: float = 60.0) -> None:
+    async def wait_until_served(self, *refs: str, seconds: float = 60.0) -> None:
         """Until all replicas of these services run."""
-        await self.until(
-            lambda: all(len(self.on(ref)) == self.jobs[ref]["Pieces"] for ref in refs), seconds
+        await self.wait_until(
+            lambda: all(len(self.running_tasks(ref)) == self.jobs[ref]["Pieces"] for ref in refs),
+            seconds,
         )
 
-    def on(self, ref: str) -> list[str]:
-        return [task for task in self.rule_checker.on if task.partition("/")[0] == ref]
+    def running_tasks(self, ref: str) -> list[str]:
+        """The tasks of a job that run now."""
+        return [task for task in self.rule_checker.running_on if task.partition("/")[0] == ref]
 
-    def verdict(self) -> None:
+    def assert_no_violation(self) -> None:
+        """No rule was violated, no limit exceeded, no stale holder acted, and something ran."""
         self.rule_checker.check()
-        assert not self.rule_checker.broken, "; ".join(self.rule_checker.broken)
+        assert not self.rule_checker.violations, "; ".join(self.rule_checker.violations)
         assert not self.store.oversized, self.store.oversized[:3]
         assert not self.duty_checker.stale, self.duty_checker.stale[:3]
         assert self.rule_checker.starts > 0
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the key-value store, by its protocol."""
+"""A fake of the key-value store, by its protocol."""
 
 import asyncio
 import json
@@ -8,12 +8,12 @@
 from urllib.parse import parse_qs
 
 from basaltlead.net.http import Request, Response, Server
-from tests.fakes.replies import reply
+from tests.fakes.replies import key_of, reply
 from tests.simulation import PEER, Loop
 
 
-class FakeState:
-    """Keys, holds and watches; can refuse everybody or single hosts, and lose its answers."""
+class FakeKeyValueStore:
+    """Keys, leases and watches; can refuse everybody or single hosts, and lose its answers."""
 
     HOST = "10.2.0.1"
     ADDRESS = "10.2.0.1:2379"
@@ -23,15 +23,15 @@
         self.revision = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.log: list[dict[str, Any]] = []
-        self.holds: dict[int, tuple[float, float]] = {}
-        self.next_hold = 0
+        self.leases: dict[int, tuple[float, float]] = {}
+        self.next_lease = 0
         self.down = False
-        self.refused: set[str] = set()  # hosts that alone get 503, as in an outage
-        self.late_writes = 0.0  # that share is not answered, and carried out 2 to 12 s later
-        self.late_by = (2.0, 12.0)
-        self.late_keys = ""  # of which only those that put or drop something under this prefix
-        self.garble: Callable[[Response], Response] | None = None  # what becomes of its answers
-        self.accepting: Callable[[list[dict[str, Any]]], None] = lambda changes: None
+        self.refused_hosts: set[str] = set()  # hosts that alone get 503, as in an outage
+        self.late_write_share = 0.0  # that share is not answered, and carried out 2 to 12 s later
+        self.late_by_s = (2.0, 12.0)
+        self.late_key_prefix = ""  # of which only those that change a key with this prefix
+        self.corrupt_reply: Callable[[Response], Response] | None = None
+        self.on_accept: Callable[[list[dict[str, Any]]], None] = lambda changes: None
         self.event = asyncio.Event()
         self.writes = 0
         self.requests = 0
@@ -42,9 +42,10 @@
         self.write_burst_at = 0.0  # when its burst would be full again
         self.refused_writes = 0  # how many transactions were answered with 429
         self.slowness = 1.0  # how many times as long as usual its answers take
-        self.chance = random.Random(1)
+        self.rng = random.Random(1)
 
     async def start(self) -> None:
+        """Listen, and let leases expire."""
         server = Server(self.handle, 1000)
         await server.start(self.ADDRESS)
         self.loop.create_task(self._expire())
@@ -54,51 +55,53 @@
             await asyncio.sleep(0.05)
             if self.down:
                 continue
-            for hold, (until, _) in list(self.holds.items()):
+            for lease, (until, _) in list(self.leases.items()):
                 if self.loop.time() > until:
-                    self._end(hold)
+                    self._end_lease(lease)
 
-    def _end(self, hold: int) -> None:
-        self.holds.pop(hold, None)
-        gone = [key for key, (_, _, on) in self.keys.items() if on == hold]
+    def _end_lease(self, lease: int) -> None:
+        self.leases.pop(lease, None)
+        gone = [key for key, (_, _, on) in self.keys.items() if on == lease]
         if gone:
             self.revision += 1
             for key in gone:
                 del self.keys[key]
                 self.log.append({"Drop": key, "Stamp": self.revision})
-            self._tell()
+            self._notify_watches()
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         self.event.set()
         self.event = asyncio.Event()
 
-    def away(self, host: str) -> bool:
+    def is_unavailable_to(self, host: str) -> bool:
         """Is there an outage, for all or for this one alone?"""
-        return self.down or host in self.refused
+        return self.down or host in self.refused_hosts
 
     def _is_late(self, body: dict[str, Any]) -> bool:
-        keys = [change.get("Put", change.get("Drop")) for change in body.get("Apply", [])]
-        named = any(key.startswith(self.late_keys) for key in keys)
-        return named and self.chance.random() < self.late_writes
+        keys = [key_of(change) for change in body.get("Apply", [])]
+        named = any(key.startswith(self.late_key_prefix) for key in keys)
+        return named and self.rng.random() < self.late_write_share
 
-    def outage_over(self) -> None:
+    def end_outage(self) -> None:
+        """The outage ends; all leases start anew."""
         self.down = False
         now = self.loop.time()
-        self.holds = {hold: (now + ttl, ttl) for hold, (_, ttl) in self.holds.items()}
+        self.leases = {lease: (now + ttl, ttl) for lease, (_, ttl) in self.leases.items()}
 
     async def handle(self, request: Request) -> Response:
+        """Answer a request, or corrupt the answer if a test asks for it."""
         answer = await self._answer(request)
-        return answer if self.garble is None else self.garble(answer)
+        return answer if self.corrupt_reply is None else self.corrupt_reply(answer)
 
     async def _answer(self, request: Request) -> Response:
-        rare = 0.2 if self.chance.random() < 0.01 else 0.002
+        rare = 0.2 if self.rng.random() < 0.01 else 0.002
         await asyncio.sleep((rare if self.slowness > 1 else 0.002) * self.slowness)
         query = {k: v[0] for k, v in parse_qs(request.query).items()}
         path = request.path
         self.requests += 1
         if path == "/changes":
             return await self._changes(query, PEER.get())
-        if self.away(PEER.get()):
+        if self.is_unavailable_to(PEER.get()):
             return reply(503, {"error": "trouble"})
         body = json.loads(request.body) if request.body else {}
         if path == "/kv":
@@ -110,20 +113,20 @@
             return reply(200, {"Path": path[4:], "V": found[0], "Stamp": found[1]})
         if path == "/multi":
             if self._is_late(body):
-                await asyncio.sleep(self.chance.uniform(*self.late_by))
+                await asyncio.sleep(self.rng.uniform(*self.late_by_s))
                 self._multi(body)
                 await asyncio.sleep(60)  # nobody waits for an answer any more
             return self._multi(body)
         if path == "/holds":
-            self.next_hold += 1
+            self.next_lease += 1
             ttl = body["TtlMs"] / 1000
-            self.holds[self.next_hold] = (self.loop.time() + ttl, ttl)
-            return reply(200, {"Permit": self.next_hold})
-        hold = int(path.split("/")[2])
-        if hold not in self.holds:
+            self.leases[self.next_lease] = (self.loop.time() + ttl, ttl)
+            return reply(200, {"Permit": self.next_lease})
+        lease = int(path.split("/")[2])
+        if lease not in self.leases:
             return reply(404, {"error": "no such lease"})
-        ttl = self.holds[hold][1]
-        self.holds[hold] = (self.loop.time() + ttl, ttl)
+        ttl = self.leases[lease][1]
+        self.leases[lease] = (self.loop.time() + ttl, ttl)
         return reply(200, {})
 
     def _list(self, query: dict[str, str]) -> Response:
@@ -171,9 +174,9 @@
             return reply(409, {"failed": failed, "Ledger": self.revision})
         changes = body.get("Apply", [])
         if changes:
-            self.accepting(changes)
+            self.on_accept(changes)
         for change in changes:
-            if change.get("Permit") is not None and change["Permit"] not in self.holds:
+            if change.get("Permit") is not None and change["Permit"] not in self.leases:
                 return reply(400, {"error": "no such lease"})
         if changes:
             self.revision += 1
@@ -185,21 +188,20 @@
                 self.log.append({"Put": change["Put"], "V": change["V"], "Stamp": self.revision})
             elif self.keys.pop(change["Drop"], None) is not None:
                 self.log.append({"Drop": change["Drop"], "Stamp": self.revision})
-        self._tell()
+        self._notify_watches()
         return reply(200, {"Ledger": self.revision})
 
     async def _changes(self, query: dict[str, str], host: str) -> Response:
         end = self.loop.time() + int(query.get("HoldMs", "0")) / 1000
         since = int(query["Since"])
-        if self.away(host):
+        if self.is_unavailable_to(host):
             return reply(503, {"error": "trouble"})
         while True:
-            if not self.away(host):
+            if not self.is_unavailable_to(host):
                 log = [
                     change
                     for change in self.log
-                    if change["Stamp"] > since
-                    and change.get("Put", change.get("Drop")).startswith(query["Starts"])
+                    if change["Stamp"] > since and key_of(change).startswith(query["Starts"])
                 ]
                 if log or self.loop.time() >= end:
                     return reply(200, {"Ledger": self.revision, "Log": log})
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,56 +1,64 @@
-"""A stand-in for a machine and its worker, by the protocol."""
+"""A fake of a machine and its worker, by the protocol."""
 
 import asyncio
 import json
 from typing import TYPE_CHECKING, Any
 
+from basaltlead.errors import RequestFailed
 from basaltlead.net.http import Pool, Request, Response, Server
 from tests.fakes.replies import reply
-from tests.simulation import on_host
+from tests.simulation import on_host, poll_until
 
 if TYPE_CHECKING:
-    from tests.fakes.deployment import World
+    from tests.fakes.deployment import Deployment
 
 
 class FakeWorker:
-    """A machine: boots, reports, runs tasks, obeys tokens and its lease."""
+    """A machine: boots, sends heartbeats, runs tasks, respects fencing tokens and its lease."""
 
     REPORT = 1.0
     LEASE = 6.0
 
     def __init__(
-        self, world: "World", name: str, machine_type: dict[str, Any], zone: str, spot: bool
+        self,
+        deployment: "Deployment",
+        name: str,
+        machine_type: dict[str, Any],
+        zone: str,
+        spot: bool,
     ) -> None:
-        self.world = world
-        self.loop = world.loop
+        self.deployment = deployment
+        self.loop = deployment.loop
         self.name = name
         self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
         number = int(name[2:])
-        self.host = f"{world.NETWORK}.1.{number // 250 % 4}.{number % 250}"
+        self.host = f"{deployment.NETWORK}.1.{number // 250 % 4}.{number % 250}"
         self.address = f"{self.host}:9000"
-        self.born = self.loop.time()
+        self.created_at = self.loop.time()
         self.epoch = 1
         self.tick = 0
         self.fencing_token = 0
-        self.recall: float | None = None
+        self.preemption_at: float | None = None
         self.up = False
         self.hung = False
-        self.deaf = False  # its reports arrive, but answers and commands don't reach it
+        self.unreachable = False  # its heartbeats arrive, but answers and commands don't reach it
         self.faulty = False  # all that runs on it fails
-        self.answers_lost = False  # direct commands are executed, and their answers lost
+        self.answers_lost = False  # pushed commands are executed, and their answers lost
         self.failed = False  # it has stopped by itself
-        self.mute = False  # it reaches no controller, while direct commands reach it
+        self.sends_no_heartbeats = False  # it reaches no controller, while pushed commands reach it
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.change = asyncio.Event()
-        self.lease_from = self.born
-        self.task = on_host(self.host, self._live())
+        self.lease_from = self.created_at
+        self.task = on_host(self.host, self._boot_and_serve())
 
     def age(self) -> float:
-        return self.loop.time() - self.born
+        """Seconds since it was rented."""
+        return self.loop.time() - self.created_at
 
     def listed(self) -> dict[str, Any]:
+        """Its row in the cloud's list."""
         return {
             "Ref": self.name,
             "Addr": self.address,
@@ -62,51 +70,51 @@
         }
 
     def stop(self) -> None:
+        """The machine is deleted or dies."""
         self.task.cancel()
         self._kill_all()
-        self.world.net.power_off(self.host)
+        self.deployment.net.power_off(self.host)
 
     def _kill_all(self) -> None:
         for (task, _), entry in self.tasks.items():
             if entry["Stage"] != "ended":
-                self.world.rule_checker.left(task, self)
+                self.deployment.rule_checker.task_left(task, self)
         self.tasks.clear()
 
-    async def _live(self) -> None:
+    async def _boot_and_serve(self) -> None:
         await asyncio.sleep(self.machine_type["ReadyS"])
-        server = self.world.servers[self.host] = Server(self.handle, 100)
+        server = self.deployment.servers[self.host] = Server(self.handle, 100)
         await server.start(self.address)
         self.up = True
         self.lease_from = self.loop.time()
-        clockwork = self.loop.create_task(self._run())
+        task_clock = self.loop.create_task(self._advance_tasks())
         try:
-            await self._report()
+            await self._send_heartbeats()
         finally:
-            clockwork.cancel()
+            task_clock.cancel()
 
-    async def _report(self) -> None:
-        nodes = self.world.fronts()
-        at = self.world.chance.randrange(len(nodes))
+    async def _send_heartbeats(self) -> None:
+        nodes = self.deployment.front_addresses()
+        at = self.deployment.rng.randrange(len(nodes))
         pools: dict[str, Pool] = {}
         while True:
-            while self.hung:  # it says nothing either
-                await asyncio.sleep(0.1)
+            await poll_until(lambda: not self.hung, 0.1)
             _, address = nodes[at % len(nodes)]
             pool = pools.setdefault(address, Pool(address, 2))
             sent, epoch = self.loop.time(), self.epoch
-            if self.mute:
+            if self.sends_no_heartbeats:
                 pool.close()
                 at += 1
                 await asyncio.sleep(1)
                 continue
             body = json.dumps(self.heartbeat()).encode()
-            if self.world.chance.random() < self.world.copies:
-                on_host(self.host, self._copy(body))
+            if self.deployment.rng.random() < self.deployment.heartbeat_copy_rate:
+                on_host(self.host, self._send_copy(body))
             try:
                 status, answer = await pool.request("POST", "/agent/beat", body, 4_000_000)
-            except Exception:
+            except RequestFailed:
                 status, answer = 0, b""
-            if self.deaf:
+            if self.unreachable:
                 pool.close()
                 await asyncio.sleep(max(0.0, sent + 4 - self.loop.time()))
                 status = 0
@@ -119,7 +127,7 @@
                 found = [i for i, node in enumerate(nodes) if node[0] == shard_leader]
                 if found and found[0] != at % len(nodes):
                     at = found[0]
-                    await asyncio.sleep(self.world.chance.uniform(0, 0.5))
+                    await asyncio.sleep(self.deployment.rng.uniform(0, 0.5))
                 else:
                     at += 1
                     await asyncio.sleep(1)
@@ -127,14 +135,14 @@
                 at += 1
                 await asyncio.sleep(1)
 
-    async def _copy(self, body: bytes) -> None:
-        """A copy of a report comes late, at any node, whatever has become of the machine."""
-        await asyncio.sleep(self.world.chance.uniform(0.5, 2.5 * self.world.lease))
-        _, address = self.world.chance.choice(self.world.fronts())
+    async def _send_copy(self, body: bytes) -> None:
+        """Deliver a copy of a heartbeat late, to any node, whatever has become of the machine."""
+        await asyncio.sleep(self.deployment.rng.uniform(0.5, 2.5 * self.deployment.lease))
+        _, address = self.deployment.rng.choice(self.deployment.front_addresses())
         pool = Pool(address, 1)
         try:
             await pool.request("POST", "/agent/beat", body, 4_000_000)
-        except Exception:
+        except RequestFailed:
             pass
         finally:
             pool.close()
@@ -143,19 +151,22 @@
         self.change.clear()
         await asyncio.sleep(0.5)
         try:
-            async with asyncio.timeout(self.REPORT * self.world.chance.uniform(0.75, 1.25) - 0.5):
+            async with asyncio.timeout(self.REPORT * self.deployment.rng.uniform(0.75, 1.25) - 0.5):
                 await self.change.wait()
         except TimeoutError:
             pass
 
     def heartbeat(self) -> dict[str, Any]:
+        """The next heartbeat, as it is sent."""
         self.tick += 1
         tasks = [
             {"Piece": task, "Try": token, "Stage": e["Stage"]}
             | ({"Cause": e["Cause"], "Saved": False} if e["Stage"] == "ended" else {})
             for (task, token), e in self.tasks.items()
         ]
-        recall = None if self.recall is None else max(0.0, self.recall - self.loop.time())
+        preemption_at = (
+            None if self.preemption_at is None else max(0.0, self.preemption_at - self.loop.time())
+        )
         return {
             "Anvil": self.name,
             "Addr": self.address,
@@ -165,7 +176,7 @@
             "Shift": self.epoch,
             "Tick": self.tick,
             "Baton": self.fencing_token,
-            "RecallS": recall,
+            "RecallS": preemption_at,
             "Pieces": tasks,
         }
 
@@ -176,14 +187,14 @@
             self.fencing_token = answer["Baton"]
             self.change.set()
         self.lease_from = sent
-        self._orders(answer["Orders"])
+        self._execute(answer["Orders"])
 
-    def _orders(self, commands: list[dict[str, Any]]) -> None:
-        for order in commands:
-            key = (order["Piece"], order["Try"])
-            if order["Verb"] == "run":
+    def _execute(self, commands: list[dict[str, Any]]) -> None:
+        for command in commands:
+            key = (command["Piece"], command["Try"])
+            if command["Verb"] == "run":
                 self._start(key)
-            elif order["Verb"] == "forget":
+            elif command["Verb"] == "forget":
                 entry = self.tasks.get(key)
                 if entry is not None and entry["Stage"] == "ended":
                     del self.tasks[key]
@@ -195,7 +206,7 @@
     def _start(self, key: tuple[str, int]) -> None:
         if key in self.tasks:
             return
-        job = self.world.jobs.get(key[0].partition("/")[0])
+        job = self.deployment.jobs.get(key[0].partition("/")[0])
         if job is None:
             self.tasks[key] = {"Stage": "ended", "Cause": "no_such"}
             return
@@ -203,13 +214,13 @@
         if key[0] in on:
             self.tasks[key] = {"Stage": "ended", "Cause": "in_use"}
             return
-        used = sum(self.world.jobs[t.partition("/")[0]]["Cores"] for t in on)
+        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in on)
         if used + job["Cores"] > self.machine_type["Cores"] + 1e-9:
             self.tasks[key] = {"Stage": "ended", "Cause": "full"}
             return
         self.tasks[key] = {"Stage": "fetching", "at": self.loop.time() + 0.5}
 
-    def holds(self, job: dict[str, Any]) -> bool:
+    def has_room_for(self, job: dict[str, Any]) -> bool:
         """Might a task of the job be started here now?"""
         if job["Grades"] is not None and self.machine_type["Label"] not in job["Grades"]:
             return False
@@ -218,27 +229,28 @@
         if job["OneZone"] or job["Apart"]:
             return False  # where it may be depends on its other tasks
         on = [t for (t, _), e in self.tasks.items() if e["Stage"] != "ended"]
-        used = [self.world.jobs[t.partition("/")[0]] for t in on]
+        used = [self.deployment.jobs[t.partition("/")[0]] for t in on]
         return all(
             sum(other[what] for other in used) + job[what] <= self.machine_type[what] + 1e-9
             for what in ("Cores", "Gpus", "MemoryGb")
         )
 
     def finish(self, key: tuple[str, int], why: str) -> None:
+        """End an attempt."""
         self._end(key, why)
 
     def _end(self, key: tuple[str, int], why: str) -> None:
         if self.tasks[key]["Stage"] != "fetching":
-            self.world.rule_checker.left(key[0], self)
+            self.deployment.rule_checker.task_left(key[0], self)
         self.tasks[key] = {"Stage": "ended", "Cause": why}
         self.change.set()
 
-    async def _run(self) -> None:
+    async def _advance_tasks(self) -> None:
         """Tasks go on, and the lease runs out, unless the machine hangs."""
         while True:
             await asyncio.sleep(0.1)
             now = self.loop.time()
-            if now - self.lease_from > self.world.lease:
+            if now - self.lease_from > self.deployment.lease:
                 self._kill_all()
                 self.epoch += 1
                 self.tick = 0
@@ -249,26 +261,26 @@
                     entry["at"] = entry.get("at", now) + 0.1
                     continue
                 task = key[0]
-                job = self.world.jobs[task.partition("/")[0]]
+                job = self.deployment.jobs[task.partition("/")[0]]
                 if entry["Stage"] == "fetching" and now >= entry["at"]:
-                    self.world.rule_checker.entered(task, self, key[1])
+                    self.deployment.rule_checker.task_started(task, self, key[1])
                     whole = job["Shape"] == "group"
                     entry["Stage"] = "gathering" if whole else "running"
                     entry["at"] = now + self._run_s(job)
                     self.change.set()
-                if entry["Stage"] == "gathering" and self.world.gang_complete(task, key[1]):
+                if entry["Stage"] == "gathering" and self.deployment.gang_complete(task, key[1]):
                     entry["Stage"] = "running"
                     entry["at"] = now + job["RunS"]
                     self.change.set()
                 if entry["Stage"] == "running" and now >= entry["at"]:
                     if job["Shape"] == "group":
-                        self.world.end_gang(task, key[1])
+                        self.deployment.end_gang(task, key[1])
                     elif self.faulty or job.get("Broken"):
                         self._end(key, "error")
                     elif job["Shape"] == "service":
                         self._end(key, job["EndsWith"])
                     else:
-                        self.world.rule_checker.completed(task)
+                        self.deployment.rule_checker.task_completed(task)
                         self._end(key, "done")
 
     def _run_s(self, job: dict[str, Any]) -> float:
@@ -278,8 +290,8 @@
         return float(job["RunS"]) if "EndsWith" in job else 1e9
 
     async def handle(self, request: Request) -> Response:
-        while self.hung or self.deaf:
-            await asyncio.sleep(0.2)
+        """Answer a pushed command or a probe."""
+        await poll_until(lambda: not (self.hung or self.unreachable), 0.2)
         if request.path == "/status":
             return reply(200, self.heartbeat())
         body = json.loads(request.body)
@@ -288,7 +300,6 @@
         if body["Baton"] > self.fencing_token:
             self.fencing_token = body["Baton"]
             self.change.set()
-        self._orders(body["Orders"])
-        while self.answers_lost and body["Orders"]:
-            await asyncio.sleep(0.2)
+        self._execute(body["Orders"])
+        await poll_until(lambda: not (self.answers_lost and body["Orders"]), 0.2)
         return reply(200, self.heartbeat())
--- a/tests/measure_duties.py
+++ b/tests/measure_duties.py
@@ -11,36 +11,37 @@
 from typing import Any
 
 from basaltlead.duties.model import Duty
-from tests.fakes import World
-from tests.fakes.store import FakeState
-from tests.simulation import Loop, play
+from tests.fakes import Deployment
+from tests.fakes.store import FakeKeyValueStore
+from tests.simulation import Loop, play, poll_until
 
 SEEDS = range(1, 11)
-CAUSES: dict[str, Callable[[World, str], Any]] = {
-    "crash": lambda world, name: world.crash(name),
-    "stands still": lambda world, name: world.freeze(name),
-    "loses the state service": lambda world, name: world.net.cut(world.host(name), FakeState.HOST),
+CAUSES: dict[str, Callable[[Deployment, str], Any]] = {
+    "crash": lambda deployment, name: deployment.crash(name),
+    "stands still": lambda deployment, name: deployment.freeze(name),
+    "loses the state service": lambda deployment, name: deployment.net.cut(
+        deployment.host(name), FakeKeyValueStore.HOST
+    ),
 }
 
 
-def takeover(cause: str, duty: Duty, seed: int) -> float:
+def failover_s(cause: str, duty: Duty, seed: int) -> float:
     """Seconds until another controller acts for the duty."""
     took: list[float] = []
 
-    async def story(loop: Loop) -> None:
-        world = World(loop, seed, operator={"duties": True}, lease=20.0, cancel=60.0)
-        await world.start()
-        await world.until(lambda: all(world.holder(one) for one in Duty))
+    async def scenario(loop: Loop) -> None:
+        deployment = Deployment(loop, seed, operator={"duties": True}, lease=20.0, cancel=60.0)
+        await deployment.start()
+        await deployment.wait_until(lambda: all(deployment.holder(one) for one in Duty))
         await asyncio.sleep(5 + seed / 10)
-        name = world.holder(duty)
+        name = deployment.holder(duty)
         assert name is not None
-        CAUSES[cause](world, name)
+        CAUSES[cause](deployment, name)
         at = loop.time()
-        while world.holder(duty) in (None, name):
-            await asyncio.sleep(0.01)
+        await poll_until(lambda: deployment.holder(duty) not in (None, name), 0.01)
         took.append(loop.time() - at)
 
-    play(story, seed)
+    play(scenario, seed)
     return took[0]
 
 
@@ -49,24 +50,24 @@
     counts: Counter[str] = Counter()
     machines: list[int] = []
 
-    async def story(loop: Loop) -> None:
-        world = World(loop, operator={"duties": duties})
-        world.cloud.capacity = 60
-        await world.start()
-        before = world.store.accepting
+    async def scenario(loop: Loop) -> None:
+        deployment = Deployment(loop, operator={"duties": duties})
+        deployment.cloud.capacity = 60
+        await deployment.start()
+        before = deployment.store.on_accept
 
-        def accepting(changes: list[dict[str, Any]]) -> None:
+        def on_accept(changes: list[dict[str, Any]]) -> None:
             before(changes)
             counts.update(c.get("Put", c.get("Drop")).split("/")[0] for c in changes)
 
-        world.store.accepting = accepting
-        await world.submit(world.job(1, Pieces=400, RunS=20.0))
-        await world.until_done("req-000001", seconds=300.0)
-        await world.until(lambda: not world.cloud.machines, seconds=300.0)
+        deployment.store.on_accept = on_accept
+        await deployment.submit(deployment.job(1, Pieces=400, RunS=20.0))
+        await deployment.wait_until_done("req-000001", seconds=300.0)
+        await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=300.0)
         await asyncio.sleep(60)
-        machines.append(world.cloud.count)
+        machines.append(deployment.cloud.rented_count)
 
-    play(story)
+    play(scenario)
     prefixes = ("hire", "mach", "return", "history")
     each = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
     return each | {"machines": machines[0], "all": round(sum(each.values()), 2)}
@@ -74,28 +75,28 @@
 
 def idle_cost(duties: bool) -> dict[str, float]:
     """Requests and changes a second of all controllers while there is no job."""
-    told: dict[str, float] = {}
+    rates: dict[str, float] = {}
 
-    async def story(loop: Loop) -> None:
-        world = World(loop, operator={"duties": duties})
-        await world.start()
+    async def scenario(loop: Loop) -> None:
+        deployment = Deployment(loop, operator={"duties": duties})
+        await deployment.start()
         await asyncio.sleep(30)
-        requests, writes = world.store.requests, world.store.writes
+        requests, writes = deployment.store.requests, deployment.store.writes
         await asyncio.sleep(300)
-        told["requests"] = round((world.store.requests - requests) / 300, 2)
-        told["changes"] = round((world.store.writes - writes) / 300, 2)
+        rates["requests"] = round((deployment.store.requests - requests) / 300, 2)
+        rates["changes"] = round((deployment.store.writes - writes) / 300, 2)
 
-    play(story)
-    return told
+    play(scenario)
+    return rates
 
 
 def main() -> None:
     """Print all figures."""
     for cause in CAUSES:
         for duty in Duty:
-            took = sorted(takeover(cause, duty, seed) for seed in SEEDS)
+            took = sorted(failover_s(cause, duty, seed) for seed in SEEDS)
             median, worst = statistics.median(took), took[-1]
-            print(f"takeover, {cause}, {duty}: median {median:.2f} s, worst {worst:.2f} s")
+            print(f"failover, {cause}, {duty}: median {median:.2f} s, worst {worst:.2f} s")
     for duties in (False, True):
         print(f"duties {duties}: changes for each machine {changes_for_each_machine(duties)}")
         print(f"duties {duties}: idle {idle_cost(duties)} a second")
--- a/tests/run_loopback.py
+++ b/tests/run_loopback.py
@@ -2,7 +2,7 @@
 
     python3 -m tests.run_loopback --seed 7 --minutes 10
 
-The key-value store, the cloud, the workers and the users are the stand-ins of the stories, in this
+The key-value store, the cloud, the workers and the users are the fakes of the tests, in this
 process; the controllers are processes of their own, with duties switched on. At the end everything
 is resumed, all jobs must get done and all machines must go. The rule checker and the checker of
 stale holders watch throughout; the result is printed as JSON, and the exit status is 1 if either
@@ -17,26 +17,27 @@
 import sys
 import tempfile
 from pathlib import Path
-from typing import Any
+from typing import Any, BinaryIO
 
-from tests.fakes import World
+from tests.fakes import Deployment
 from tests.fakes.cloud import FakeCloud
-from tests.fakes.store import FakeState
+from tests.fakes.store import FakeKeyValueStore
 
 NETWORK = "127"
 OPERATOR = Path(__file__).resolve().parent.parent / "deploy" / "duties.yaml"
 PAUSES_S = (0.3, 2.0, 5.0, 12.0, 60.0)
-CALM_S = 240.0  # in which all must be done once nobody is paused any more
+FINISH_S = 240.0  # in which all must be done once nobody is paused any more
 
 
 class LoopbackNet:
     """Where a machine stops, its server does."""
 
-    def __init__(self, world: "LoopbackWorld") -> None:
-        self.world = world
+    def __init__(self, deployment: "LoopbackDeployment") -> None:
+        self.deployment = deployment
 
     def power_off(self, host: str) -> None:
-        server = self.world.servers.pop(host, None)
+        """Close the server of a machine that stops."""
+        server = self.deployment.servers.pop(host, None)
         if server is not None and server.listener is not None:
             server.listener.close()
             for connection in list(server.connections):
@@ -45,17 +46,17 @@
 
 
 class LoopbackLoop:
-    """The event loop with the network that the stand-ins expect."""
+    """The event loop with the network that the fakes expect."""
 
-    def __init__(self, world: "LoopbackWorld") -> None:
+    def __init__(self, deployment: "LoopbackDeployment") -> None:
         self.real = asyncio.get_running_loop()
-        self.net = LoopbackNet(world)
+        self.net = LoopbackNet(deployment)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.real, name)
 
 
-class LoopbackWorld(World):
+class LoopbackDeployment(Deployment):
     """Controllers are processes."""
 
     NETWORK = NETWORK
@@ -67,24 +68,30 @@
         self.paused: set[str] = set()
         self.pauses = 0
 
-    def boot(self, name: str) -> None:
+    def start_controller(self, name: str) -> None:
+        """Start a controller as a process."""
         self.loop.create_task(self._launch(name))
 
     async def _launch(self, name: str) -> None:
         path = self.folder / f"{name}.toml"
         path.write_text(as_toml(self.settings_file(name)))
         command = ["-m", "basaltlead", "serve", "--operator", str(OPERATOR), "--config", str(path)]
-        with open(self.folder / f"{name}.log", "ab") as log:
+        with self._open_log(name) as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
                 sys.executable, *command, stderr=log
             )
 
+    def _open_log(self, name: str) -> BinaryIO:
+        return (self.folder / f"{name}.log").open("ab")
+
     def pause(self, name: str) -> None:
+        """Stop a process with a signal."""
         self.paused.add(name)
         self.pauses += 1
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
+        """Continue a stopped process."""
         self.paused.discard(name)
         self.processes[name].send_signal(signal.SIGCONT)
 
@@ -102,36 +109,36 @@
     return json.dumps(value)
 
 
-async def _pause_at_random(world: LoopbackWorld, chance: random.Random) -> None:
+async def _pause_at_random(deployment: LoopbackDeployment, rng: random.Random) -> None:
     while True:
-        await asyncio.sleep(chance.uniform(1, 8))
-        awake = sorted(set(world.nodes) - world.paused)
+        await asyncio.sleep(rng.uniform(1, 8))
+        awake = sorted(set(deployment.nodes) - deployment.paused)
         if len(awake) < 2:
             continue
-        name = chance.choice(awake)
-        world.pause(name)
-        asyncio.get_running_loop().call_later(chance.choice(PAUSES_S), world.resume, name)
+        name = rng.choice(awake)
+        deployment.pause(name)
+        asyncio.get_running_loop().call_later(rng.choice(PAUSES_S), deployment.resume, name)
 
 
-async def _submit_at_random(world: LoopbackWorld, chance: random.Random) -> None:
+async def _submit_at_random(deployment: LoopbackDeployment, rng: random.Random) -> None:
     number = 0
     while True:
         number += 1
-        job = world.job(
+        job = deployment.job(
             number,
-            Pieces=chance.choice([1, 3, 8]),
-            Cores=chance.choice([1.0, 2.0]),
-            RunS=chance.choice([1.0, 4.0, 12.0]),
-            Shape=chance.choice(["batch", "batch", "group"]),
+            Pieces=rng.choice([1, 3, 8]),
+            Cores=rng.choice([1.0, 2.0]),
+            RunS=rng.choice([1.0, 4.0, 12.0]),
+            Shape=rng.choice(["batch", "batch", "group"]),
         )
-        await world.submit(job)
-        await asyncio.sleep(chance.uniform(0, 25 if number % 5 else 60))
+        await deployment.submit(job)
+        await asyncio.sleep(rng.uniform(0, 25 if number % 5 else 60))
 
 
-def moved(world: LoopbackWorld) -> dict[str, int]:
+def moved(deployment: LoopbackDeployment) -> dict[str, int]:
     """How often each duty was taken up."""
     counts: dict[str, int] = {}
-    for key, (page, _, _) in world.store.keys.items():
+    for key, (page, _, _) in deployment.store.keys.items():
         if key.startswith("history/"):
             taken = sum(event["action"] == "taken up" for event in page["events"])
             counts[key.split("/")[1]] = counts.get(key.split("/")[1], 0) + taken
@@ -140,51 +147,51 @@
 
 async def run(seed: int, minutes: float) -> dict[str, Any]:
     """Play, and tell what was found."""
-    chance = random.Random(seed)
-    FakeState.HOST, FakeState.ADDRESS = f"{NETWORK}.2.0.1", f"{NETWORK}.2.0.1:2379"
+    rng = random.Random(seed)
+    FakeKeyValueStore.HOST, FakeKeyValueStore.ADDRESS = f"{NETWORK}.2.0.1", f"{NETWORK}.2.0.1:2379"
     FakeCloud.HOST, FakeCloud.ADDRESS = f"{NETWORK}.2.0.2", f"{NETWORK}.2.0.2:8443"
     with tempfile.TemporaryDirectory() as folder:
-        world = LoopbackWorld(seed, Path(folder))
-        await world.start()
+        deployment = LoopbackDeployment(seed, Path(folder))
+        await deployment.start()
         await asyncio.sleep(3)
-        users = asyncio.create_task(_submit_at_random(world, chance))
-        pauses = asyncio.create_task(_pause_at_random(world, chance))
+        users = asyncio.create_task(_submit_at_random(deployment, rng))
+        pauses = asyncio.create_task(_pause_at_random(deployment, rng))
         await asyncio.sleep(minutes * 60)
         pauses.cancel()
         users.cancel()
-        for name in world.nodes:
-            world.resume(name)
-        unfinished = await _calm_down(world)
-        for process in world.processes.values():
+        for name in deployment.nodes:
+            deployment.resume(name)
+        unfinished = await _finish(deployment)
+        for process in deployment.processes.values():
             process.kill()
-        logs = "".join((Path(folder) / f"{n}.log").read_text() for n in world.nodes)
-    checker = world.duty_checker
+        logs = "".join((Path(folder) / f"{n}.log").read_text() for n in deployment.nodes)
+    checker = deployment.duty_checker
     return {
         "seed": seed,
         "minutes": minutes,
-        "pauses": world.pauses,
-        "duties taken up": moved(world),
-        "jobs": len(world.jobs),
-        "machines rented": world.cloud.count,
+        "pauses": deployment.pauses,
+        "duties taken up": moved(deployment),
+        "jobs": len(deployment.jobs),
+        "machines rented": deployment.cloud.rented_count,
         "actions checked": checker.actions,
         "calls repeated": checker.repeats,
         "stale": checker.stale,
-        "rules broken": world.rule_checker.broken,
+        "rules broken": deployment.rule_checker.violations,
         "unfinished": unfinished,
         "failed loops": logs.count(" failed"),
     }
 
 
-async def _calm_down(world: LoopbackWorld) -> list[str]:
+async def _finish(deployment: LoopbackDeployment) -> list[str]:
     """Everybody is awake: what is not done, or not returned, after a while."""
     try:
-        async with asyncio.timeout(CALM_S):
-            told = world.rule_checker.told
-            accepted = [ref for ref in world.jobs if ref in told]
-            await world.until_done(*accepted, seconds=CALM_S)
-            await world.until(lambda: not world.cloud.machines, seconds=CALM_S)
+        async with asyncio.timeout(FINISH_S):
+            answered = deployment.rule_checker.last_stage
+            accepted = [ref for ref in deployment.jobs if ref in answered]
+            await deployment.wait_until_done(*accepted, seconds=FINISH_S)
+            await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=FINISH_S)
     except (TimeoutError, AssertionError) as fault:
-        return [f"{type(fault).__name__}: {fault}", *sorted(world.cloud.machines)]
+        return [f"{type(fault).__name__}: {fault}", *sorted(deployment.cloud.machines)]
     return []
 
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,4 +1,4 @@
-"""A world in memory: a fake clock, a fake network, and an event loop that runs on both.
+"""A simulation in memory: a fake clock, a fake network, and an event loop that runs on both.
 
 Controllers run in it unchanged. Time passes only when nobody has anything left to do, so a
 day takes as long as its code takes, and the same seed gives the same day.
@@ -7,6 +7,8 @@
 import asyncio
 import contextvars
 import errno
+import functools
+import inspect
 import random
 import selectors
 from collections.abc import Callable, Coroutine
@@ -19,7 +21,7 @@
 
 
 class _Selector(selectors.BaseSelector):
-    """Instead of waiting, lets the clock jump."""
+    """Instead of waiting, advances the clock."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -78,9 +80,9 @@
 class Network:
     """Listeners by address; links between hosts that can be cut."""
 
-    def __init__(self, loop: "Loop", chance: random.Random) -> None:
+    def __init__(self, loop: "Loop", rng: random.Random) -> None:
         self.loop = loop
-        self.chance = chance
+        self.rng = rng
         self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
         self.taken: set[tuple[str, int]] = set()  # ports that somebody else uses
         self.refusing: set[tuple[str, int]] = set()  # a packet filter before these
@@ -92,6 +94,7 @@
         self.halving: dict[str, float] = {}  # hosts to which the later half of all comes so late
 
     def cut(self, a: str, b: str) -> None:
+        """Hold back all that two hosts send to each other."""
         self.cuts.add(frozenset((a, b)))
 
     def heal(self, a: str, b: str, deliver: bool = True) -> None:
@@ -105,6 +108,7 @@
                 end.other.abort()
 
     def carry(self, end: Transport, data: bytes | None) -> None:
+        """Send bytes, or the end of the connection (None), from one end to the other."""
         link = frozenset((end.here, end.may_be_on_machine))
         late = self.halving.get(end.may_be_on_machine)
         if data is not None and late is not None and link not in self.cuts:
@@ -117,7 +121,7 @@
             self._later(end, data)
 
     def _later(self, end: Transport, data: bytes | None) -> None:
-        takes = self.chance.uniform(0.0003, 0.003) + self.slow.get(end.may_be_on_machine, 0.0)
+        takes = self.rng.uniform(0.0003, 0.003) + self.slow.get(end.may_be_on_machine, 0.0)
         at = max(self.loop.time() + takes, self.order.get(id(end), 0.0))
         self.order[id(end)] = at + 1e-7
         self.loop.call_at(at, self._arrive, end, data)
@@ -143,8 +147,9 @@
     async def connect(
         self, factory: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> tuple[Transport, asyncio.Protocol]:
+        """Open a connection from the current host."""
         here = HOST.get()
-        await asyncio.sleep(self.chance.uniform(0.0003, 0.003))
+        await asyncio.sleep(self.rng.uniform(0.0003, 0.003))
         if frozenset((here, host)) in self.cuts:
             await asyncio.sleep(3600)
         make = self.listeners.get((host, port))
@@ -192,14 +197,17 @@
         self.frozen: dict[str, list[tuple[Any, Any, contextvars.Context]]] = {}
 
     def time(self) -> float:
+        """Simulated seconds."""
         return self._selector.now
 
     # Hosts that stand still: their clocks run on, and all that falls due waits
 
     def freeze(self, host: str) -> None:
+        """A host stands still."""
         self.frozen.setdefault(host, [])
 
     def thaw(self, host: str) -> None:
+        """A host goes on with all that fell due meanwhile."""
         for callback, args, context in self.frozen.pop(host, []):
             self.call_soon(callback, *args, context=context)
 
@@ -210,10 +218,14 @@
         else:
             waiting.append((callback, args, contextvars.copy_context()))
 
-    def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:
+    def call_soon(  # type: ignore[override]  # any callback and any arguments
+        self, callback: Any, *args: Any, context: Any = None
+    ) -> Any:
         return super().call_soon(self._awake, callback, *args, context=context)
 
-    def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> Any:
+    def call_at(  # type: ignore[override]  # any callback and any arguments
+        self, when: float, callback: Any, *args: Any, context: Any = None
+    ) -> Any:
         return super().call_at(when, self._awake, callback, *args, context=context)
 
     def _process_events(self, event_list: Any) -> None:
@@ -238,8 +250,8 @@
         return _Listener(self.net, (host, port))
 
 
-def play(story: Callable[[Loop], Coroutine[Any, Any, None]], seed: int = 1) -> None:
-    """Run a story to its end on a fresh loop and clock."""
+def play(scenario: Callable[[Loop], Coroutine[Any, Any, None]], seed: int = 1) -> None:
+    """Run a scenario to its end on a fresh loop and clock."""
     loop = Loop(seed)
     failures: list[str] = []
     loop.set_exception_handler(lambda _, context: failures.append(str(context)))
@@ -253,7 +265,7 @@
 
     clock.use(steady, time_of_day, seed)
     try:
-        loop.run_until_complete(story(loop))
+        loop.run_until_complete(scenario(loop))
     finally:
         for host in list(loop.frozen):  # what stands still can't be ended
             loop.thaw(host)
@@ -266,6 +278,32 @@
     assert not failures, failures
 
 
+def simulated(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+    """Run an async test on a simulated loop, which it gets as its first argument.
+
+    The other parameters come from pytest as usual. One that is called `seed` also seeds the delays
+    of the network.
+    """
+    signature = inspect.signature(test)
+    _, *others = signature.parameters.values()
+
+    @functools.wraps(test)
+    def run(**values: Any) -> None:
+        play(lambda loop: test(loop, **values), values.get("seed", 1))
+
+    # Without this pytest would look for a fixture called `loop`.
+    run.__signature__ = signature.replace(parameters=others, return_annotation=None)  # type: ignore[attr-defined]
+    return run
+
+
+async def poll_until(condition: Callable[[], bool], interval_s: float) -> None:
+    """Wait for a condition on plain attributes, which no event signals. Simulated time is free."""
+    while True:
+        if condition():
+            return
+        await asyncio.sleep(interval_s)
+
+
 def on_host(host: str, coroutine: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
     """A task on one of the hosts: its connections come from there."""
     context = contextvars.copy_context()
@@ -273,4 +311,4 @@
     return asyncio.get_running_loop().create_task(coroutine, context=context)
 
 
-__all__ = ["HOST", "PEER", "Loop", "Network", "on_host", "play"]
+__all__ = ["HOST", "PEER", "Loop", "Network", "on_host", "play", "poll_until", "simulated"]
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_the_build_writes_byte_code_even_where_the_environment_forbids_it(tmp_path: Path) -> None:
+def test_precompile_writes_byte_code_although_the_environment_disables_it(tmp_path: Path) -> None:
     """Without it each start compiled the standard library's part anew."""
     shutil.copy(ROOT / "run.py", tmp_path)
     shutil.copytree(ROOT / "basaltlead", tmp_path / "basaltlead")
@@ -18,4 +18,5 @@
         [sys.executable, "run.py", "--precompile"], cwd=tmp_path, env=env, check=True, timeout=120
     )
     written = {path.name.partition(".")[0] for path in tmp_path.rglob("target/pycache/**/*.pyc")}
+
     assert {"base_events", "controller", "leader"} <= written
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -1,47 +1,50 @@
-"""What is rented for what waits."""
+"""Fleet sizing: what is rented for waiting tasks."""
 
 from basaltlead.core import fleet_sizing
 from basaltlead.core.entities import US
 from basaltlead.core.fleet_sizing import Demand, Offer
-from tests.fakes import World
-from tests.simulation import Loop, play
-from tests.test_shard import KIND, Story, a_job
+from tests.builders import MACHINE_TYPE, Story, make_job
+from tests.fakes import Deployment
+from tests.simulation import Loop, simulated
 
 BOTH: dict[Offer, int | None] = {Offer("k", "a", True): None, Offer("k", "a", False): None}
 
 
-def _hired(drain_us: float, offers: dict[Offer, int | None]) -> list[bool]:
-    """Whether spot or ordinary, what is hired for a job of 40 tasks while all that is rented
+def _rented(drain_us: float, offers: dict[Offer, int | None]) -> list[bool]:
+    """What is rented, as whether it is spot, for a job of 40 tasks while all that is rented
     would need so long for what waits."""
     story = Story(machines=0)
-    job_state = story.shard.add_job(a_job(tasks=40), 200, story.now)
+    job_state = story.shard.add_job(make_job(tasks=40), 200, story.now)
     needs = [Demand(job_state, 40, drain_us)]
     return [
         offer.spot
-        for offer in fleet_sizing.size(needs, [], [], {"k": KIND}, offers, {}, 12).rentals
+        for offer in fleet_sizing.size(needs, [], [], {"k": MACHINE_TYPE}, offers, {}, 12).rentals
     ]
 
 
-def test_spot_machines_are_hired_early_and_ordinary_ones_for_lasting_backlogs() -> None:
-    assert KIND.boot_us == 5 * US
-    assert _hired(2 * US, BOTH) == []  # done before any comes up
-    assert _hired(5 * US, BOTH) == [True] * 10
+def test_spot_machines_are_rented_early_and_on_demand_ones_for_lasting_backlogs() -> None:
+    assert MACHINE_TYPE.boot_us == 5 * US
+    assert _rented(2 * US, BOTH) == []  # done before any comes up
+    assert _rented(5 * US, BOTH) == [True] * 10
     two_spots = BOTH | {Offer("k", "a", True): 2}
-    assert _hired(5 * US, two_spots) == [True] * 2
-    assert _hired(60 * US, two_spots) == [True] * 2 + [False] * 8
-
-
-def test_machines_are_returned_although_direct_orders_were_never_answered() -> None:
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        await world.start()
-        await world.submit(world.job(1, Pieces=3, RunS=12.0))
-        await world.until(lambda: len(world.on("req-000001")) == 3)
-        for machine in world.cloud.machines.values():
-            machine.answers_lost = True
-        await world.submit(world.job(2, Pieces=3, RunS=3.0))
-        await world.until_done("req-000001", "req-000002")
-        await world.until(lambda: not world.cloud.machines, seconds=150.0)
-        world.verdict()
-
-    play(story)
+
+    assert _rented(5 * US, two_spots) == [True] * 2
+    assert _rented(60 * US, two_spots) == [True] * 2 + [False] * 8
+
+
+@simulated
+async def test_machines_are_returned_although_pushed_starts_were_never_acknowledged(
+    loop: Loop,
+) -> None:
+    deployment = Deployment(loop)
+    await deployment.start()
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=12.0))
+    await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 3)
+
+    for machine in deployment.cloud.machines.values():
+        machine.answers_lost = True
+    await deployment.submit(deployment.job(2, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001", "req-000002")
+    await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=150.0)
+
+    deployment.assert_no_violation()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What may fail is listed by name, and nothing else may."""
+"""KNOWN-RED.txt: tests that are listed there may fail, and no others."""
 
 import subprocess
 import sys
@@ -13,9 +13,11 @@
 
 
 @pytest.mark.parametrize(
-    "text", ["tests/a.py::t | cause", "tests/a.py | cause | 1", "a::b |  | 1", "a::b | c | 1\n" * 4]
+    "text",
+    ["tests/a.py::t | cause", "tests/a.py | cause | 1", "a::b |  | 1", "a::b | c | 1\n" * 4],
+    ids=["no issue", "no test", "empty cause", "four entries"],
 )
-def test_a_file_that_is_not_as_it_must_be_is_refused(text: str) -> None:
+def test_malformed_file_is_refused(text: str) -> None:
     with pytest.raises(known_red.BadFile):
         known_red.parse(text)
 
@@ -24,16 +26,18 @@
     ("listed", "other", "status"),
     [
         ("tests/test_some.py::test_red", True, 0),
-        ("tests/test_some.py::test_red", False, 1),  # only what is listed may fail
-        ("tests/test_some.py::test_gone", True, 4),  # a list that has grown old
+        ("tests/test_some.py::test_red", False, 1),
+        ("tests/test_some.py::test_gone", True, 4),
         (None, True, 1),
     ],
+    ids=["listed one fails", "another fails too", "listed one does not exist", "nothing is listed"],
 )
 def test_only_listed_tests_may_fail(
     listed: str | None, other: bool, status: int, tmp_path: Path
 ) -> None:
     tests = tmp_path / "tests"
     tests.mkdir()
+
     for name in ("conftest.py", "known_red.py", "__init__.py"):
         (tests / name).write_text(CONFTEST.with_name(name).read_text())
     (tests / "test_some.py").write_text(RED.format(other=other))
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -1,11 +1,11 @@
-"""Bids: what moves them, and what a job that can keep no promise any more may bid."""
+"""Bids: what changes them, and what a job that can meet no objective any more may bid."""
 
 from basaltlead.config.settings import Objective
 from basaltlead.core.entities import US, Job, JobState, Machine, MachineType, Shape
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.core.shard import Shard
 from basaltlead.core.shard_state import TeamQuota, Timing
-from tests.test_shard import a_job
+from tests.builders import make_job
 
 TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
@@ -14,20 +14,23 @@
     return Market(TERMS, ["red"], ServiceLevelObjectives.of(objectives))
 
 
-def _work(job: Job) -> JobState:
+def _job_state(job: Job) -> JobState:
     return JobState(job, 1, 0, 0)
 
 
-def test_a_job_is_due_by_the_first_promise_that_it_can_still_keep() -> None:
+def test_job_is_due_by_the_first_objective_that_it_can_still_meet() -> None:
     market = _market(
         Objective("deadline", "reports", times=1.5), Objective("deadline", "reports", times=1.0)
     )
-    job_state = _work(a_job(tasks=4, due_us=100 * US, guess_us=20 * US))
+    job_state = _job_state(make_job(tasks=4, due_us=100 * US, guess_us=20 * US))
+
     assert market.due(job_state, 0).at == 100 * US
     assert market.due(job_state, 90 * US).at == 150 * US  # a task takes 20 s: the first is lost
     assert market.due(job_state, 140 * US).late
-    gang = _work(a_job(shape=Shape.GANG))
-    assert market.due(gang, 0).at is None and not market.due(gang, 0).late
+    gang = _job_state(make_job(shape=Shape.GANG))
+
+    assert market.due(gang, 0).at is None
+    assert not market.due(gang, 0).late
 
 
 def test_tasks_that_must_start_are_due_a_run_later() -> None:
@@ -35,36 +38,40 @@
         Objective("wait", "reports", within_s=60.0),
         Objective("finished", "reports", within_s=300.0),
     )
-    job_state = _work(a_job(tasks=4, guess_us=20 * US))
+    job_state = _job_state(make_job(tasks=4, guess_us=20 * US))
+
     assert market.due(job_state, 0).at == 80 * US
     assert market.due(job_state, 70 * US).at == 300 * US
 
 
-def test_a_late_job_does_not_outbid_those_that_can_be_in_time() -> None:
+def test_late_job_does_not_outbid_jobs_that_can_be_on_time() -> None:
     """All late jobs once bid their team's whole budget, and made the others late too."""
     market = _market()
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
-    late = shard.add_job(a_job(1, tasks=50, due_us=30 * US), 1, 0)
-    hasty = shard.add_job(a_job(2, tasks=50, due_us=200 * US), 1, 0)
+    late = shard.add_job(make_job(1, tasks=50, due_us=30 * US), 1, 0)
+    hasty = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
+
     for second in range(10, 160, 10):
         market.round(shard, second * US)
+
     assert hasty.bid > late.bid > 0
 
 
-def _machine_up(shard: Shard, cpus: float) -> None:
+def _add_machine(shard: Shard, cpus: float) -> None:
     machine_type = MachineType("k", cpus, 0.0, 1000.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a",))
     machine = Machine("m-0", machine_type, "a", False, 0)
     machine.up = True
     shard.add_machine(machine)
 
 
-def test_what_keeps_promises_is_given_out_before_the_rest_is_shared() -> None:
+def test_slots_for_objectives_are_allocated_before_the_rest_is_shared() -> None:
     """A guest team with a full budget once outbid a team that had spent its own on deadlines."""
     market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
-    _machine_up(shard, 100.0)
-    dated = shard.add_job(a_job(1, tasks=90, due_us=200 * US), 1, 0)
-    guest = shard.add_job(a_job(2, tasks=400, team="guests"), 1, 0)
+    _add_machine(shard, 100.0)
+    dated = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
+    guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
+
     dated.need, guest.need = 60, 400
     dated.bid, guest.bid = 0.01, 500.0
     market.share(shard, 0)
@@ -74,39 +81,46 @@
     assert (dated.slots, guest.slots) == (75, 25)
     dated.need = 0
     market.share(shard, 0)
+
     assert (dated.slots, guest.slots) == (0, 100)
 
 
-def test_teams_share_by_their_bids_what_nobody_was_promised() -> None:
+def test_teams_share_the_remaining_slots_by_their_bids() -> None:
     market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
-    _machine_up(shard, 100.0)
-    idle = shard.add_job(a_job(1, tasks=90), 1, 0)
-    guest = shard.add_job(a_job(2, tasks=400, team="guests"), 1, 0)
+    _add_machine(shard, 100.0)
+    idle = shard.add_job(make_job(1, tasks=90), 1, 0)
+    guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
+
     idle.bid, guest.bid = 3.0, 1.0
     market.share(shard, 0)
+
     assert (idle.slots, guest.slots) == (75, 25)
 
 
-def test_late_work_bids_beside_what_can_be_in_time_and_guests_share_the_rest() -> None:
+def test_late_jobs_share_slots_by_their_bids() -> None:
     market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
-    _machine_up(shard, 100.0)
-    late = shard.add_job(a_job(1, tasks=90, due_us=200 * US), 1, 0)
-    hasty = shard.add_job(a_job(2, tasks=90, due_us=900 * US), 1, 0)
-    guest = shard.add_job(a_job(3, tasks=400, team="guests"), 1, 0)
+    _add_machine(shard, 100.0)
+    late = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
+    hasty = shard.add_job(make_job(2, tasks=90, due_us=900 * US), 1, 0)
+    guest = shard.add_job(make_job(3, tasks=400, team="guests"), 1, 0)
+
     late.bid, hasty.bid, guest.bid = 1.0, 2.0, 9.0
     market.share(shard, 300 * US)
+
     assert (late.slots, hasty.slots, guest.slots) == (25, 50, 25)
 
 
-def test_within_a_team_the_job_nearest_to_its_end_comes_first_and_all_begin() -> None:
+def test_within_a_team_the_job_nearest_to_completion_comes_first_and_all_begin() -> None:
     market = Market(TERMS, ["guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"guests": TeamQuota()})
-    _machine_up(shard, 100.0)
+    _add_machine(shard, 100.0)
+
     job_states = [
-        shard.add_job(a_job(number, tasks=tasks, team="guests"), 1, 0)
+        shard.add_job(make_job(number, tasks=tasks, team="guests"), 1, 0)
         for number, tasks in ((1, 80), (2, 60), (3, 90))
     ]
     market.share(shard, 0)
+
     assert [job_state.slots for job_state in job_states] == [39, 60, 1]
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators see of duties, the exported history, and quiet times."""
+"""Operators' commands: duties, the exported history, and quiet times."""
 
 import asyncio
 import os
@@ -28,10 +28,10 @@
     HistoryQuestion,
     OpenIntent,
 )
-from tests.fakes import World
+from tests.fakes import Deployment
 from tests.run_loopback import as_toml
-from tests.simulation import Loop, play
-from tests.test_duties import ON, _started
+from tests.simulation import Loop, simulated
+from tests.test_duties import DUTIES_ON, start_with_duties
 
 SECOND = 1_000_000
 
@@ -39,40 +39,41 @@
 # Who holds what
 
 
-def test_every_controller_gives_the_same_answer_or_says_that_it_does_not_know() -> None:
-    async def story(loop: Loop) -> None:
-        world = await _started(loop)
-        world.cloud.refusing.add("large")
-        await world.submit(world.job(1, Cores=8.0))
-        await asyncio.sleep(15)
-        addresses = [f"{world.host(name)}:8081" for name in world.nodes]
-        answers = [await client._ask(one, DutiesQuestion()) for one in addresses]
-        assert answers[0] == answers[1] == answers[2]
-        told = answers[0]
-        assert isinstance(told, DutiesAnswer) and told.granted and not told.unknown
-        assert {one.duty: one.holder for one in told.duties} == {d: world.holder(d) for d in Duty}
-        assert told.open_count == len(told.intents) > 0
-        assert all("400" in one.refused for one in told.intents)
-        pages = [await client._ask(one, HistoryQuestion("")) for one in addresses]
-        assert pages[0] == pages[1] == pages[2]
-        world.store.down = True
-        for wait_s in (1, 20):  # unanswered at first, then known to be away
-            await asyncio.sleep(wait_s)
-            for address in addresses:
-                assert (await client._ask(address, DutiesQuestion())).unknown
-                assert (await client._ask(address, HistoryQuestion(""))).unknown
-        world.store.outage_over()
-
-    play(story)
+@simulated
+async def test_all_controllers_answer_alike_or_report_that_they_do_not_know(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+
+    deployment.cloud.refused_names.add("large")
+    await deployment.submit(deployment.job(1, Cores=8.0))
+    await asyncio.sleep(15)
+    addresses = [f"{deployment.host(name)}:8081" for name in deployment.nodes]
+    answers = [await client._ask(one, DutiesQuestion()) for one in addresses]
+    assert answers[0] == answers[1] == answers[2]
+    told = answers[0]
+    assert isinstance(told, DutiesAnswer)
+    assert told.granted
+    assert not told.unknown
+    assert {one.duty: one.holder for one in told.duties} == {d: deployment.holder(d) for d in Duty}
+    assert told.open_count == len(told.intents) > 0
+    assert all("400" in one.refused for one in told.intents)
+    pages = [await client._ask(one, HistoryQuestion("")) for one in addresses]
+    assert pages[0] == pages[1] == pages[2]
+    deployment.store.down = True
+    for wait_s in (1, 20):  # unanswered at first, then known to be away
+        await asyncio.sleep(wait_s)
+        for address in addresses:
+            assert (await client._ask(address, DutiesQuestion())).unknown
+            assert (await client._ask(address, HistoryQuestion(""))).unknown
+    deployment.store.end_outage()
 
 
 @pytest.fixture
 def config(tmp_path: Path) -> str:
     path = tmp_path / "settings.toml"
     loop = asyncio.new_event_loop()
-    world = World(Loop())
+    deployment = Deployment(Loop())
     loop.close()
-    path.write_text(as_toml(world.settings_file("node-0")))
+    path.write_text(as_toml(deployment.settings_file("node-0")))
     return str(path)
 
 
@@ -102,8 +103,11 @@
     asked = _answering(answer, monkeypatch)
     assert cli.main(["duties", "--config", config]) == 0
     shown = capsys.readouterr().out
+
     assert "rent       node-2                      7 1970-01-01T00:00:05+00:00" in shown
-    assert "nobody" in shown and "open intents: 1" in shown and "refused: cloud: 400" in shown
+    assert "nobody" in shown
+    assert "open intents: 1" in shown
+    assert "refused: cloud: 400" in shown
     assert cli.main(["duties", "--json", "--controller", "node-1", "--config", config]) == 0
     assert msgspec.json.decode(capsys.readouterr().out, type=DutiesAnswer) == answer
     assert asked == ["10.0.0.1:8081", "10.0.0.2:8081"]
@@ -119,8 +123,9 @@
         (DutiesAnswer(), ["--controller", "node-9"], 2, "no controller node-9"),
         (DutiesAnswer(), ["--config", "/nowhere.toml"], 2, "/nowhere.toml: No such file"),
     ],
+    ids=["refused", "timeout", "closed", "unknown", "no such controller", "no such file"],
 )
-def test_what_goes_wrong_has_a_text_and_an_exit_status(
+def test_errors_have_a_text_and_an_exit_status(
     answer: Any,
     arguments: list[str],
     status: int,
@@ -147,19 +152,22 @@
     return sorted(pages, key=lambda page: page.key)
 
 
-def test_the_exported_history_is_whole_in_order_and_says_where_it_was_cut(tmp_path: Path) -> None:
+def test_exported_history_is_complete_ordered_and_marks_truncation(tmp_path: Path) -> None:
     out = tmp_path / "history.parquet"
+
     done = export([*_pages("rent", 0, 3), *_pages("return", 30, 30 + PAGES)], str(out))
     assert (done.events, done.cut) == (30 + 10 * PAGES, {"return": 300})
     file = pq.ParquetFile(out)
     assert file.metadata.row_group(0).column(0).compression == "ZSTD"
     rows = [row for batch in file.iter_batches(batch_size=64) for row in batch.to_pylist()]
+
     assert len(rows) == done.events
     assert [r["sequence"] for r in rows if r["duty"] == "return"] == list(range(300, 940))
-    assert rows[0]["count"] == 2 and rows[0]["names"] == ["m-1", "m-2"]
+    assert rows[0]["count"] == 2
+    assert rows[0]["names"] == ["m-1", "m-2"]
 
 
-def test_an_export_that_fails_leaves_no_file(tmp_path: Path) -> None:
+def test_failed_export_leaves_no_file(tmp_path: Path) -> None:
     def broken() -> Any:
         yield from _pages("rent", 0, 2)
         raise client.NotKnown("the state service does not answer")
@@ -169,23 +177,22 @@
     assert list(tmp_path.iterdir()) == []
 
 
-def test_the_recorded_history_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+@simulated
+async def test_the_recorded_history_is_bounded(loop: Loop, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("basaltlead.duties.history.PAGES", 3)
 
-    async def story(loop: Loop) -> None:
-        world = await _started(loop)
-        name = world.holder(Duty.SCALE_IN)
-        assert name is not None
-        history = world.parts[name].duties.holders[Duty.SCALE_IN].history
-        for number in range(400):
-            await history.commit([], [], event("returned", f"1-{number}", SECOND, ["m-1"]))
-        rows = [v[0] for k, v in world.store.keys.items() if k.startswith("history/return/")]
-        assert len(rows) == 3
-        newest = max(rows, key=lambda page: page["number"])
-        assert newest["first"] + len(newest["events"]) == 401  # with the taking up
-        assert not world.duty_checker.stale
+    deployment = await start_with_duties(loop)
+    name = deployment.acting_holder(Duty.SCALE_IN)
+    history = deployment.controllers[name].duties.holders[Duty.SCALE_IN].history
+
+    for number in range(400):
+        await history.commit([], [], event("returned", f"1-{number}", SECOND, ["m-1"]))
+    rows = [v[0] for k, v in deployment.store.keys.items() if k.startswith("history/return/")]
+    assert len(rows) == 3
+    newest = max(rows, key=lambda page: page["number"])
 
-    play(story)
+    assert newest["first"] + len(newest["events"]) == 401  # with the taking up
+    assert not deployment.duty_checker.stale
 
 
 # Quiet times
@@ -220,8 +227,9 @@
 @pytest.mark.parametrize(
     ("day", "hours"),
     [((2026, 3, 28), 4), ((2026, 3, 29), 3), ((2026, 10, 25), 5), ((2026, 10, 26), 4)],
+    ids=["before spring", "spring", "autumn", "after autumn"],
 )
-def test_a_quiet_time_follows_the_clock_of_its_zone(
+def test_quiet_time_follows_the_clock_of_its_time_zone(
     day: tuple[int, int, int], hours: int, tmp_path: Path
 ) -> None:
     """It lasts from one to five by the wall: an hour less or more when the clock changes."""
@@ -234,6 +242,7 @@
     now[0] = start + hours * HOUR_US - 1
     assert times.current() is not None
     now[0] += 1
+
     assert times.current() is None
 
 
@@ -249,8 +258,18 @@
         ({"RRULE": "RRULE:FREQ=NOW"}, "line 8: RRULE: "),
         ({"UID": "what is this"}, "line 5: what is this: not a content line"),
     ],
+    ids=[
+        "no zone",
+        "unknown zone",
+        "date without time",
+        "malformed end",
+        "end before start",
+        "no end",
+        "malformed rule",
+        "malformed line",
+    ],
 )
-def test_a_bad_calendar_is_refused_by_line_and_field(
+def test_bad_calendar_is_refused_with_line_and_field(
     changes: dict[str, str],
     text: str,
     config: str,
@@ -260,11 +279,12 @@
     path = _calendar(tmp_path, **changes)
     operator = tmp_path / "operator.yaml"
     operator.write_text(f"quiet: {{calendar: {path}, most_cost: 2.0}}\n")
+
     assert cli.main(["serve", "--operator", str(operator), "--config", config]) == 2
     assert text in capsys.readouterr().err
 
 
-def test_a_calendar_that_goes_bad_leaves_the_last_good_one_in_force(tmp_path: Path) -> None:
+def test_calendar_that_becomes_invalid_leaves_the_last_valid_one_in_force(tmp_path: Path) -> None:
     now = [_at("Europe/Berlin", 2026, 5, 5, 2)]
     path = _calendar(tmp_path)
     times = QuietTimes(path, lambda: now[0])
@@ -278,46 +298,49 @@
     _calendar(tmp_path, "Asia/Tokyo")
     os.utime(path, (2, 2))
     now[0] += 120 * SECOND
+
     assert times.current() is None  # it is nine there
 
 
-def test_no_more_is_spent_than_the_bound_however_often_the_owner_changes() -> None:
+@simulated
+async def test_quiet_budget_holds_across_failovers(loop: Loop) -> None:
     stored: list[StoredQuiet] = []
 
     async def reserve(one: StoredQuiet) -> bool:
         stored.append(one)
         return True
 
-    async def story(loop: Loop) -> None:
-        spent, now = 0.0, 0
-        for _ in range(40):
-            allowance = QuietBudget(2.0, reserve)
-            if stored:
-                allowance.load(stored[-1])
-            for _ in range(200):
-                now += SECOND
-                if allowance.begin(QuietTime(1, HOUR_US), now):
-                    await allowance.reserve_more()
-                spent += 3.0 / 3600 * allowance.keeps(3.0)
-        assert 0.5 < spent <= 2.0 + 1e-9
-
-    play(story)
-
-
-def test_idle_machines_stay_for_a_quiet_time_as_long_as_there_is_money(tmp_path: Path) -> None:
-    async def story(loop: Loop) -> None:
-        day = CALENDAR.format(zone="UTC").replace("T01", "T00").replace("T05", "T23")
-        path = tmp_path / "quiet.ics"
-        path.write_text(day.replace("2026", "2020"))
-        quiet = {"calendar": str(path), "most_cost": 0.02}  # 12 minutes of a spot machine
-        world = World(loop, operator={"quiet": quiet, **ON})
-        await world.start()
-        await world.submit(world.job(1, Pieces=3, RunS=3.0))
-        await world.until_done("req-000001")
-        held = len(world.cloud.machines)
-        await asyncio.sleep(200)  # without quiet times they go within 100 s
-        assert len(world.cloud.machines) == held
-        await world.until(lambda: not world.cloud.machines, seconds=900.0)  # long before 23:00
-        world.verdict()
-
-    play(story)
+    spent, now = 0.0, 0
+
+    for _ in range(40):
+        allowance = QuietBudget(2.0, reserve)
+        if stored:
+            allowance.load(stored[-1])
+        for _ in range(200):
+            now += SECOND
+            if allowance.begin(QuietTime(1, HOUR_US), now):
+                await allowance.reserve_more()
+            spent += 3.0 / 3600 * allowance.keeps(3.0)
+
+    assert 0.5 < spent <= 2.0 + 1e-9
+
+
+@simulated
+async def test_idle_machines_are_retained_in_a_quiet_time_within_the_budget(
+    loop: Loop, tmp_path: Path
+) -> None:
+    day = CALENDAR.format(zone="UTC").replace("T01", "T00").replace("T05", "T23")
+    path = tmp_path / "quiet.ics"
+    path.write_text(day.replace("2026", "2020"))
+    quiet = {"calendar": str(path), "most_cost": 0.02}  # 12 minutes of a spot machine
+    deployment = Deployment(loop, operator={"quiet": quiet, **DUTIES_ON})
+    await deployment.start()
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001")
+    held = len(deployment.cloud.machines)
+    await asyncio.sleep(200)  # without quiet times they go within 100 s
+    assert len(deployment.cloud.machines) == held
+    # Long before 23:00
+    await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=900.0)
+
+    deployment.assert_no_violation()
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Seeded days on which everything fails, alone and overlapping; no rule may break."""
+"""Random faults by seed, alone and overlapping; no rule may be violated."""
 
 import asyncio
 import random
@@ -6,162 +6,173 @@
 import pytest
 
 from basaltlead.duties.model import Duty
-from tests.fakes import World
-from tests.simulation import Loop, play
+from tests.fakes import Deployment
+from tests.simulation import Loop, play, poll_until
 
 
-async def _users(world: World, chance: random.Random, jobs: int) -> None:
+async def _users(deployment: Deployment, rng: random.Random, jobs: int) -> None:
     """Submits, repeats, cancels and polls, at any node."""
     for number in range(1, jobs + 1):
-        shape = chance.choice(["batch", "batch", "group"])
-        job = world.job(
+        shape = rng.choice(["batch", "batch", "group"])
+        job = deployment.job(
             number,
-            Crew=chance.choice(["red", "blue"]),
+            Crew=rng.choice(["red", "blue"]),
             Shape=shape,
-            Pieces=chance.choice([1, 3, 8]) if shape == "batch" else chance.choice([1, 3]),
-            Cores=chance.choice([1.0, 2.0]),
-            Rank=chance.choice(["best_effort", "standard", "high"]),
-            RunS=chance.choice([1.0, 4.0, 12.0]),
-            OneZone=chance.random() < 0.2,
-            Apart=shape == "batch" and chance.random() < 0.2,
-            Loaners=chance.random() < 0.7,
+            Pieces=rng.choice([1, 3, 8]) if shape == "batch" else rng.choice([1, 3]),
+            Cores=rng.choice([1.0, 2.0]),
+            Rank=rng.choice(["best_effort", "standard", "high"]),
+            RunS=rng.choice([1.0, 4.0, 12.0]),
+            OneZone=rng.random() < 0.2,
+            Apart=shape == "batch" and rng.random() < 0.2,
+            Loaners=rng.random() < 0.7,
         )
-        await world.submit(job)
-        if chance.random() < 0.25:
-            await asyncio.sleep(chance.uniform(0, 6))
-            await world.cancel(job["Ref"])
+        await deployment.submit(job)
+        if rng.random() < 0.25:
+            await asyncio.sleep(rng.uniform(0, 6))
+            await deployment.cancel(job["Ref"])
         for _ in range(2):
-            ref = f"req-{chance.randint(1, number):06d}"
-            await world.poll(ref)
-        await world.poll(f"req-{chance.randint(500, 600):06d}")
-        await asyncio.sleep(chance.uniform(0, 4))
+            ref = f"req-{rng.randint(1, number):06d}"
+            await deployment.poll(ref)
+        await deployment.poll(f"req-{rng.randint(500, 600):06d}")
+        await asyncio.sleep(rng.uniform(0, 4))
 
 
-async def _service_users(world: World, chance: random.Random, services: int) -> None:
+async def _service_users(deployment: Deployment, rng: random.Random, services: int) -> None:
     """Start services, look at them, and cancel some, once the cluster takes any."""
     for number in range(501, 501 + services):
-        job = world.service(
+        job = deployment.service(
             number,
-            Crew=chance.choice(["red", "blue"]),
-            Pieces=chance.choice([1, 3, 4]),
-            Apart=chance.random() < 0.5,
-            Rank=chance.choice(["production", "production", "standard"]),
+            Crew=rng.choice(["red", "blue"]),
+            Pieces=rng.choice([1, 3, 4]),
+            Apart=rng.random() < 0.5,
+            Rank=rng.choice(["production", "production", "standard"]),
         )
-        await world.submit(job)
-        await asyncio.sleep(chance.uniform(0, 10))
-        await world.poll(job["Ref"])
-        if chance.random() < 0.5:
-            await world.cancel(job["Ref"])
-
-
-async def _upgrade(world: World, chance: random.Random) -> None:
-    """Each process is replaced in its turn; one that dies before comes back as it was."""
-    for name in world.nodes:
-        await asyncio.sleep(chance.uniform(1, 10))
-        while name not in world.running or world.host(name) in world.loop.frozen:
-            await asyncio.sleep(0.5)
-        world.crash(name)
-        world.old.discard(name)
-        await asyncio.sleep(chance.uniform(0.2, 3))
-        if name not in world.running:
-            world.boot(name)
+        await deployment.submit(job)
+        await asyncio.sleep(rng.uniform(0, 10))
+        await deployment.poll(job["Ref"])
+        if rng.random() < 0.5:
+            await deployment.cancel(job["Ref"])
+
+
+def _is_running(deployment: Deployment, name: str) -> bool:
+    frozen = deployment.host(name) in deployment.loop.frozen
+    return name in deployment.controller_tasks and not frozen
+
 
+async def _upgrade(deployment: Deployment, rng: random.Random) -> None:
+    """Replace each process in turn; one that crashes before its turn keeps its version."""
+    for name in deployment.nodes:
+        await asyncio.sleep(rng.uniform(1, 10))
+        await poll_until(lambda name=name: _is_running(deployment, name), 0.5)
+        deployment.crash(name)
+        deployment.old_version_nodes.discard(name)
+        await asyncio.sleep(rng.uniform(0.2, 3))
+        if name not in deployment.controller_tasks:
+            deployment.start_controller(name)
 
-KINDS = 21  # of troubles on any day
-DUTY_KINDS = 3  # and on days with duties
 
+FAULT_KINDS = 21  # without duties
+DUTY_FAULT_KINDS = 3  # more, with duties
 
-async def _trouble(world: World, chance: random.Random, fault_kinds: int = KINDS) -> None:
-    """One trouble after the other, often before the last one is over."""
+
+async def _inject_faults(
+    deployment: Deployment, rng: random.Random, fault_kinds: int = FAULT_KINDS
+) -> None:
+    """Inject one fault after the other, often before the last one is over."""
     pending: list[asyncio.Task[None]] = []
 
     async def cut(name: str, store: bool, seconds: float) -> None:
-        world.isolate(name, store=store, cloud=chance.random() < 0.5)
+        deployment.isolate(name, store=store, cloud=rng.random() < 0.5)
         await asyncio.sleep(seconds)
-        world.rejoin(name, deliver=chance.random() < 0.7)
+        deployment.rejoin(name, deliver=rng.random() < 0.7)
 
     async def crash(name: str, seconds: float) -> None:
-        if name in world.running and world.host(name) not in world.loop.frozen:
-            world.crash(name)
+        if (
+            name in deployment.controller_tasks
+            and deployment.host(name) not in deployment.loop.frozen
+        ):
+            deployment.crash(name)
             await asyncio.sleep(seconds)
-            if name not in world.running:
-                world.boot(name)
+            if name not in deployment.controller_tasks:
+                deployment.start_controller(name)
 
     async def outage(seconds: float) -> None:
-        world.store.down = True
+        deployment.store.down = True
         await asyncio.sleep(seconds)
-        world.store.outage_over()
+        deployment.store.end_outage()
 
     async def refused(name: str, seconds: float) -> None:
-        world.net.cut(world.host(name), world.store.HOST)
+        deployment.net.cut(deployment.host(name), deployment.store.HOST)
         await asyncio.sleep(seconds)
-        world.net.heal(world.host(name), world.store.HOST, deliver=chance.random() < 0.5)
+        deployment.net.heal(
+            deployment.host(name), deployment.store.HOST, deliver=rng.random() < 0.5
+        )
 
-    async def ail(what: str, seconds: float) -> None:
-        """A machine hangs, or is deaf, for a while."""
-        machines = [m for m in world.cloud.machines.values() if m.up]
+    async def break_machine(what: str, seconds: float) -> None:
+        """A machine hangs, or is unreachable, for a while."""
+        machines = [m for m in deployment.cloud.machines.values() if m.up]
         if machines:
-            machine = chance.choice(machines)
+            machine = rng.choice(machines)
             setattr(machine, what, True)
             await asyncio.sleep(seconds)
             setattr(machine, what, False)
 
-    async def estranged(name: str, seconds: float) -> None:
-        world.estrange(name)
+    async def lose_store_and_peers(name: str, seconds: float) -> None:
+        deployment.cut_from_store_and_peers(name)
         await asyncio.sleep(seconds)
-        world.reconcile(name, deliver=chance.random() < 0.7)
+        deployment.rejoin_store_and_peers(name, deliver=rng.random() < 0.7)
 
     async def slow(name: str, seconds: float) -> None:
-        world.net.slow[world.host(name)] = chance.uniform(0.1, 0.6)
+        deployment.net.slow[deployment.host(name)] = rng.uniform(0.1, 0.6)
         await asyncio.sleep(seconds)
-        world.net.slow.pop(world.host(name), None)
+        deployment.net.slow.pop(deployment.host(name), None)
 
     async def slow_state(seconds: float) -> None:
-        world.store.slowness = 10.0
+        deployment.store.slowness = 10.0
         await asyncio.sleep(seconds)
-        world.store.slowness = 1.0
+        deployment.store.slowness = 1.0
 
     async def peers_refuse(seconds: float) -> None:
-        internal = {(world.host(name), 8081) for name in world.nodes}
-        world.net.refusing |= internal
+        internal = {(deployment.host(name), 8081) for name in deployment.nodes}
+        deployment.net.refusing |= internal
         await asyncio.sleep(seconds)
-        world.net.refusing -= internal
+        deployment.net.refusing -= internal
 
     async def refused_alone(name: str, seconds: float) -> None:
-        world.store.refused.add(world.host(name))
+        deployment.store.refused_hosts.add(deployment.host(name))
         await asyncio.sleep(seconds)
-        world.store.refused.discard(world.host(name))
+        deployment.store.refused_hosts.discard(deployment.host(name))
 
     async def late_writes(seconds: float) -> None:
-        world.store.late_writes = chance.choice([0.1, 0.4])
+        deployment.store.late_write_share = rng.choice([0.1, 0.4])
         await asyncio.sleep(seconds)
-        world.store.late_writes = 0.0
+        deployment.store.late_write_share = 0.0
 
     async def refused_then_all(name: str) -> None:
-        world.store.refused.add(world.host(name))
-        await asyncio.sleep(chance.uniform(0.5, 3))
-        world.store.down = True
-        await asyncio.sleep(chance.choice([5.0, 25.0]))
-        world.store.refused.discard(world.host(name))
-        world.store.outage_over()
-
-    async def stand_still(name: str, seconds: float) -> None:
-        world.freeze(name)
+        deployment.store.refused_hosts.add(deployment.host(name))
+        await asyncio.sleep(rng.uniform(0.5, 3))
+        deployment.store.down = True
+        await asyncio.sleep(rng.choice([5.0, 25.0]))
+        deployment.store.refused_hosts.discard(deployment.host(name))
+        deployment.store.end_outage()
+
+    async def freeze(name: str, seconds: float) -> None:
+        deployment.freeze(name)
         await asyncio.sleep(seconds)
-        world.thaw(name)
+        deployment.thaw(name)
 
-    async def cloud_trouble(seconds: float) -> None:
-        world.cloud.trouble = chance.choice([429, 503])
+    async def cloud_errors(seconds: float) -> None:
+        deployment.cloud.error_status = rng.choice([429, 503])
         await asyncio.sleep(seconds)
-        world.cloud.trouble = 0
+        deployment.cloud.error_status = 0
 
     async def slow_cloud(seconds: float) -> None:
-        world.cloud.slowness = 3.0
+        deployment.cloud.answer_delay_s = 3.0
         await asyncio.sleep(seconds)
-        world.cloud.slowness = 0.02
+        deployment.cloud.answer_delay_s = 0.02
 
     async def hang_many(seconds: float) -> None:
-        machines = [m for m in world.cloud.machines.values() if m.up and chance.random() < 0.4]
+        machines = [m for m in deployment.cloud.machines.values() if m.up and rng.random() < 0.4]
         for machine in machines:
             machine.hung = True
         await asyncio.sleep(seconds)
@@ -169,21 +180,21 @@
             machine.hung = False
 
     async def die_many() -> None:
-        for name in list(world.cloud.machines):
-            if chance.random() < 0.3:
-                world.cloud.machines.pop(name).stop()
+        for name in list(deployment.cloud.machines):
+            if rng.random() < 0.3:
+                deployment.cloud.machines.pop(name).stop()
 
     async def die() -> None:
-        if world.cloud.machines:
-            name = chance.choice(list(world.cloud.machines))
-            world.cloud.machines.pop(name).stop()
+        if deployment.cloud.machines:
+            name = rng.choice(list(deployment.cloud.machines))
+            deployment.cloud.machines.pop(name).stop()
 
     while True:
-        await asyncio.sleep(chance.uniform(1, 8))
-        name = chance.choice(world.nodes)
-        seconds = chance.choice([0.3, 2.0, 7.0, 15.0])
-        fault_kind = chance.randrange(fault_kinds)
-        if world.host(name) in world.loop.frozen:
+        await asyncio.sleep(rng.uniform(1, 8))
+        name = rng.choice(deployment.nodes)
+        seconds = rng.choice([0.3, 2.0, 7.0, 15.0])
+        fault_kind = rng.randrange(fault_kinds)
+        if deployment.host(name) in deployment.loop.frozen:
             continue  # nothing else can befall it
         if fault_kind == 0:
             fault = cut(name, True, seconds)
@@ -196,21 +207,21 @@
         elif fault_kind == 5:
             fault = refused(name, seconds)
         elif fault_kind == 6:
-            fault = ail("hung", seconds)
+            fault = break_machine("hung", seconds)
         elif fault_kind == 7:
-            fault = ail("deaf", seconds)
+            fault = break_machine("unreachable", seconds)
         elif fault_kind == 8:
-            fault = estranged(name, seconds)
+            fault = lose_store_and_peers(name, seconds)
         elif fault_kind == 9:  # back at once, with the last message still on its way
-            fault = crash(name, chance.uniform(0.05, 0.4))
-        elif fault_kind == 10 and world.host(name) not in world.net.slow:
+            fault = crash(name, rng.uniform(0.05, 0.4))
+        elif fault_kind == 10 and deployment.host(name) not in deployment.net.slow:
             fault = slow(name, seconds)
         elif fault_kind == 11:
             fault = slow_state(seconds)
         elif fault_kind == 12:
             fault = peers_refuse(seconds)
         elif fault_kind == 13:
-            fault = stand_still(name, seconds)
+            fault = freeze(name, seconds)
         elif fault_kind == 14:
             fault = hang_many(seconds)
         elif fault_kind == 15:
@@ -222,15 +233,14 @@
         elif fault_kind == 18:
             fault = refused_then_all(name)
         elif fault_kind == 19:
-            fault = ail("mute", seconds)
+            fault = break_machine("sends_no_heartbeats", seconds)
         elif fault_kind == 21:
-            fault = cloud_trouble(seconds)
+            fault = cloud_errors(seconds)
         elif fault_kind == 22:
             fault = slow_cloud(seconds)
-        elif (
-            fault_kind == 23
-        ):  # whoever holds a duty, and long enough to be replaced in all that it has
-            fault = stand_still(world.holder(chance.choice(list(Duty))) or name, 60.0)
+        # Whoever holds a duty, and long enough to be replaced in all that it has
+        elif fault_kind == 23:
+            fault = freeze(deployment.holder(rng.choice(list(Duty))) or name, 60.0)
         else:
             fault = die()
         pending.append(asyncio.get_running_loop().create_task(fault))
@@ -238,85 +248,91 @@
 
 @pytest.mark.parametrize("shards", [1, 3])
 @pytest.mark.parametrize("seed", range(10))
-def test_no_rule_breaks_on_a_day_of_random_failures(seed: int, shards: int) -> None:
-    _play_day(seed, shards, machines=12, count=25)
+def test_rules_hold_under_random_faults(seed: int, shards: int) -> None:
+    _run_with_faults(seed, shards, machines=12, count=25)
 
 
 @pytest.mark.parametrize("seed", range(100, 103))
-def test_no_rule_breaks_on_such_a_day_of_a_large_fleet(seed: int) -> None:
-    _play_day(seed, shards=1, machines=70, count=70)
+def test_rules_hold_under_random_faults_in_a_larger_fleet(seed: int) -> None:
+    _run_with_faults(seed, shards=1, machines=70, count=70)
 
 
 @pytest.mark.parametrize("seed", range(200, 208))
-def test_no_rule_breaks_with_services_across_an_upgrade(seed: int) -> None:
+def test_rules_hold_with_services_across_an_upgrade(seed: int) -> None:
     """Both versions at fault, and limits that fall some time after the last old process."""
-    _play_day(seed, shards=1 if seed % 4 else 3, machines=12, count=15, standing=8)
+    _run_with_faults(seed, shards=1 if seed % 4 else 3, machines=12, count=15, services=8)
 
 
 @pytest.mark.parametrize("shards", [1, 3])
 @pytest.mark.parametrize("seed", range(300, 306))
-def test_no_rule_breaks_and_no_stale_holder_acts_with_duties(seed: int, shards: int) -> None:
-    _play_day(seed, shards, machines=12, count=25, duties=True)
+def test_rules_hold_and_no_stale_holder_acts_with_duties(seed: int, shards: int) -> None:
+    _run_with_faults(seed, shards, machines=12, count=25, duties=True)
 
 
 @pytest.mark.parametrize("seed", range(400, 403))
-def test_no_rule_breaks_across_an_upgrade_to_duties(seed: int) -> None:
-    _play_day(seed, shards=1, machines=12, count=15, standing=8, duties=True)
+def test_rules_hold_across_an_upgrade_to_duties(seed: int) -> None:
+    _run_with_faults(seed, shards=1, machines=12, count=15, services=8, duties=True)
 
 
-async def _second_half(world: World, chance: random.Random, services: int) -> None:
+async def _upgrade_and_serve(deployment: Deployment, rng: random.Random, services: int) -> None:
     if not services:
         return
-    await _upgrade(world, chance)
-    lowering = asyncio.get_running_loop().call_later(chance.uniform(0, 20), world.lower_limits)
-    await _service_users(world, chance, services)
+    await _upgrade(deployment, rng)
+    lowering = asyncio.get_running_loop().call_later(
+        rng.uniform(0, 20), deployment.apply_announced_limits
+    )
+    await _service_users(deployment, rng, services)
     lowering.cancel()
-    world.lower_limits()
+    deployment.apply_announced_limits()
 
 
-def _play_day(
-    seed: int, shards: int, machines: int, count: int, standing: int = 0, duties: bool = False
+def _run_with_faults(
+    seed: int, shards: int, machines: int, count: int, services: int = 0, duties: bool = False
 ) -> None:
-    async def story(loop: Loop) -> None:
-        chance = random.Random(seed)
+    async def scenario(loop: Loop) -> None:
+        rng = random.Random(seed)
         limits = {"blue": machines / 2} if seed % 2 else None
-        later = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0} if standing else None
+        announced_limits = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0} if services else None
         operator = {"blocks": shards, "duties": duties}
-        world = World(loop, seed, limits=limits, operator=operator, later=later)
-        world.old = set(world.nodes) if standing else set()
-        world.copies = 0.1
-        world.cloud.capacity = machines
-        await world.start()
-        fault_kinds = KINDS + DUTY_KINDS * duties
-        trouble = loop.create_task(_trouble(world, chance, fault_kinds))
-        users = loop.create_task(_users(world, chance, count))
-        rest = loop.create_task(_second_half(world, chance, standing))
-        while not (users.done() and rest.done()):
-            world.rule_checker.check()
+        deployment = Deployment(
+            loop, seed, limits=limits, operator=operator, announced_limits=announced_limits
+        )
+        deployment.old_version_nodes = set(deployment.nodes) if services else set()
+        deployment.heartbeat_copy_rate = 0.1
+        deployment.cloud.capacity = machines
+        await deployment.start()
+        fault_kinds = FAULT_KINDS + DUTY_FAULT_KINDS * duties
+        faults = loop.create_task(_inject_faults(deployment, rng, fault_kinds))
+        users = loop.create_task(_users(deployment, rng, count))
+        upgrade = loop.create_task(_upgrade_and_serve(deployment, rng, services))
+        while not (users.done() and upgrade.done()):
+            deployment.rule_checker.check()
             for shard in range(shards):
-                world.shard_leader(shard)  # never two
+                deployment.shard_leader(shard)  # never two
             for duty in Duty:
-                world.holder(duty)
+                deployment.holder(duty)
             await asyncio.sleep(0.5)
         await users
-        await rest
-        trouble.cancel()
+        await upgrade
+        faults.cancel()
         # Everything heals; every job that was accepted and not cancelled must come to its end.
-        world.heal()
-        assert not any(task.done() for task in world.running.values())
-        left = [ref for ref in world.jobs if ref not in world.rule_checker.cancelled_at]
-        services = [ref for ref in left if world.jobs[ref]["Shape"] == "service"]
-        jobs = set(left) - set(services)
+        deployment.end_all_faults()
+        assert not any(task.done() for task in deployment.controller_tasks.values())
+        left = [ref for ref in deployment.jobs if ref not in deployment.rule_checker.cancelled_at]
+        service_refs = [ref for ref in left if deployment.jobs[ref]["Shape"] == "service"]
+        jobs = set(left) - set(service_refs)
         if limits is None:
-            await world.until_done(*jobs, seconds=400)
+            await deployment.wait_until_done(*jobs, seconds=400)
         # Services hold a team's limit for as long as they stand: others of it wait for that.
-        unlimited = [ref for ref in services if world.jobs[ref]["Crew"] not in (limits or {})]
-        await world.until_served(*unlimited, seconds=120)
-        for ref in services:
-            await world.cancel(ref)
-        await asyncio.sleep(world.cancel_s)
-        assert not any(world.on(ref) for ref in services)
-        await world.until_done(*jobs, seconds=400)
-        world.verdict()
-
-    play(story, seed)
+        unlimited = [
+            ref for ref in service_refs if deployment.jobs[ref]["Crew"] not in (limits or {})
+        ]
+        await deployment.wait_until_served(*unlimited, seconds=120)
+        for ref in service_refs:
+            await deployment.cancel(ref)
+        await asyncio.sleep(deployment.cancel_s)
+        assert not any(deployment.running_tasks(ref) for ref in service_refs)
+        await deployment.wait_until_done(*jobs, seconds=400)
+        deployment.assert_no_violation()
+
+    play(scenario, seed)
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -1,4 +1,4 @@
-"""Replicas of services against single messages and plans. Each is a guard."""
+"""Placement of replicas, tested on one shard by single messages and plans."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.core.planning import plan
 from basaltlead.storage.result_rows import ResultLayout, load_results
-from tests.test_shard import TIMING, Story, a_job, listed
+from tests.builders import TIMING, Story, make_job, task_status
 
 PRODUCTION = RANKS["production"]
 TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
@@ -28,22 +28,26 @@
     for machine in {attempt.machine.name: None for attempt in job_state.live.values()}:
         attempts = story.shard.machines[machine].attempts
         story.heartbeat(
-            machine, *(listed(a, "running") for a in attempts.values() if a.may_be_on_machine)
+            machine, *(task_status(a, "running") for a in attempts.values() if a.may_be_on_machine)
         )
-        story.heartbeat(machine, *(listed(a, "running") for a in attempts.values()))
+        story.heartbeat(machine, *(task_status(a, "running") for a in attempts.values()))
 
 
-def test_results_that_somebody_stored_of_a_service_are_not_believed() -> None:
+def test_stored_results_of_a_service_are_ignored() -> None:
     """The version before took services for arrays: a replica that had ended was a result."""
-    job_state = JobState(a_job(shape=Shape.SERVICE, tasks=3), 5, 0, 0)
+    job_state = JobState(make_job(shape=Shape.SERVICE, tasks=3), 5, 0, 0)
     row = msgspec.Raw(b'{"done":"Bw==","count":3,"running":0}')
     load_results(job_state, 0, 0, 0, row, ResultLayout(8192))
-    assert job_state.done_count == 0 and job_state.remaining == 3 and not job_state.complete
 
+    assert job_state.done_count == 0
+    assert job_state.remaining == 3
+    assert not job_state.complete
 
-def test_a_service_that_only_fails_stops_nobody_elses_work() -> None:
+
+def test_service_that_always_fails_preempts_nothing() -> None:
     story = Story(machines=3)
     others = story.submit(1, tasks=12)
+
     _run(story, others)
     service = _service(story, 2)
     for _ in range(2):  # two tries, on two machines, for each of which somebody gives way
@@ -51,13 +55,13 @@
         (victim,) = (a for a in others.live.values() if a.stop_grace_s is not None)
         name = attempt.machine.name
         staying = [
-            listed(a, "running")
+            task_status(a, "running")
             for a in others.live.values()
             if a.machine.name == name and a.stop_grace_s is None
         ]
-        story.heartbeat(name, *staying, listed(victim, "ended", "stopped"))
-        story.heartbeat(name, *staying, listed(attempt, "running"))
-        story.heartbeat(name, *staying, listed(attempt, "ended", "error"))
+        story.heartbeat(name, *staying, task_status(victim, "ended", "stopped"))
+        story.heartbeat(name, *staying, task_status(attempt, "running"))
+        story.heartbeat(name, *staying, task_status(attempt, "ended", "error"))
         plan(story.shard, story.now)
     for _ in range(40):
         story.now += US
@@ -67,20 +71,23 @@
         assert all(attempt.stop_grace_s is None for attempt in others.live.values())
 
 
-def test_a_replica_is_never_about_to_end() -> None:
+def test_replica_has_no_expected_end() -> None:
     """With a guess of 0 the machine under it seemed to be the first to fall empty."""
     story = Story(machines=1)
     service = _service(story)
+
     assert story.shard.guess_us(service) == STANDING_US
     _run(story, service)
     story.now += 2 * STANDING_US
+
     assert story.shard.guess_us(service) == STANDING_US
     assert service.ran_count == 0
 
 
-def test_a_replica_goes_at_the_last_moment_if_there_is_no_place_for_it() -> None:
+def test_replica_without_another_place_is_stopped_at_the_last_moment() -> None:
     story = Story(machines=1)
     service = _service(story)
+
     _run(story, service)
     (attempt,) = service.live.values()
     attempt.machine.preemption_at = story.now + 20 * US
@@ -94,12 +101,14 @@
         assert attempt.stop_grace_s is None
     story.now += 20 * US - 16 * US - 2 * TIMING.heartbeat_interval_us - US
     story.shard.advance(story.now)
+
     assert attempt.stop_grace_s == 0.0
 
 
-def test_a_replica_moves_at_once_if_there_is_a_place_and_starts_only_when_it_is_gone() -> None:
+def test_replica_moves_at_once_if_there_is_room_and_restarts_after_it_stopped() -> None:
     story = Story(machines=1)
     service = _service(story)
+
     _run(story, service)
     (attempt,) = service.live.values()
     story.add("m-1")
@@ -110,17 +119,19 @@
     plan(story.shard, story.now)
     assert list(service.live.values()) == [attempt]
     assert story.heartbeat("m-1") == []
-    story.heartbeat("m-0", listed(attempt, "ended", "stopped"))
+    story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
     attempt.machine.preemption_at = story.now + 19 * US
     plan(story.shard, story.now)
+
     assert story.heartbeat("m-1") == [("run", "req-000001/0")]
 
 
-def test_what_replicas_hold_is_not_for_sale_and_their_bids_follow_what_runs() -> None:
+def test_slots_of_replicas_are_not_auctioned_and_their_bids_follow_running_replicas() -> None:
     story = Story(machines=2)
     service = _service(story, tasks=4)
     array = story.submit(2, tasks=20)
     market = Market(TERMS, ["red"], ServiceLevelObjectives())
+
     market.share(story.shard, story.now)
     assert service.slots is None
     assert array.slots == 4  # of 8 CPUs
@@ -137,13 +148,15 @@
     for _ in range(8):
         story.now += 10 * US
         market.round(story.shard, story.now)
+
     assert service.bid == settled  # all that should run runs
 
 
-def test_services_are_wanted_whole_and_count_in_no_backlog() -> None:
-    """Whatever their class is promised: a due time of theirs would lie in the past for good."""
+def test_services_demand_all_replicas_and_count_in_no_backlog() -> None:
+    """Whatever the objective of their class: their due time would always lie in the past."""
     story = Story(machines=0)
     service = _service(story, tasks=5)
+
     objectives = ServiceLevelObjectives(starts={"reports": [4 * US]})
     market = Market(TERMS, ["red"], objectives)
     job_states = list(story.shard.job_states.values())
@@ -151,24 +164,28 @@
     loads = demand.loads_of(job_states, story.now, story.shard.guess_us)
     assert loads == {}
     wanted = demand.counts(job_states, story.now, market.due, story.shard.guess_us, 5 * US, loads)
+
     assert wanted == {service.job.ref: 5}
     assert market.due(service, story.now) == demand.NO_DUE
     assert market.has_objective(service, story.now)
 
 
-def test_a_replica_that_had_run_for_long_blames_nobody_and_one_that_had_not_does() -> None:
+def test_only_a_replica_that_failed_early_counts_against_its_machine() -> None:
     story = Story(machines=2)
     proven = _service(story)
+
     _run(story, proven)
     (attempt,) = proven.live.values()
     story.now += 40 * US
-    story.heartbeat(attempt.machine.name, listed(attempt, "ended", "error"))
-    assert proven.proven and not attempt.machine.failed_jobs
+    story.heartbeat(attempt.machine.name, task_status(attempt, "ended", "error"))
+    assert proven.proven
+    assert not attempt.machine.failed_jobs
     plan(story.shard, story.now)
     assert proven.live  # at once
     (again,) = proven.live.values()
     story.now += US
     story.heartbeat(again.machine.name)
-    story.heartbeat(again.machine.name, listed(again, "running"))
-    story.heartbeat(again.machine.name, listed(again, "ended", "error"))
+    story.heartbeat(again.machine.name, task_status(again, "running"))
+    story.heartbeat(again.machine.name, task_status(again, "ended", "error"))
+
     assert again.machine.failed_jobs == {"req-000001"}
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -1,133 +1,139 @@
-"""The rule checker of the stories catches what breaks each rule."""
+"""The rule checker reports each kind of violation."""
 
 from collections.abc import Callable
 
 import pytest
 
-from tests.fakes import FakeCloud, FakeWorker, World
-from tests.simulation import Loop, play
+from tests.fakes import Deployment, FakeCloud, FakeWorker
+from tests.simulation import Loop, simulated
 
 
-def _machine(world: World, number: int, zone: str = "a", spot: bool = False) -> FakeWorker:
-    worker = FakeWorker(world, f"m-{number:06d}", FakeCloud.TYPES[0], zone, spot)
+def _add_worker(
+    deployment: Deployment, number: int, zone: str = "a", spot: bool = False
+) -> FakeWorker:
+    worker = FakeWorker(deployment, f"m-{number:06d}", FakeCloud.TYPES[0], zone, spot)
     worker.up = True
     worker.task.cancel()
-    world.cloud.machines[worker.name] = worker
+    deployment.cloud.machines[worker.name] = worker
     return worker
 
 
-def _told(world: World, stage: str, verb: str = "poll", status: int = 200) -> None:
-    before = world.rule_checker.told.get("req-000001")
-    world.rule_checker.answered("req-000001", verb, status, {"Stage": stage}, before)
+def _answer_user(deployment: Deployment, stage: str, verb: str = "poll", status: int = 200) -> None:
+    before = deployment.rule_checker.last_stage.get("req-000001")
+    deployment.rule_checker.user_answered("req-000001", verb, status, {"Stage": stage}, before)
 
 
-def _job(world: World, **fields: object) -> None:
-    world.jobs["req-000001"] = world.job(1, **fields)
+def _add_job(deployment: Deployment, **fields: object) -> None:
+    deployment.jobs["req-000001"] = deployment.job(1, **fields)
 
 
-def _ran_twice(world: World) -> None:
-    _job(world)
-    world.rule_checker.entered("req-000001/0", _machine(world, 1), 1)
-    world.rule_checker.entered("req-000001/0", _machine(world, 2), 2)
+def _ran_twice(deployment: Deployment) -> None:
+    _add_job(deployment)
+    deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 1), 1)
+    deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 2), 2)
 
 
-def _quota(world: World) -> None:
-    _job(world, Pieces=5, Cores=2.0)
+def _quota(deployment: Deployment) -> None:
+    _add_job(deployment, Pieces=5, Cores=2.0)
     for index in range(3):
-        world.rule_checker.entered(f"req-000001/{index}", _machine(world, index), 1)
+        deployment.rule_checker.task_started(
+            f"req-000001/{index}", _add_worker(deployment, index), 1
+        )
 
 
-def _zone(world: World) -> None:
-    _job(world, Yard="b")
-    world.rule_checker.entered("req-000001/0", _machine(world, 1), 1)
+def _zone(deployment: Deployment) -> None:
+    _add_job(deployment, Yard="b")
+    deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 1), 1)
 
 
-def _spot(world: World) -> None:
-    _job(world, Loaners=False)
-    world.rule_checker.entered("req-000001/0", _machine(world, 1, spot=True), 1)
+def _spot(deployment: Deployment) -> None:
+    _add_job(deployment, Loaners=False)
+    deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 1, spot=True), 1)
 
 
-def _one_zone(world: World) -> None:
-    _job(world, Pieces=2, OneZone=True)
-    world.rule_checker.entered("req-000001/0", _machine(world, 1), 1)
-    world.rule_checker.entered("req-000001/1", _machine(world, 2, "b"), 1)
+def _one_zone(deployment: Deployment) -> None:
+    _add_job(deployment, Pieces=2, OneZone=True)
+    deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 1), 1)
+    deployment.rule_checker.task_started("req-000001/1", _add_worker(deployment, 2, "b"), 1)
 
 
-def _apart(world: World) -> None:
-    _job(world, Pieces=2, Apart=True)
+def _apart(deployment: Deployment) -> None:
+    _add_job(deployment, Pieces=2, Apart=True)
     for index in range(2):
-        world.rule_checker.entered(f"req-000001/{index}", _machine(world, index), 1)
+        deployment.rule_checker.task_started(
+            f"req-000001/{index}", _add_worker(deployment, index), 1
+        )
 
 
-def _ran_cancelled(world: World) -> None:
-    _job(world)
-    world.asked_cancel["req-000001"] = True
-    world.rule_checker.entered("req-000001/0", _machine(world, 1), 1)
-    _told(world, "withdrawn", "cancel")
-    world.loop._selector.now += world.cancel_s + 0.1
-    world.rule_checker.check()
+def _ran_cancelled(deployment: Deployment) -> None:
+    _add_job(deployment)
+    deployment.cancel_requested["req-000001"] = True
+    deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 1), 1)
+    _answer_user(deployment, "withdrawn", "cancel")
+    deployment.loop._selector.now += deployment.cancel_s + 0.1
+    deployment.rule_checker.check()
 
 
-def _not_found(world: World) -> None:
-    _job(world)
-    _told(world, "pending", "submit", 201)
-    _told(world, "", status=404)
+def _not_found(deployment: Deployment) -> None:
+    _add_job(deployment)
+    _answer_user(deployment, "pending", "submit", 201)
+    _answer_user(deployment, "", status=404)
 
 
-def _refused_later(world: World) -> None:
-    _job(world)
-    _told(world, "pending", "submit", 201)
-    _told(world, "", "submit", 422)
+def _refused_later(deployment: Deployment) -> None:
+    _add_job(deployment)
+    _answer_user(deployment, "pending", "submit", 201)
+    _answer_user(deployment, "", "submit", 422)
 
 
-def _never_answered(world: World) -> None:
-    _job(world)
-    _told(world, "pending", "submit", 201)
-    world.rule_checker.calm()
-    world.loop._selector.now += 76
-    _told(world, "", status=503)
+def _never_answered(deployment: Deployment) -> None:
+    _add_job(deployment)
+    _answer_user(deployment, "pending", "submit", 201)
+    deployment.rule_checker.all_faults_over()
+    deployment.loop._selector.now += 76
+    _answer_user(deployment, "", status=503)
 
 
-def _invented(world: World) -> None:
-    _told(world, "pending")
+def _invented(deployment: Deployment) -> None:
+    _answer_user(deployment, "pending")
 
 
-def _not_done(world: World) -> None:
-    _job(world, Pieces=2)
-    world.rule_checker.completed("req-000001/0")
-    _told(world, "done")
+def _not_done(deployment: Deployment) -> None:
+    _add_job(deployment, Pieces=2)
+    deployment.rule_checker.task_completed("req-000001/0")
+    _answer_user(deployment, "done")
 
 
-def _back_from_done(world: World) -> None:
-    _job(world)
-    world.rule_checker.completed("req-000001/0")
-    _told(world, "done")
-    _told(world, "running")
+def _back_from_done(deployment: Deployment) -> None:
+    _add_job(deployment)
+    deployment.rule_checker.task_completed("req-000001/0")
+    _answer_user(deployment, "done")
+    _answer_user(deployment, "running")
 
 
-def _cancelled_by_nobody(world: World) -> None:
-    _job(world)
-    _told(world, "withdrawn")
+def _cancelled_by_nobody(deployment: Deployment) -> None:
+    _add_job(deployment)
+    _answer_user(deployment, "withdrawn")
 
 
-def _bad_job(world: World) -> None:
-    _job(world, Cores=99.0)
-    _told(world, "pending", "submit", 201)
+def _bad_job(deployment: Deployment) -> None:
+    _add_job(deployment, Cores=99.0)
+    _answer_user(deployment, "pending", "submit", 201)
 
 
-def _no_field(world: World) -> None:
-    _job(world, Mould=None)
-    _told(world, "pending", "submit", 201)
+def _no_field(deployment: Deployment) -> None:
+    _add_job(deployment, Mould=None)
+    _answer_user(deployment, "pending", "submit", 201)
 
 
-def _waited(world: World) -> None:
-    _job(world)
-    _machine(world, 1)
-    _told(world, "pending", "submit", 201)
-    world.rule_checker.calm()
+def _waited(deployment: Deployment) -> None:
+    _add_job(deployment)
+    _add_worker(deployment, 1)
+    _answer_user(deployment, "pending", "submit", 201)
+    deployment.rule_checker.all_faults_over()
     for _ in range(95):
-        world.loop._selector.now += 1.0
-        world.rule_checker.check()
+        deployment.loop._selector.now += 1.0
+        deployment.rule_checker.check()
 
 
 @pytest.mark.parametrize(
@@ -151,25 +157,28 @@
         (_no_field, "bad job"),
         (_waited, "waited"),
     ],
+    ids=lambda value: getattr(value, "__name__", value).strip("_"),
 )
-def test_the_rule_checker_catches(what: Callable[[World], None], rule: str) -> None:
-    async def story(loop: Loop) -> None:
-        world = World(loop, limits={"red": 5} if what is _quota else None)
-        what(world)
-        assert any(rule in text for text in world.rule_checker.broken), world.rule_checker.broken
-
-    play(story)
-
-
-def test_the_rule_checker_counts_starts_after_a_confirmed_cancellation() -> None:
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        _job(world)
-        world.asked_cancel["req-000001"] = True
-        _told(world, "withdrawn", "cancel")
-        loop._selector.now += 2.0
-        world.rule_checker.entered("req-000001/0", _machine(world, 1), 1)
-        assert world.rule_checker.started_cancelled == [("req-000001/0", 2.0)]
-        assert world.rule_checker.broken == []
-
-    play(story)
+@simulated
+async def test_rule_checker_reports_violation(
+    loop: Loop, what: Callable[[Deployment], None], rule: str
+) -> None:
+    deployment = Deployment(loop, limits={"red": 5} if what is _quota else None)
+    what(deployment)
+    assert any(rule in text for text in deployment.rule_checker.violations), (
+        deployment.rule_checker.violations
+    )
+
+
+@simulated
+async def test_rule_checker_counts_starts_after_a_confirmed_cancellation(loop: Loop) -> None:
+    deployment = Deployment(loop)
+    _add_job(deployment)
+
+    deployment.cancel_requested["req-000001"] = True
+    _answer_user(deployment, "withdrawn", "cancel")
+    loop._selector.now += 2.0
+    deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 1), 1)
+
+    assert deployment.rule_checker.started_cancelled == [("req-000001/0", 2.0)]
+    assert deployment.rule_checker.violations == []
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -11,18 +11,18 @@
 from basaltlead.core.entities import US, JobState, Machine, Resources, Shape
 from basaltlead.core.fleet_sizing import Demand, Offer
 from basaltlead.core.shard_state import TeamQuota
-from tests.test_shard import KIND, TIMING, Story, a_job, listed
+from tests.builders import MACHINE_TYPE, TIMING, Story, make_job, task_status
 
 MACHINES = 930
 
 
-class Counted:
+class CallCounter:
     """Counts the calls of some functions."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, *places: tuple[Any, str]) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, *functions: tuple[Any, str]) -> None:
         self.calls = 0
-        for shard_leader, name in places:
-            monkeypatch.setattr(shard_leader, name, self._counting(getattr(shard_leader, name)))
+        for owner, name in functions:
+            monkeypatch.setattr(owner, name, self._counting(getattr(owner, name)))
 
     def _counting(self, inner: Callable[..., Any]) -> Callable[..., Any]:
         def counting(*args: Any, **kwargs: Any) -> Any:
@@ -32,7 +32,7 @@
         return counting
 
 
-def _fleet() -> Story:
+def _idle_fleet() -> Story:
     story = Story(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
         story.add(f"m-{number:03d}", zone="abc"[number % 3])
@@ -40,12 +40,12 @@
     return story
 
 
-def _full(jobs: int = 100, tasks: int = 300) -> Story:
-    story = _fleet()
+def _fleet_with_backlog(jobs: int = 100, tasks: int = 300) -> Story:
+    story = _idle_fleet()
     for number in range(jobs):
         gang = number % 5 == 0
         story.shard.add_job(
-            a_job(
+            make_job(
                 number,
                 tasks=3 if gang else tasks,
                 shape=Shape.GANG if gang else Shape.ARRAY,
@@ -59,11 +59,12 @@
     return story
 
 
-def test_a_plan_costs_a_pass_over_the_machines_for_each_job_that_starts_something(
+def test_plan_costs_one_pass_over_the_machines_for_each_job_that_starts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _full()
-    count = Counted(
+    story = _fleet_with_backlog()
+
+    count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
     )
     planning.plan(story.shard, story.now)
@@ -72,67 +73,71 @@
     assert count.calls < 12 * MACHINES * 8 + 6 * placed  # gangs, and the arrays that found room
     count.calls = 0
     planning.plan(story.shard, story.now)  # full: those that ask for the same are passed over
+
     assert count.calls < 16 * MACHINES
 
 
-def _full_of_arrays() -> Story:
+def _full_fleet() -> Story:
     """Every machine is full, and a hundred jobs wait that all ask for something else."""
-    story = _fleet()
+    story = _idle_fleet()
     for number in range(100):
-        job = a_job(number, tasks=100, cpus=1.0 + number / 1000, memory_gb=0.1)
+        job = make_job(number, tasks=100, cpus=1.0 + number / 1000, memory_gb=0.1)
         story.shard.add_job(job, 200, story.now)
     planning.plan(story.shard, story.now)
     return story
 
 
-def test_jobs_that_wait_for_a_full_fleet_cost_a_plan_next_to_nothing(
+def test_jobs_waiting_for_a_full_fleet_cost_a_plan_almost_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Passing over all machines for each of them, a shard leader of 600 spent a fifth of a core
     so."""
-    story = _full_of_arrays()
-    count = Counted(
+    story = _full_fleet()
+
+    count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
     )
     planning.plan(story.shard, story.now)
+
     assert count.calls < MACHINES
 
 
-def test_sizing_a_full_fleet_looks_at_full_machines_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    story = _full_of_arrays()
+def test_sizing_a_full_fleet_checks_full_machines_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    story = _full_fleet()
+
     job_states = list(story.shard.job_states.values())
     running = sum(len(job_state.live) for job_state in job_states)
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     machines = list(story.shard.machines.values())
-    count = Counted(
+    count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
     )
-    fleet_sizing.size(needs, [], machines, {"k": KIND}, {}, {}, 12)
+    fleet_sizing.size(needs, [], machines, {"k": MACHINE_TYPE}, {}, {}, 12)
+
     assert running >= 3 * MACHINES
     assert count.calls < running + 2 * MACHINES
 
 
-def test_free_room_and_booked_bids_kept_by_the_way_are_what_a_fresh_count_gives() -> None:
+def test_incremental_free_room_and_bids_equal_a_full_count() -> None:
     """Plans trust them; a task that is counted twice or never given back would stay for good."""
     story = Story(machines=6)
-    chance = random.Random(3)
+
+    rng = random.Random(3)
     for number in range(12):
-        job_state = story.submit(
-            number, tasks=6, cpus=chance.choice([0.7, 1.1, 2.3]), rank=number % 3
-        )
-        job_state.bid = chance.uniform(0.1, 5.0)
+        job_state = story.submit(number, tasks=6, cpus=rng.choice([0.7, 1.1, 2.3]), rank=number % 3)
+        job_state.bid = rng.uniform(0.1, 5.0)
     for step in range(60):
         story.now += US
-        name = f"m-{chance.randrange(6)}"
+        name = f"m-{rng.randrange(6)}"
         machine = story.shard.machines[name]
         shown = [
-            listed(a, chance.choice(["running", "ended"]), "done")
+            task_status(a, rng.choice(["running", "ended"]), "done")
             for a in list(machine.attempts.values())
-            if a.may_be_on_machine and chance.random() < 0.8
+            if a.may_be_on_machine and rng.random() < 0.8
         ]
         story.heartbeat(name, *shown)
         if machine.attempts and step % 4 == 0:
-            story.shard.stop_gracefully(chance.choice(list(machine.attempts.values())))
+            story.shard.stop_gracefully(rng.choice(list(machine.attempts.values())))
         if step % 15 == 14:
             story.now += TIMING.lease_expiry_us
             story.shard.advance(story.now)
@@ -148,44 +153,49 @@
             assert job_state.waiting == waiting
 
 
-def test_a_waiting_gang_is_tried_once_a_plan_however_many_ask_for_the_same(
+def test_identical_waiting_gangs_are_tried_once_in_a_plan(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _full(jobs=4)
+    story = _fleet_with_backlog(jobs=4)
+
     planning.plan(story.shard, story.now)
     for number in range(100, 160):
         story.shard.add_job(
-            a_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
+            make_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
         )
-    count = Counted(
+    count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
     )
     planning.plan(story.shard, story.now)
+
     assert count.calls < 12 * MACHINES
 
 
-def test_sizing_the_fleet_passes_over_the_machines_once_a_job(
+def test_sizing_costs_one_pass_over_the_machines_for_each_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _full()
+    story = _fleet_with_backlog()
+
     planning.plan(story.shard, story.now)
     job_states = list(story.shard.job_states.values())
     machines: list[Machine] = list(story.shard.machines.values())
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
-    count = Counted(
+    count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
     )
-    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, 12)
+    plan = fleet_sizing.size(needs, [], machines, {"k": MACHINE_TYPE}, offers, {}, 12)
+
     assert len(plan.rentals) == 12
     assert count.calls < 6 * MACHINES * len(job_states)
 
 
-def test_a_job_that_has_waited_a_minute_is_wanted_with_a_task_at_least() -> None:
+def test_job_that_waited_a_minute_demands_at_least_one_task() -> None:
     """One with a late due time else gets nothing while others are in a hurry."""
     story = Story()
-    late = story.shard.add_job(a_job(1, tasks=4, due_us=3000 * US), 200, story.now)
-    hasty = story.shard.add_job(a_job(2, tasks=400, due_us=30 * US), 200, story.now)
+
+    late = story.shard.add_job(make_job(1, tasks=4, due_us=3000 * US), 200, story.now)
+    hasty = story.shard.add_job(make_job(2, tasks=400, due_us=30 * US), 200, story.now)
 
     def due(job_state: JobState, now: int) -> demand.Due:
         return demand.Due(job_state.submitted_at + (job_state.job.due_us or 0))
@@ -196,4 +206,5 @@
 
     assert wanted()[late.job.ref] == 0
     story.now += 61 * US
+
     assert wanted()[late.job.ref] == 1
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -12,10 +12,10 @@
 from basaltlead.core.shard import Shard
 from basaltlead.core.shard_state import NAMES_KEPT, ShardState, TeamQuota
 from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
-from tests.fakes import World
-from tests.simulation import Loop, play
-from tests.test_scale_hundreds import Counted
-from tests.test_shard import KIND, TIMING, Story, a_job, listed
+from tests.builders import MACHINE_TYPE, TIMING, Story, make_job, task_status
+from tests.fakes import Deployment
+from tests.simulation import Loop, simulated
+from tests.test_scale_hundreds import CallCounter
 
 MACHINES = 4000
 PLACES = 4  # tasks that one machine holds
@@ -25,14 +25,14 @@
     return f"m-{number:06d}"
 
 
-def _full(jobs: int = 160, tasks: int = 100) -> Story:
+def _full_fleet(jobs: int = 160, tasks: int = 100) -> Story:
     """Every machine is full of running tasks of as many jobs as it takes."""
     story = Story(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
         story.add(_name(number), zone="abc"[number % 3])
         story.heartbeat(_name(number))
     for number in range(jobs):
-        story.shard.add_job(a_job(number, tasks=tasks, memory_gb=0.1), 200, story.now)
+        story.shard.add_job(make_job(number, tasks=tasks, memory_gb=0.1), 200, story.now)
     planning.plan(story.shard, story.now)
     for number in range(MACHINES):
         story.heartbeat(_name(number))
@@ -42,33 +42,35 @@
 
 def _running(story: Story, number: int) -> list:  # type: ignore[type-arg]
     machine = story.shard.machines[_name(number)]
-    return [listed(attempt, "running") for attempt in machine.attempts.values()]
+    return [task_status(attempt, "running") for attempt in machine.attempts.values()]
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = Counted(
+    count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
     )
     planning.plan(story.shard, story.now)
     return count.calls
 
 
-def test_a_takeover_of_four_thousand_machines_costs_a_report_each(
+def test_failover_of_four_thousand_machines_costs_one_heartbeat_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    before = _full()
+    before = _full_fleet()
     after = Story(machines=0, limits={"red": TeamQuota()})
+
     after.shard = Shard(8, 300, after.now, TIMING, {"red": TeamQuota()})
     for number in range(160):
-        after.shard.add_job(a_job(number, tasks=100, memory_gb=0.1), 200, after.now)
+        after.shard.add_job(make_job(number, tasks=100, memory_gb=0.1), 200, after.now)
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = Counted(monkeypatch, (ShardState, "_stranger"), (ShardState, "_progress"))
+    taken = CallCounter(monkeypatch, (ShardState, "_reconcile_unknown"), (ShardState, "_progress"))
     for number in range(MACHINES):
         shown = _running(before, number)
         after.heartbeat(_name(number), *shown, fencing_token=7)
         after.heartbeat(_name(number), *shown, fencing_token=8)
+
     assert not after.shard.unsynced
     assert (
         sum(len(job_state.live) for job_state in after.shard.job_states.values())
@@ -78,127 +80,134 @@
     assert _plan_calls(monkeypatch, after) < 4 * MACHINES
 
 
-def test_a_wave_of_spot_losses_costs_what_is_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    story = _full()
+def test_wave_of_spot_losses_costs_only_the_lost_attempts(monkeypatch: pytest.MonkeyPatch) -> None:
+    story = _full_fleet()
+
     story.now += TIMING.lease_expiry_us // 2
     for number in range(0, MACHINES, 2):
         story.heartbeat(_name(number), *_running(story, number))
     story.now += TIMING.lease_expiry_us // 2 + US
-    removed = Counted(monkeypatch, (ShardState, "_remove"))
-    drained = Counted(monkeypatch, (Shard, "_drain"))
+    removed = CallCounter(monkeypatch, (ShardState, "_remove"))
+    drained = CallCounter(monkeypatch, (Shard, "_drain"))
     story.shard.advance(story.now)
     assert removed.calls == PLACES * MACHINES // 2
     for _ in range(10):
         story.shard.advance(story.now)
+
     assert drained.calls <= 12 * MACHINES // 2
     assert removed.calls == PLACES * MACHINES // 2
     assert _plan_calls(monkeypatch, story) < 8 * MACHINES
 
 
-def test_a_thousand_jobs_are_cancelled_at_the_price_of_their_own_tasks(
+def test_cancelling_a_thousand_jobs_costs_only_their_own_tasks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _full(jobs=1600, tasks=10)
-    stopped = Counted(monkeypatch, (ShardState, "stop"), (ShardState, "_clear_failures"))
+    story = _full_fleet(jobs=1600, tasks=10)
+
+    stopped = CallCounter(monkeypatch, (ShardState, "stop"), (ShardState, "_clear_failures"))
     job_states = list(story.shard.job_states.values())[:1000]
     tasks = sum(len(job_state.live) for job_state in job_states)
     for job_state in job_states:
         story.shard.close_job(job_state.job.ref, story.now)
+
     assert stopped.calls == tasks + len(job_states)
     assert _plan_calls(monkeypatch, story) < 20 * MACHINES
 
 
-def test_a_plan_for_hundreds_of_services_in_a_full_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_plan_for_hundreds_of_services_in_a_full_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those that ask for the same are looked at once; those that find room cost a pass each."""
-    story = _full()
+    story = _full_fleet()
+
     for number in range(1000, 1300):
         story.shard.add_job(
-            a_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, guess_us=0),
+            make_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, guess_us=0),
             200,
             story.now,
         )
-    looked = Counted(monkeypatch, (replica_placement.ReplicaChoice, "_ranked"))
+    looked = CallCounter(monkeypatch, (replica_placement.ReplicaChoice, "_ranked"))
     planning.plan(story.shard, story.now)
     assert looked.calls <= MACHINES + 300
     high = story.shard.add_job(
-        a_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], guess_us=0),
+        make_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], guess_us=0),
         200,
         story.now,
     )
     looked.calls = 0
     planning.plan(story.shard, story.now)
+
     assert sum(a.stop_grace_s is None for a in high.live.values()) == 6
     assert looked.calls <= 2 * MACHINES + 300 + 12
 
 
-def test_rounds_wait_for_no_write_of_a_fleet_that_grows() -> None:
+@simulated
+async def test_market_rounds_do_not_wait_for_machine_records(loop: Loop) -> None:
     """They were 72 s apart, behind the records of 2,700 machines that came up in a minute."""
+    deployment = Deployment(loop, announced_limits={"write_rps": 8.0})
+    deployment.cloud.capacity = 400
+    await deployment.start()
 
-    async def story(loop: Loop) -> None:
-        world = World(loop, later={"write_rps": 8.0})
-        world.cloud.capacity = 400
-        await world.start()
-        for number in range(1, 5):
-            await world.submit(world.job(number, Pieces=400, Cores=4.0, RunS=60.0, GuessS=60.0))
-        await asyncio.sleep(25)
-        shard_leader = _owner(world)
-        machines = shard_leader.shard.machines.values()
-        assert sum(machine.up and not machine.recorded for machine in machines) > 100
-        rounds: list[float] = []
-        inner = shard_leader.market.round
+    for number in range(1, 5):
+        await deployment.submit(
+            deployment.job(number, Pieces=400, Cores=4.0, RunS=60.0, GuessS=60.0)
+        )
+    await asyncio.sleep(25)
+    shard_leader = _shard_leader(deployment)
+    machines = shard_leader.shard.machines.values()
+    assert sum(machine.up and not machine.recorded for machine in machines) > 100
+    rounds: list[float] = []
+    inner = shard_leader.market.round
 
-        def counted(*args: Any) -> None:
-            rounds.append(loop.time())
-            inner(*args)
+    def counted(*args: Any) -> None:
+        rounds.append(loop.time())
+        inner(*args)
 
-        shard_leader.market.round = counted
-        await asyncio.sleep(60)
-        assert len(rounds) >= 5
-        world.verdict()
+    shard_leader.market.round = counted
+    await asyncio.sleep(60)
 
-    play(story)
+    assert len(rounds) >= 5
+    deployment.assert_no_violation()
 
 
-def test_a_large_fleet_hires_no_more_than_it_can_record() -> None:
+@simulated
+async def test_large_fleet_rents_no_more_than_it_can_record(loop: Loop) -> None:
     """The key-value store takes one record a machine: what has none yet gets no task."""
+    deployment = Deployment(loop)
+    await deployment.start()
+    await deployment.wait_until(lambda: deployment.shard_leader() is not None)
+
+    await asyncio.sleep(1)
+    shard_leader = _shard_leader(deployment)
+    autoscaler = shard_leader.on_loaded.__self__
+    for number in range(MACHINES):
+        machine = Machine(_name(number), MACHINE_TYPE, "a", False, 0)
+        machine.recorded = True
+        shard_leader.shard.add_machine(machine)
+    recordable = int((5.0 + RECORD_S) * shard_leader.store.writes.rate)  # types boot in 5 s
+    assert autoscaler._max_rentals() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
+    for number in range(recordable - 100):
+        shard_leader.shard.machines[_name(number)].recorded = False
+    assert autoscaler._max_rentals() == 100
+    for number in range(recordable):
+        shard_leader.shard.machines[_name(number)].recorded = False
+
+    assert autoscaler._max_rentals() == MIN_RENTALS_PER_PASS
+
+
+def _shard_leader(deployment: Deployment) -> Any:
+    name = deployment.acting_shard_leader()
+    return deployment.controllers[name].shard_leaders[0]
+
+
+def test_fleet_grows_by_a_share_of_itself_and_remembers_returned_names() -> None:
+    story = _full_fleet()
 
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        await world.start()
-        await world.until(lambda: world.shard_leader() is not None)
-        await asyncio.sleep(1)
-        shard_leader = _owner(world)
-        autoscaler = shard_leader.on_loaded.__self__
-        for number in range(MACHINES):
-            machine = Machine(_name(number), KIND, "a", False, 0)
-            machine.recorded = True
-            shard_leader.shard.add_machine(machine)
-        recordable = int((5.0 + RECORD_S) * shard_leader.store.writes.rate)  # types boot in 5 s
-        assert autoscaler._most_hires() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
-        for number in range(recordable - 100):
-            shard_leader.shard.machines[_name(number)].recorded = False
-        assert autoscaler._most_hires() == 100
-        for number in range(recordable):
-            shard_leader.shard.machines[_name(number)].recorded = False
-        assert autoscaler._most_hires() == MIN_RENTALS_PER_PASS
-
-    play(story)
-
-
-def _owner(world: World) -> Any:
-    name = world.shard_leader()
-    assert name is not None
-    return world.parts[name].shard_leaders[0]
-
-
-def test_a_fleet_grows_by_a_share_of_itself_and_its_names_are_remembered() -> None:
-    story = _full()
     job_states = list(story.shard.job_states.values())
     needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
     machines: list[Machine] = list(story.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
-    plan = fleet_sizing.size(needs, [], machines, {"k": KIND}, offers, {}, MACHINES // 16)
+    plan = fleet_sizing.size(needs, [], machines, {"k": MACHINE_TYPE}, offers, {}, MACHINES // 16)
     assert len(plan.rentals) == MACHINES // 16
     for number in range(MACHINES):
         story.shard.drop_machine(_name(number), story.now)
+
     assert len(story.shard.gone) == MACHINES < NAMES_KEPT
