--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -1,280 +1,232 @@
-"""The leader of a shard against single messages: order, lateness, doubt. Each is a guard."""
+"""One shard against single messages: reordered, late, repeated or lost."""
 
 import pytest
 
-from basaltlead.core.entities import US, Attempt, Job, JobState, Machine, MachineType, Shape
+from basaltlead.core.entities import US, Attempt, Shape
 from basaltlead.core.planning import plan
-from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import TeamQuota, Timing
-from basaltlead.wire.workers import Heartbeat, TaskStatus
-
-KIND = MachineType("k", 4.0, 0.0, 16.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a", "b"))
-TIMING = Timing(10 * US, US)
-
-
-def a_job(number: int = 1, **fields: object) -> Job:
-    values: dict[str, object] = {
-        "ref": f"req-{number:06d}",
-        "job_class": "reports",
-        "team": "red",
-        "shape": Shape.ARRAY,
-        "rank": 1,
-        "tasks": 1,
-        "cpus": 1.0,
-        "gpus": 0.0,
-        "memory_gb": 1.0,
-        "image": "img",
-        "image_gb": 1.0,
-        "types": None,
-        "zone": None,
-        "one_zone": False,
-        "apart": False,
-        "spot": True,
-        "guess_us": 10 * US,
-        "checkpoint_interval_us": 0,
-        "checkpoint_duration_s": 0.0,
-        "due_us": None,
-    }
-    return Job(**(values | fields))  # type: ignore[arg-type]
-
-
-class Story:
-    """A shard with fencing token 7, granted at revision 100, and one synced machine, m-0."""
-
-    def __init__(self, machines: int = 1, limits: dict[str, TeamQuota] | None = None) -> None:
-        self.now = 1000 * US
-        self.shard = Shard(7, 100, self.now, TIMING, limits or {"red": TeamQuota()})
-        self.ticks: dict[str, int] = {}
-        for number in range(machines):
-            self.add(f"m-{number}")
-            self.heartbeat(f"m-{number}")
-
-    def add(self, name: str, zone: str = "a", loaded: bool = False) -> Machine:
-        machine = Machine(name, KIND, zone, False, self.now)
-        if loaded:
-            self.shard.load_machine(machine)
-        else:
-            machine.recorded = True
-            self.shard.add_machine(machine)
-        return machine
-
-    def make_heartbeat(
-        self,
-        name: str,
-        *tasks: TaskStatus,
-        fencing_token: int = 7,
-        epoch: int = 1,
-        tick: int | None = None,
-    ) -> Heartbeat:
-        if tick is None:
-            tick = self.ticks[name] = self.ticks.get(name, 0) + 1
-        return Heartbeat(
-            name, "10.1.0.1:9", "k", "a", False, epoch, tick, fencing_token, list(tasks)
-        )
-
-    def heartbeat(
-        self, name: str, *tasks: TaskStatus, **fields: int
-    ) -> list[tuple[str, str]] | None:
-        """The orders, as (verb, task)."""
-        commands = self.shard.heartbeat(self.make_heartbeat(name, *tasks, **fields), self.now)
-        return None if commands is None else [(w.verb, f"{w.ref}/{w.index}") for w in commands]
-
-    def submit(self, number: int = 1, version: int = 200, **fields: object) -> JobState:
-        job_state = self.shard.add_job(a_job(number, **fields), version, self.now)
-        plan(self.shard, self.now)
-        return job_state
-
-    def attempt(self, job_state: JobState, index: int = 0) -> Attempt:
-        return job_state.live[index]
-
-
-def listed(attempt: Attempt, stage: str, why: str | None = None) -> TaskStatus:
-    return TaskStatus(
-        f"{attempt.job_state.job.ref}/{attempt.index}", attempt.attempt_number, stage, why
-    )
+from basaltlead.core.shard_state import TeamQuota
+from basaltlead.wire.workers import TaskStatus
+from tests.builders import TIMING, Story, make_job, task_status
 
 
-def test_a_task_goes_from_order_to_result_and_is_forgotten_only_once_stored() -> None:
+def test_task_is_started_ends_and_is_forgotten_only_once_its_result_is_stored() -> None:
     story = Story()
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     assert story.heartbeat("m-0") == [("run", "req-000001/0")]
-    assert story.heartbeat("m-0", listed(attempt, "running")) == []
-    assert story.heartbeat("m-0", listed(attempt, "ended", "done")) == []  # not stored yet
+    assert story.heartbeat("m-0", task_status(attempt, "running")) == []
+    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not stored yet
     assert job_state.complete
     story.shard.stored(job_state, [0])
-    assert story.heartbeat("m-0", listed(attempt, "ended", "done")) == [("forget", "req-000001/0")]
+
+    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == [
+        ("forget", "req-000001/0")
+    ]
 
 
-def test_a_lost_answer_is_repeated_under_the_same_attempt() -> None:
+def test_lost_start_command_is_repeated_with_the_same_attempt_number() -> None:
     story = Story()
     job_state = story.submit()
     token = story.attempt(job_state).attempt_number
+
     assert story.heartbeat("m-0") == [("run", "req-000001/0")]
     assert story.heartbeat("m-0") == [("run", "req-000001/0")]
     assert story.attempt(job_state).attempt_number == token
 
 
-def test_a_late_copy_of_an_old_report_proves_nothing() -> None:
+def test_late_copy_of_an_old_heartbeat_is_ignored() -> None:
     story = Story()
     job_state = story.submit()
     attempt = story.attempt(job_state)
     old = story.make_heartbeat("m-0")
+
     story.heartbeat("m-0")
-    story.heartbeat("m-0", listed(attempt, "running"))
+    story.heartbeat("m-0", task_status(attempt, "running"))
     story.submit(2)
+
     assert story.shard.heartbeat(old, story.now) == []  # nobody waits for this answer any more
-    assert job_state.live[0] is attempt and attempt.stage == "running"
+    assert job_state.live[0] is attempt
+    assert attempt.stage == "running"
 
 
-def test_reports_of_a_session_that_was_given_up_are_not_believed() -> None:
+def test_heartbeats_of_an_expired_agent_epoch_are_ignored() -> None:
     story = Story(machines=2)
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     name = attempt.machine.name
     story.heartbeat(name)
-    held = story.make_heartbeat(name, listed(attempt, "running"))
+    held = story.make_heartbeat(name, task_status(attempt, "running"))
     story.now += TIMING.lease_expiry_us + 1
     story.shard.advance(story.now)
-    assert attempt.machine.lost and not job_state.live
+
+    assert attempt.machine.lost
+    assert not job_state.live
     assert story.shard.heartbeat(held, story.now) is None  # it comes minutes later
-    assert attempt.machine.lost and not attempt.machine.usable(story.now)
+    assert attempt.machine.lost
+    assert not attempt.machine.usable(story.now)
 
 
-def test_a_silent_machine_keeps_its_tasks_until_its_lease_is_surely_over() -> None:
+def test_silent_machine_keeps_its_tasks_until_its_lease_has_provably_expired() -> None:
     story = Story(machines=2)
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     story.heartbeat(attempt.machine.name)
     story.now += TIMING.lease_us
     story.shard.advance(story.now)
     assert job_state.live[0] is attempt
     story.now += TIMING.lease_expiry_us - TIMING.lease_us + 1
     story.shard.advance(story.now)
+
     assert not job_state.live
 
 
-def test_a_new_session_means_that_everything_there_was_killed() -> None:
+def test_new_agent_epoch_ends_all_attempts_on_the_machine() -> None:
     story = Story()
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     story.heartbeat("m-0")
-    story.heartbeat("m-0", listed(attempt, "running"))
+    story.heartbeat("m-0", task_status(attempt, "running"))
     story.heartbeat("m-0", epoch=2, tick=1)
-    assert not job_state.live and job_state.waiting == 1
+
+    assert not job_state.live
+    assert job_state.waiting == 1
 
 
-def test_a_report_without_our_fencing_token_is_no_picture_of_the_machine() -> None:
+def test_heartbeat_without_our_fencing_token_does_not_sync_the_machine() -> None:
     story = Story(machines=0)
     story.add("m-9", loaded=True)
     job_state = story.submit(version=50)  # accepted before the shard was ours
-    assert (
-        story.heartbeat("m-9", fencing_token=6) == []
-    )  # may still get orders of the old shard leader
+
+    # May still get commands of the old shard leader
+    assert story.heartbeat("m-9", fencing_token=6) == []
     story.add("m-8")
     story.heartbeat("m-8")
     plan(story.shard, story.now)
     assert not job_state.live  # it might run on m-9
     story.heartbeat("m-9", TaskStatus("req-000001/0", 12345, "running"))
-    assert job_state.live[0].machine.name == "m-9" and job_state.live[0].attempt_number == 12345
+
+    assert job_state.live[0].machine.name == "m-9"
+    assert job_state.live[0].attempt_number == 12345
 
 
 def test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines() -> None:
     story = Story(machines=1)
     story.add("m-9", loaded=True)
     old, new = story.submit(1, version=50), story.submit(2, version=150)
-    assert not old.live and new.live
+
+    assert not old.live
+    assert new.live
     story.now += TIMING.lease_expiry_us + 1
     story.heartbeat("m-0")
     story.shard.advance(story.now)  # m-9 has been silent past its lease
     plan(story.shard, story.now)
+
     assert old.live
 
 
-def test_an_unanswered_direct_start_binds_its_task_until_it_is_settled() -> None:
+def test_unacknowledged_start_holds_its_task_until_it_is_resolved() -> None:
     story = Story()
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
+
     commands, pushed_starts = story.shard.take_push_commands(machine, story.now)
     assert [w.verb for w in commands] == ["run"]
     assert story.heartbeat("m-0") == []  # on its way: not sent twice
-    assert job_state.live, "a report that does not list it proves nothing"
+    assert job_state.live, "a heartbeat that does not list it proves nothing"
     story.shard.acknowledge_starts(pushed_starts, None)
     assert story.heartbeat("m-0") == [("run", "req-000001/0")]
-    assert story.heartbeat("m-0") == [("run", "req-000001/0")] and job_state.live
+    assert story.heartbeat("m-0") == [("run", "req-000001/0")]
+    assert job_state.live
     attempt = story.attempt(job_state)
-    assert story.heartbeat("m-0", listed(attempt, "ended", "full")) == []  # never forgotten: a copy
-    assert story.heartbeat("m-0", listed(attempt, "ended", "full")) == []  # may still arrive
+
+    # Never forgotten: a copy
+    assert story.heartbeat("m-0", task_status(attempt, "ended", "full")) == []
+    assert story.heartbeat("m-0", task_status(attempt, "ended", "full")) == []  # may still arrive
 
 
-def test_an_unanswered_direct_start_is_not_given_up_because_a_report_does_not_list_it() -> None:
+def test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it() -> None:
     story = Story()
     job_state = story.submit()
+
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
     story.shard.acknowledge_starts(pushed_starts, None)
     story.shard.close_job("req-000001", story.now)
     assert story.heartbeat("m-0") == [("run", "req-000001/0"), ("halt", "req-000001/0")]
-    assert job_state.live  # the order may still arrive: first it is made known, then ended
+    assert job_state.live  # the command may still arrive: first it is made known, then ended
     attempt = story.attempt(job_state)
-    story.heartbeat("m-0", listed(attempt, "ended", "stopped"))
+    story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
+
     assert not job_state.live
 
 
-def test_a_refused_start_whose_order_may_arrive_again_does_not_keep_the_task_waiting() -> None:
+def test_refused_start_that_may_arrive_again_does_not_delay_the_task() -> None:
     """With a single machine such a task once waited for ever."""
     story = Story()
     job_state = story.submit()
+
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
     story.shard.acknowledge_starts(pushed_starts, None)
     first = story.attempt(job_state)
-    story.heartbeat("m-0", listed(first, "ended", "full"))
+    story.heartbeat("m-0", task_status(first, "ended", "full"))
     story.now += 3 * US
     plan(story.shard, story.now)
+
     assert story.attempt(job_state).attempt_number != first.attempt_number
-    assert story.heartbeat("m-0", listed(first, "ended", "full")) == [("run", "req-000001/0")]
+    assert story.heartbeat("m-0", task_status(first, "ended", "full")) == [("run", "req-000001/0")]
 
 
-def test_a_direct_start_that_was_refused_is_free_at_once() -> None:
+def test_refused_push_returns_its_attempt_to_planned_at_once() -> None:
     story = Story()
     job_state = story.submit()
+
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
     story.shard.acknowledge_starts(pushed_starts, False)
+
     assert story.attempt(job_state).stage == "planned"
 
 
-def test_a_report_older_than_the_answer_to_a_direct_start_does_not_end_it() -> None:
+def test_heartbeat_older_than_the_answer_to_a_push_does_not_end_the_attempt() -> None:
     story = Story()
     job_state = story.submit()
-    before = story.make_heartbeat("m-0")  # sent before the worker had the order
+    before = story.make_heartbeat("m-0")  # sent before the worker had the command
+
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
     attempt = story.attempt(job_state)
-    answer = story.make_heartbeat("m-0", listed(attempt, "fetching"))
+    answer = story.make_heartbeat("m-0", task_status(attempt, "fetching"))
     story.shard.answer(answer, story.now, pushed_starts)
     story.shard.acknowledge_starts(pushed_starts, True)
     assert attempt.stage == "fetching"
     story.shard.heartbeat(before, story.now)
+
     assert job_state.live[0] is attempt
 
 
-def test_a_stopped_task_is_elsewhere_only_after_it_is_gone() -> None:
+def test_stopped_task_starts_elsewhere_only_after_it_has_ended() -> None:
     story = Story(machines=2)
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     name = attempt.machine.name
     story.heartbeat(name)
-    story.heartbeat(name, listed(attempt, "running"))
+    story.heartbeat(name, task_status(attempt, "running"))
     story.shard.stop(attempt, 0.0)
     plan(story.shard, story.now)
     assert job_state.live[0] is attempt
-    assert story.heartbeat(name, listed(attempt, "running")) == [("halt", "req-000001/0")]
-    story.heartbeat(name, listed(attempt, "ended", "stopped"))
+    assert story.heartbeat(name, task_status(attempt, "running")) == [("halt", "req-000001/0")]
+    story.heartbeat(name, task_status(attempt, "ended", "stopped"))
     plan(story.shard, story.now)
+
     assert job_state.live[0] is not attempt
 
 
-def test_no_task_goes_to_a_machine_that_the_next_owner_would_not_find() -> None:
+def test_no_task_starts_on_a_machine_that_is_not_recorded() -> None:
     story = Story(machines=0)
     machine = story.add("m-0")
+
     machine.recorded = False
     job_state = story.submit()
     story.heartbeat("m-0")
@@ -282,13 +234,15 @@
     assert not job_state.live
     machine.recorded = True
     plan(story.shard, story.now)
+
     assert job_state.live
 
 
-def test_a_limited_team_waits_while_tasks_of_unknown_size_may_run() -> None:
+def test_limited_team_waits_while_tasks_of_unknown_size_may_run() -> None:
     story = Story(limits={"red": TeamQuota(cpus_max=2.0)})
     story.add("m-9", loaded=True)
     job_state = story.submit(tasks=3)
+
     assert not job_state.live
     story.heartbeat("m-9", TaskStatus("req-000777/0", 5, "running"))  # of a job that is over
     plan(story.shard, story.now)
@@ -296,26 +250,30 @@
     assert ("halt", "req-000777/0") in (story.heartbeat("m-9") or [("halt", "req-000777/0")])
     story.heartbeat("m-9")
     plan(story.shard, story.now)
+
     assert len(job_state.live) == 2  # and never a third
 
 
-def test_a_cancelled_job_is_halted_and_leaves_nothing_behind() -> None:
+def test_cancelled_job_is_halted_and_forgotten() -> None:
     story = Story()
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     story.heartbeat("m-0")
-    story.heartbeat("m-0", listed(attempt, "running"))
+    story.heartbeat("m-0", task_status(attempt, "running"))
     story.shard.close_job("req-000001", story.now)
-    assert story.heartbeat("m-0", listed(attempt, "running")) == [("halt", "req-000001/0")]
-    story.heartbeat("m-0", listed(attempt, "ended", "stopped"))
+    assert story.heartbeat("m-0", task_status(attempt, "running")) == [("halt", "req-000001/0")]
+    story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
+
     assert "req-000001" not in story.shard.job_states
 
 
-def test_a_machine_that_does_not_know_the_new_owner_yet_is_told_at_once_what_is_over() -> None:
+def test_unsynced_machine_gets_halts_for_closed_jobs_in_the_first_answer() -> None:
     """Its answer renews the lease, and may be the last that arrives."""
     story = Story()
     story.add("m-9", loaded=True)
     story.submit(number=2, version=50)
+
     tasks = [
         TaskStatus("req-000001/0", 5, "running"),
         TaskStatus("req-000001/1", 6, "ended", "done"),
@@ -323,88 +281,108 @@
     ]
     assert story.heartbeat("m-9", *tasks, fencing_token=6) == [("halt", "req-000001/0")]
     story.shard.close_job("req-000002", story.now)
+
     assert ("halt", "req-000002/0") in (story.heartbeat("m-9", *tasks, fencing_token=6) or [])
 
 
-def test_a_machine_that_was_silent_for_half_a_lease_gets_nothing_new() -> None:
-    """A mute one takes direct orders, which don't renew its lease."""
+def test_machine_silent_for_half_a_lease_gets_no_new_tasks() -> None:
+    """A machine without heartbeats takes pushed commands, which don't renew its lease."""
     story = Story(machines=2)
+
     story.now += TIMING.lease_us // 2 + 1
     story.heartbeat("m-1")
     job_state = story.submit(tasks=2)
     assert {attempt.machine.name for attempt in job_state.live.values()} == {"m-1"}
     story.heartbeat("m-0")
     other = story.submit(number=2, cpus=3.0)
+
     assert other.live[0].machine.name == "m-0"
 
 
-def test_a_broken_gang_is_started_anew_only_when_all_of_it_is_gone() -> None:
+def test_broken_gang_restarts_only_after_all_its_attempts_have_ended() -> None:
     story = Story(machines=2)
     job_state = story.submit(shape=Shape.GANG, tasks=2, cpus=3.0)
     first, second = story.attempt(job_state, 0), story.attempt(job_state, 1)
-    assert first.attempt_number == second.attempt_number and first.machine is not second.machine
+
+    assert first.attempt_number == second.attempt_number
+    assert first.machine is not second.machine
     for one in (first, second):
         story.heartbeat(one.machine.name)
-        story.heartbeat(one.machine.name, listed(one, "running"))
-    story.heartbeat(first.machine.name, listed(first, "ended", "error"))
+        story.heartbeat(one.machine.name, task_status(one, "running"))
+    story.heartbeat(first.machine.name, task_status(first, "ended", "error"))
     plan(story.shard, story.now)
     assert job_state.live == {1: second}
-    story.heartbeat(second.machine.name, listed(second, "ended", "peers"))
+    story.heartbeat(second.machine.name, task_status(second, "ended", "peers"))
     story.now += 31 * US  # it is kept off the machine it failed on for a while
     for one in (first, second):
         story.heartbeat(one.machine.name)
     plan(story.shard, story.now)
-    assert len(job_state.live) == 2 and job_state.live[0].attempt_number != first.attempt_number
+
+    assert len(job_state.live) == 2
+    assert job_state.live[0].attempt_number != first.attempt_number
 
 
-def test_one_zone_and_half_of_it_hold_together() -> None:
+def test_one_zone_and_apart_hold_together() -> None:
     story = Story(machines=3)
+
     story.shard.machines["m-2"].zone = "b"
     job_state = story.submit(tasks=4, one_zone=True, apart=True)
+
     assert len(job_state.live) == 2
     assert len({a.machine.zone for a in job_state.live.values()}) == 1
 
 
-def test_higher_rank_takes_room_from_lower_and_ordinary_work_does_not() -> None:
+def test_higher_rank_preempts_lower_rank_and_equal_rank_does_not() -> None:
     story = Story()
     low = story.submit(1, tasks=4, rank=0)
+
     for attempt in list(low.live.values()):
         attempt.stage = "running"
     assert not story.submit(2, rank=1).live
     high = story.submit(3, shape=Shape.GANG, rank=2, cpus=3.0)
     assert len(high.live) == 1
     assert sum(1 for a in low.live.values() if a.stop_grace_s is not None) == 3
-    there = [listed(attempt, "running") for attempt in low.live.values()]
+    there = [task_status(attempt, "running") for attempt in low.live.values()]
     commands = story.heartbeat("m-0", *there)
-    assert commands is not None and ("run", "req-000003/0") not in commands  # there is no room yet
-    gone = [listed(a, "ended", "stopped") for a in low.live.values() if a.stop_grace_s is not None]
-    kept = [listed(a, "running") for a in low.live.values() if a.stop_grace_s is None]
+    assert commands is not None
+    assert ("run", "req-000003/0") not in commands
+    gone = [
+        task_status(a, "ended", "stopped") for a in low.live.values() if a.stop_grace_s is not None
+    ]
+    kept = [task_status(a, "running") for a in low.live.values() if a.stop_grace_s is None]
+
     assert ("run", "req-000003/0") in (story.heartbeat("m-0", *gone, *kept) or [])
 
 
-def test_a_recalled_machine_is_saved_in_time() -> None:
+def test_task_on_a_machine_with_preemption_notice_checkpoints_in_time() -> None:
     story = Story()
     job_state = story.submit(checkpoint_interval_us=20 * US, checkpoint_duration_s=5.0)
     attempt = story.attempt(job_state)
+
     story.heartbeat("m-0")
-    heartbeat = story.make_heartbeat("m-0", listed(attempt, "running"))
+    heartbeat = story.make_heartbeat("m-0", task_status(attempt, "running"))
     heartbeat.preemption_notice_s = 30.0
     assert story.shard.heartbeat(heartbeat, story.now) == []  # there is time: it goes on
-    heartbeat = story.make_heartbeat("m-0", listed(attempt, "running"))
+    heartbeat = story.make_heartbeat("m-0", task_status(attempt, "running"))
     heartbeat.preemption_notice_s = 7.0
     commands = story.shard.heartbeat(heartbeat, story.now)
-    assert commands and commands[0].verb == "halt" and commands[0].grace_s == 5.0
+
+    assert commands
+    assert commands[0].verb == "halt"
+    assert commands[0].grace_s == 5.0
 
 
-def test_a_guarantee_is_honoured_against_work_beyond_another_teams_own() -> None:
+def test_guarantee_preempts_work_beyond_another_teams_guarantee() -> None:
     story = Story(limits={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
     blue = story.submit(1, team="blue", tasks=4)
+
     for attempt in blue.live.values():
         attempt.stage = "running"
     red = story.submit(2, tasks=1, cpus=2.0)
     assert len(red.live) == 1
     assert sum(1 for a in blue.live.values() if a.stop_grace_s is not None) == 2
     late = story.submit(3, team="blue", tasks=1, cpus=1.0)
+
     assert not late.live  # beyond its guarantee, blue takes nothing from red
 
 
@@ -412,61 +390,70 @@
     story = Story()
     filler = story.submit(1, tasks=4)
     array, gang = story.submit(2, tasks=4), story.submit(3, shape=Shape.GANG, tasks=2, cpus=2.0)
+
     story.shard.close_job("req-000001", story.now)
     assert not filler.live
     plan(story.shard, story.now)
-    assert len(gang.live) == 2 and not array.live
 
+    assert len(gang.live) == 2
+    assert not array.live
 
-def test_a_machine_whose_lease_ran_out_although_it_was_answered_must_prove_that_it_hears() -> None:
-    """Its reports arrive, answers and commands don't: its tasks go elsewhere, none come."""
+
+def test_machine_whose_lease_expired_despite_answers_must_prove_it_is_reachable() -> None:
+    """Its heartbeats arrive, answers and commands don't: its tasks move, no new ones come."""
     story = Story(machines=2)
     job_state = story.submit()
-    deaf = story.attempt(job_state).machine
-    story.heartbeat(deaf.name)
+    unreachable = story.attempt(job_state).machine
+
+    story.heartbeat(unreachable.name)
     story.now += TIMING.lease_us
-    story.heartbeat(deaf.name, epoch=2, tick=1)
+    story.heartbeat(unreachable.name, epoch=2, tick=1)
     for name in story.shard.machines:
-        if name != deaf.name:
+        if name != unreachable.name:
             story.heartbeat(name)
     plan(story.shard, story.now)
-    assert job_state.live[0].machine is not deaf and not deaf.usable(story.now)
-    story.shard.answer(story.make_heartbeat(deaf.name, epoch=2, tick=2), story.now)
-    assert deaf.usable(story.now)
+    assert job_state.live[0].machine is not unreachable
+    assert not unreachable.usable(story.now)
+    story.shard.answer(story.make_heartbeat(unreachable.name, epoch=2, tick=2), story.now)
+
+    assert unreachable.usable(story.now)
 
 
-def test_a_session_that_outlives_its_lease_proves_that_the_machine_hears() -> None:
+def test_agent_epoch_longer_than_a_lease_proves_that_the_machine_is_reachable() -> None:
     story = Story()
     machine = story.shard.machines["m-0"]
+
     story.heartbeat("m-0", epoch=2, tick=1)
     assert not machine.usable(story.now)
     for tick in range(2, 13):
         story.now += US
         story.heartbeat("m-0", epoch=2, tick=tick)
+
     assert machine.usable(story.now)
 
 
-def test_an_unanswered_order_keeps_new_tasks_off_until_the_machine_is_heard_to_obey() -> None:
+def test_unacknowledged_push_keeps_new_tasks_off_until_a_command_takes_effect() -> None:
     story = Story()
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
+
     _, pushed_starts = story.shard.take_push_commands(machine, story.now)
     story.shard.acknowledge_starts(pushed_starts, None)
     story.shard.mark_unreachable(machine, story.now)
     assert not machine.usable(story.now)
     story.heartbeat("m-0")
-    assert not machine.usable(story.now)  # that a report arrives shows nothing of the way back
-    story.heartbeat("m-0", listed(story.attempt(job_state), "fetching"))
+    assert not machine.usable(story.now)  # a heartbeat shows nothing about the way back
+    story.heartbeat("m-0", task_status(story.attempt(job_state), "fetching"))
+
     assert machine.usable(story.now)
 
 
-def test_a_machine_that_never_shows_the_fencing_token_does_not_hold_up_older_jobs_for_ever() -> (
-    None
-):
-    """After a failover a deaf machine, or copies of a dead one's reports, keep arriving."""
+def test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever() -> None:
+    """After a failover heartbeats of an unreachable machine, or copies, may keep arriving."""
     story = Story()
     story.add("m-9", loaded=True)
     job_state = story.submit(version=50)
+
     assert not job_state.live
     for tick in range(1, 40):
         story.now += US
@@ -477,13 +464,15 @@
         if job_state.live:
             break
     waited = story.now - story.shard.took_at
+
     assert TIMING.lease_expiry_us < waited <= TIMING.lease_us + TIMING.lease_expiry_us + 2 * US
     assert job_state.live[0].machine.name == "m-0"
 
 
-def test_copies_of_its_reports_do_not_bring_back_a_machine_that_was_lost() -> None:
+def test_heartbeat_copies_do_not_restore_a_lost_machine() -> None:
     story = Story()
     lost = story.add("m-9", loaded=True)
+
     story.now += TIMING.lease_expiry_us + 1
     story.heartbeat("m-0")
     story.shard.advance(story.now)
@@ -496,40 +485,48 @@
     # One of a job that is over must go, whoever listens; that proves no more than the other.
     over = TaskStatus("req-000009/0", 5, "running")
     assert story.heartbeat("m-9", over, fencing_token=6, epoch=3) == [("halt", "req-000009/0")]
-    assert lost.lost and not lost.up and not lost.attempts and not lost.heard_at
+    assert lost.lost
+    assert not lost.up
+    assert not lost.attempts
+    assert not lost.heard_at
     story.heartbeat("m-9", epoch=4, tick=1)  # it shows our fencing token: it lives
-    assert not lost.lost and lost.synced
 
+    assert not lost.lost
+    assert lost.synced
 
-def test_a_much_slower_machine_loses_its_tasks_but_a_job_slow_everywhere_is_left_alone() -> None:
+
+def test_stragglers_move_off_a_slow_machine_but_a_job_slow_everywhere_stays() -> None:
     story = Story(machines=3)
     job_state = story.submit(tasks=9)
+
     slow = job_state.live[0].machine
     for attempt in list(job_state.live.values()):
         story.heartbeat(attempt.machine.name)
     for name in ("m-0", "m-1", "m-2"):
-        there = [listed(a, "running") for a in story.shard.machines[name].attempts.values()]
+        there = [task_status(a, "running") for a in story.shard.machines[name].attempts.values()]
         story.heartbeat(name, *there)
     story.now += 5 * US
     for name in ("m-0", "m-1", "m-2"):
         if name != slow.name:
             ended = [
-                listed(a, "ended", "done") for a in story.shard.machines[name].attempts.values()
+                task_status(a, "ended", "done")
+                for a in story.shard.machines[name].attempts.values()
             ]
             story.heartbeat(name, *ended)
     assert job_state.ran_count >= 3
     for _ in range(80):
         story.now += US
         for name in ("m-0", "m-1", "m-2"):
-            story.heartbeat(name, *(listed(a, "running") for a in _there(story, name)))
+            story.heartbeat(name, *(task_status(a, "running") for a in _attempts_on(story, name)))
         story.shard.advance(story.now)
     assert all(a.stop_grace_s is not None for a in slow.attempts.values())
-    gone = [listed(a, "ended", "stopped") for a in slow.attempts.values()]
+    gone = [task_status(a, "ended", "stopped") for a in slow.attempts.values()]
     story.heartbeat(slow.name, *gone)
     for name in ("m-0", "m-1", "m-2"):
         story.heartbeat(name)
     plan(story.shard, story.now)
-    assert job_state.live and all(a.machine is not slow for a in job_state.live.values())
+    assert job_state.live
+    assert all(a.machine is not slow for a in job_state.live.values())
     everywhere = story.submit(2, tasks=1)
     for _ in range(10):
         attempt = everywhere.live[0]
@@ -545,114 +542,131 @@
         for name in story.shard.machines:
             story.heartbeat(name)
         plan(story.shard, story.now)
-    assert everywhere.given_up == 4 and attempt.stop_grace_s is None
 
+    assert everywhere.given_up == 4
+    assert attempt.stop_grace_s is None
 
-def test_a_job_does_not_wait_for_long_beside_the_only_machine_that_was_slow_for_it() -> None:
+
+def test_job_returns_to_the_only_machine_although_it_was_slow() -> None:
     story = Story()
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     attempt.stage, attempt.running_since = "running", story.now
     story.now += 400 * US
     story.shard._give_up_slow(job_state, story.now)
     assert attempt.stop_grace_s is not None
-    story.heartbeat("m-0", listed(attempt, "ended", "stopped"))
+    story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
     plan(story.shard, story.now)
     assert not job_state.live  # anywhere else would be better
     for _ in range(75):
         story.now += US
         story.heartbeat("m-0")
         plan(story.shard, story.now)
+
     assert job_state.live
 
 
-def test_room_is_gathered_for_a_large_gang_that_waits() -> None:
+def test_room_is_reserved_for_a_large_waiting_gang() -> None:
     """Single tasks of its own rank would else take each place as it falls free."""
     story = Story(machines=2)
+
     running = [story.submit(number, cpus=2.0, shape=Shape.GANG) for number in range(1, 5)]
     large = story.submit(9, tasks=2, cpus=4.0, shape=Shape.GANG, one_zone=True)
     for number in range(10, 40):  # always one goes and another comes
         story.now += 10 * US
         for name in ("m-0", "m-1"):
-            story.heartbeat(name, *(listed(a, "running") for a in _there(story, name)))
+            story.heartbeat(name, *(task_status(a, "running") for a in _attempts_on(story, name)))
         first = running.pop(0).live[0]
-        story.heartbeat(first.machine.name, listed(first, "ended", "done"))
+        story.heartbeat(first.machine.name, task_status(first, "ended", "done"))
         story.shard.close_job(first.job_state.job.ref, story.now)
         running.append(story.submit(number, cpus=2.0, shape=Shape.GANG))
         running = [job_state for job_state in running if job_state.live]
         if large.live:
             break
+
     assert len(large.live) == 2
 
 
-def _there(story: Story, name: str) -> list[Attempt]:
+def _attempts_on(story: Story, name: str) -> list[Attempt]:
     return list(story.shard.machines[name].attempts.values())
 
 
-def test_a_machine_is_settled_although_an_attempt_must_stay_listed() -> None:
-    """A direct start that was never answered may arrive again, so its number is not forgotten.
+def test_machine_is_settled_although_an_orphaned_attempt_stays_listed() -> None:
+    """A pushed start that was never answered may arrive again, so its number is not forgotten.
     That is no reason to keep the machine once the result is stored."""
     story = Story()
     machine = story.shard.machines["m-0"]
     job_state = story.submit()
     attempt = story.attempt(job_state)
+
     _, pushed_starts = story.shard.take_push_commands(machine, story.now)
     assert not story.shard.settled(machine)
     story.shard.acknowledge_starts(pushed_starts, None)
-    assert story.heartbeat("m-0", listed(attempt, "ended", "done")) == []
+    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
     assert not story.shard.settled(machine)  # its list is the only record of the result
     story.shard.stored(job_state, [0])
-    assert story.heartbeat("m-0", listed(attempt, "ended", "done")) == []  # not forgotten
+
+    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not forgotten
     assert story.shard.settled(machine)
 
 
-def test_a_machine_with_a_running_task_of_a_closed_job_is_not_settled() -> None:
+def test_machine_with_a_running_task_of_a_closed_job_is_not_settled() -> None:
     story = Story()
     machine = story.shard.machines["m-0"]
+
     belongs_to_other_shard = TaskStatus("req-000009/0", 3, "running")
+
     assert story.heartbeat("m-0", belongs_to_other_shard) == [("halt", "req-000009/0")]
     assert not story.shard.settled(machine)
 
 
-def test_promised_work_takes_its_share_back_from_saved_work_that_nobody_was_promised() -> None:
+def test_job_with_objective_reclaims_its_share_from_checkpointed_work_without() -> None:
     story = Story()
+
     story.shard.machines["m-0"].images["img"] = 1.0
     low = story.submit(1, tasks=4, rank=0, checkpoint_interval_us=5 * US, checkpoint_duration_s=2.0)
     low.has_objective = False
     attempts = list(low.live.values())
     story.heartbeat("m-0")
-    story.heartbeat("m-0", *(listed(a, "running") for a in attempts))
-    job_state = story.shard.add_job(a_job(2, tasks=3, rank=1, due_us=100 * US), 200, story.now)
+    story.heartbeat("m-0", *(task_status(a, "running") for a in attempts))
+    job_state = story.shard.add_job(make_job(2, tasks=3, rank=1, due_us=100 * US), 200, story.now)
     job_state.slots, low.slots = 2, 2
     plan(story.shard, story.now)
+
     assert len(job_state.live) == 2  # its share, and no more
     assert sorted(a.stop_grace_s for a in attempts if a.stop_grace_s is not None) == [2.0, 2.0]
 
 
-@pytest.mark.parametrize("what", ["unsaved", "promised", "same rank", "no promise", "no share"])
-def test_ordinary_work_displaces_nothing_else(what: str) -> None:
+@pytest.mark.parametrize(
+    "case", ["no checkpoint", "other has objective", "same rank", "no objective", "no share"]
+)
+def test_job_with_objective_preempts_nothing_else(case: str) -> None:
     story = Story()
     saves = (
         {}
-        if what == "unsaved"
+        if case == "no checkpoint"
         else {"checkpoint_interval_us": 5 * US, "checkpoint_duration_s": 2.0}
     )
-    low = story.submit(1, tasks=4, rank=1 if what == "same rank" else 0, **saves)
-    low.has_objective = what == "promised"
+    low = story.submit(1, tasks=4, rank=1 if case == "same rank" else 0, **saves)
+
+    low.has_objective = case == "other has objective"
     attempts = list(low.live.values())
     story.heartbeat("m-0")
-    story.heartbeat("m-0", *(listed(a, "running") for a in attempts))
-    job_state = story.shard.add_job(a_job(2, tasks=3, rank=1, due_us=100 * US), 200, story.now)
-    job_state.has_objective = what != "no promise"
-    job_state.slots, low.slots = 0 if what == "no share" else 2, 2
+    story.heartbeat("m-0", *(task_status(a, "running") for a in attempts))
+    job_state = story.shard.add_job(make_job(2, tasks=3, rank=1, due_us=100 * US), 200, story.now)
+    job_state.has_objective = case != "no objective"
+    job_state.slots, low.slots = 0 if case == "no share" else 2, 2
     plan(story.shard, story.now)
+
     assert not job_state.live
     assert all(a.stop_grace_s is None for a in attempts)
 
 
-def test_jobs_that_fail_everywhere_clear_the_machine_on_which_they_failed_first() -> None:
+def test_jobs_that_fail_everywhere_do_not_count_against_a_machine() -> None:
     """Four of them, still open, would else have a healthy machine taken for faulty."""
     story = Story(machines=2)
+
     for number in range(1, 5):
         job_state = story.submit(number)
         for _ in range(2):
@@ -660,12 +674,13 @@
             assert ("run", f"{job_state.job.ref}/0") in (
                 story.heartbeat(attempt.machine.name) or []
             )
-            story.heartbeat(attempt.machine.name, listed(attempt, "ended", "error"))
+            story.heartbeat(attempt.machine.name, task_status(attempt, "ended", "error"))
             story.now += 5 * US
             for name in ("m-0", "m-1"):
                 story.heartbeat(name)
             plan(story.shard, story.now)
         assert not job_state.live  # both are avoided for a while
     machines = story.shard.machines.values()
+
     assert not any(machine.draining for machine in machines)
     assert all(not machine.failed_jobs for machine in machines)
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -1,20 +1,20 @@
-"""What is hired in zones of which nothing is heard."""
+"""What is rented in zones from which no heartbeats arrive."""
 
 import asyncio
 
 from basaltlead.core.entities import US, MachineType
 from basaltlead.core.fleet_sizing import Offer
 from basaltlead.core.silent_zones import PAUSE_US, SilentZones
-from tests.fakes import FakeWorker, World
-from tests.simulation import Loop, play
+from tests.fakes import Deployment, FakeWorker
+from tests.simulation import Loop, simulated
 
-KINDS = {
+MACHINE_TYPES = {
     "dear": MachineType("dear", 4.0, 0.0, 16.0, 2.0, 1.0, 5 * US, 50.0, 1.0, ("a", "b")),
     "cheap": MachineType("cheap", 4.0, 0.0, 16.0, 1.0, 0.5, 5 * US, 50.0, 1.0, ("a", "b")),
 }
 OFFERS: dict[Offer, int | None] = {
     Offer(machine_type, zone, spot): None
-    for machine_type in KINDS
+    for machine_type in MACHINE_TYPES
     for zone in "ab"
     for spot in (True, False)
 }
@@ -22,64 +22,71 @@
 SILENT = {"a": [True, False], "b": [False, False, False]}
 
 
-def test_a_zone_in_doubt_gets_one_trial_after_a_pause_until_it_is_heard() -> None:
+def test_silent_zone_gets_one_trial_machine_after_a_pause_until_it_is_heard() -> None:
     zones = SilentZones()
-    assert zones.admitted(OFFERS, KINDS, [], 0) == OFFERS
+
+    assert zones.admitted(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
     assert zones.look(SILENT, 0) == ["b"]
     assert zones.look(SILENT, US) == []  # it is known by now
-    assert zones.admitted(OFFERS, KINDS, [], PAUSE_US) == IN_A
+    assert zones.admitted(OFFERS, MACHINE_TYPES, [], PAUSE_US) == IN_A
     after = US + PAUSE_US
     trial = Offer("cheap", "b", True)
-    assert zones.admitted(OFFERS, KINDS, ["a"], after) == IN_A | {trial: 1}
-    assert zones.admitted(OFFERS, KINDS, ["b"], after) == IN_A  # it has not been heard yet
+    assert zones.admitted(OFFERS, MACHINE_TYPES, ["a"], after) == IN_A | {trial: 1}
+    assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after) == IN_A  # it has not been heard yet
     assert zones.look({"a": [True]}, after) == []  # all machines there were returned
-    assert zones.admitted(OFFERS, KINDS, ["b"], after + PAUSE_US) == IN_A
+    assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after + PAUSE_US) == IN_A
     zones.look({"a": [True], "b": [True]}, after + PAUSE_US)
-    assert zones.admitted(OFFERS, KINDS, [], after + PAUSE_US) == OFFERS
+
+    assert zones.admitted(OFFERS, MACHINE_TYPES, [], after + PAUSE_US) == OFFERS
 
 
-def test_the_silence_of_everybody_puts_no_zone_in_doubt() -> None:
+def test_no_zone_is_silent_when_all_machines_are() -> None:
     zones = SilentZones()
+
     assert zones.look({"a": [False] * 5, "b": [False] * 5}, 0) == []
-    assert zones.look({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by chance
-    assert zones.admitted(OFFERS, KINDS, [], 0) == OFFERS
-
-
-def test_a_long_cut_of_a_zone_costs_few_machines_and_the_zone_is_used_again_after_it() -> None:
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        world.cloud.capacity = 12
-        await world.start()
-        await world.submit(world.job(2, Pieces=2, Cores=4.0, RunS=900.0, GuessS=900.0, Yard="a"))
-        await world.until(lambda: len(world.on("req-000002")) == 2)
-        await world.submit(world.job(1, Pieces=400, Cores=4.0, RunS=6.0, Yard="b"))
-        await world.until(lambda: len(world.rule_checker.on) >= 6)
-        cut = [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
-        for machine in list(world.cloud.machines.values()):
-            if machine.zone == "b":
-                _cut(world, machine)
-        end = loop.time() + 120
-        hired: set[str] = set()
-        before = set(world.cloud.machines)
-        while loop.time() < end:
-            for name, machine in list(world.cloud.machines.items()):
-                if name not in before and machine.zone == "b":
-                    _cut(world, machine)
-                    hired.add(name)
-            await asyncio.sleep(0.1)
-        assert 1 <= len(hired) <= 4
-        for host in cut:
-            for name in world.nodes:
-                world.net.heal(host, world.host(name), True)
-        await world.until(
-            lambda: any(m.zone == "b" and m.tasks for m in world.cloud.machines.values()),
-            seconds=60 + FakeWorker.LEASE,
-        )
-        world.verdict()
-
-    play(story)
-
-
-def _cut(world: World, machine: FakeWorker) -> None:
-    for name in world.nodes:
-        world.net.cut(machine.host, world.host(name))
+    assert zones.look({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by rng
+    assert zones.admitted(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
+
+
+@simulated
+async def test_long_partition_of_a_zone_costs_few_machines_and_the_zone_is_used_again(
+    loop: Loop,
+) -> None:
+    deployment = Deployment(loop)
+    deployment.cloud.capacity = 12
+    await deployment.start()
+    await deployment.submit(
+        deployment.job(2, Pieces=2, Cores=4.0, RunS=900.0, GuessS=900.0, Yard="a")
+    )
+    await deployment.wait_until(lambda: len(deployment.running_tasks("req-000002")) == 2)
+    await deployment.submit(deployment.job(1, Pieces=400, Cores=4.0, RunS=6.0, Yard="b"))
+    await deployment.wait_until(lambda: len(deployment.rule_checker.running_on) >= 6)
+
+    cut = [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
+    for machine in list(deployment.cloud.machines.values()):
+        if machine.zone == "b":
+            _cut(deployment, machine)
+    end = loop.time() + 120
+    rented: set[str] = set()
+    before = set(deployment.cloud.machines)
+    while loop.time() < end:
+        for name, machine in list(deployment.cloud.machines.items()):
+            if name not in before and machine.zone == "b":
+                _cut(deployment, machine)
+                rented.add(name)
+        await asyncio.sleep(0.1)
+    assert 1 <= len(rented) <= 4
+    for host in cut:
+        for name in deployment.nodes:
+            deployment.net.heal(host, deployment.host(name), True)
+    await deployment.wait_until(
+        lambda: any(m.zone == "b" and m.tasks for m in deployment.cloud.machines.values()),
+        seconds=60 + FakeWorker.LEASE,
+    )
+
+    deployment.assert_no_violation()
+
+
+def _cut(deployment: Deployment, machine: FakeWorker) -> None:
+    for name in deployment.nodes:
+        deployment.net.cut(machine.host, deployment.host(name))
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -1,4 +1,4 @@
-"""Work that nobody planned for: jobs with a mistake, faulty machines, guests in great numbers."""
+"""Unusual load: jobs that always fail, faulty machines, and many small jobs of one team."""
 
 import asyncio
 import logging
@@ -8,149 +8,154 @@
 
 from basaltlead.net.http import Response
 from basaltlead.runtime.logs import log
-from tests.fakes import World
-from tests.simulation import Loop, play
-
-
-def test_a_job_that_fails_everywhere_burns_no_fleet_and_no_machine_is_blamed_for_it() -> None:
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        await world.start()
-        await world.submit(world.job(1, Pieces=30, RunS=1.0, Broken=True))
-        for number in range(2, 8):
-            await world.submit(world.job(number, Pieces=4, RunS=10.0))
-        await world.until_done(*[f"req-{n:06d}" for n in range(2, 8)], seconds=60)
-        rented = set(world.cloud.machines)
-        for _ in range(8):
-            for name in world.nodes:
-                assert await world.poll("req-000001", name) in ("pending", "running")
-            await asyncio.sleep(15)
-        assert world.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, for three minutes
-        shard_leader = world.shard_leader()
-        assert shard_leader is not None
-        machines = world.parts[shard_leader].shard_leaders[0].shard.machines.values()
-        assert not any(machine.draining for machine in machines)
-        assert world.cloud.count <= len(rented) + 4  # none was changed for another
-        assert await world.cancel("req-000001") == "withdrawn"
-        await asyncio.sleep(3)
-        assert world.on("req-000001") == []
-        world.verdict()
-
-    play(story)
-
-
-def test_two_jobs_that_fail_everywhere_cost_a_small_fleet_no_machine() -> None:
+from tests.builders import job_refs
+from tests.fakes import Deployment
+from tests.simulation import Loop, play, simulated
+
+
+@simulated
+async def test_job_that_fails_everywhere_backs_off_and_drains_no_machine(loop: Loop) -> None:
+    deployment = Deployment(loop)
+    await deployment.start()
+    await deployment.submit(deployment.job(1, Pieces=30, RunS=1.0, Broken=True))
+
+    for number in range(2, 8):
+        await deployment.submit(deployment.job(number, Pieces=4, RunS=10.0))
+    await deployment.wait_until_done(*job_refs(2, 7), seconds=60)
+    rented = set(deployment.cloud.machines)
+    for _ in range(8):
+        for name in deployment.nodes:
+            assert await deployment.poll("req-000001", name) in ("pending", "running")
+        await asyncio.sleep(15)
+    assert deployment.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, for three minutes
+    shard_leader = deployment.acting_shard_leader()
+    machines = deployment.controllers[shard_leader].shard_leaders[0].shard.machines.values()
+    assert not any(machine.draining for machine in machines)
+    assert deployment.cloud.rented_count <= len(rented) + 4  # none was changed for another
+    assert await deployment.cancel("req-000001") == "withdrawn"
+    await asyncio.sleep(3)
+
+    assert deployment.running_tasks("req-000001") == []
+    deployment.assert_no_violation()
+
+
+@simulated
+async def test_two_jobs_that_fail_everywhere_drain_no_machine_of_a_small_fleet(loop: Loop) -> None:
     """There is no third machine to try them on."""
-
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        world.cloud.capacity = 2
-        await world.start()
-        await world.submit(world.job(1, Pieces=8, RunS=150.0, Grades=["small"]))
-        await world.until(lambda: len(world.on("req-000001")) > 4)
-        rented = set(world.cloud.machines)
-        for number in (2, 3):
-            await world.submit(world.job(number, Pieces=4, Rank="high", RunS=1.0, Broken=True))
-        await asyncio.sleep(150)
-        assert set(world.cloud.machines) == rented
-        starts = world.rule_checker.starts_of("req-000002") + world.rule_checker.starts_of(
-            "req-000003"
+    deployment = Deployment(loop)
+    deployment.cloud.capacity = 2
+    await deployment.start()
+    await deployment.submit(deployment.job(1, Pieces=8, RunS=150.0, Grades=["small"]))
+    await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) > 4)
+    rented = set(deployment.cloud.machines)
+
+    for number in (2, 3):
+        await deployment.submit(
+            deployment.job(number, Pieces=4, Rank="high", RunS=1.0, Broken=True)
         )
-        assert starts < 60
-        for ref in ("req-000002", "req-000003"):
-            assert await world.cancel(ref) == "withdrawn"
-        world.verdict()
-
-    play(story)
-
-
-def test_a_machine_on_which_everything_fails_is_told_apart_from_a_job_that_does() -> None:
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        world.cloud.capacity = 2
-        await world.busy(4, 20.0)
-        await world.submit(world.job(9, Pieces=2, RunS=2.0, Broken=True))
-        refs = [f"req-{number:06d}" for number in range(2, 6)]
-        for ref in refs:  # both machines are needed all the time
-            await world.submit(world.job(int(ref[4:]), Pieces=40, RunS=4.0))
-        await world.until(lambda: len(world.cloud.machines) == 2)
-        faulty = next(iter(world.cloud.machines.values()))
-        faulty.faulty = True
-        await world.until(lambda: faulty.name not in world.cloud.machines, seconds=75)
-        left = [ref for ref in refs if await world.poll(ref) != "done"]
-        assert left  # it was not given back for want of work
-        await world.until_done("req-000001", *refs, seconds=200)
-        assert await world.cancel("req-000009") == "withdrawn"
-        world.verdict()
-
-    play(story)
-
-
-def test_guests_take_what_others_leave_and_are_served_all_the_same() -> None:
+    await asyncio.sleep(150)
+    assert set(deployment.cloud.machines) == rented
+    starts = deployment.rule_checker.starts_of("req-000002") + deployment.rule_checker.starts_of(
+        "req-000003"
+    )
+    assert starts < 60
+    for ref in ("req-000002", "req-000003"):
+        assert await deployment.cancel(ref) == "withdrawn"
+
+    deployment.assert_no_violation()
+
+
+@simulated
+async def test_machine_on_which_every_job_fails_is_replaced(loop: Loop) -> None:
+    deployment = Deployment(loop)
+    deployment.cloud.capacity = 2
+    await deployment.start_with_running_job(4, 20.0)
+    await deployment.submit(deployment.job(9, Pieces=2, RunS=2.0, Broken=True))
+    refs = job_refs(2, 5)
+
+    for ref in refs:  # both machines are needed all the time
+        await deployment.submit(deployment.job(int(ref[4:]), Pieces=40, RunS=4.0))
+    await deployment.wait_until(lambda: len(deployment.cloud.machines) == 2)
+    faulty = next(iter(deployment.cloud.machines.values()))
+    faulty.faulty = True
+    await deployment.wait_until(lambda: faulty.name not in deployment.cloud.machines, seconds=75)
+    left = [ref for ref in refs if await deployment.poll(ref) != "done"]
+
+    assert left  # it was not given back for want of work
+    await deployment.wait_until_done("req-000001", *refs, seconds=200)
+    assert await deployment.cancel("req-000009") == "withdrawn"
+    deployment.assert_no_violation()
+
+
+@simulated
+async def test_best_effort_jobs_use_the_remaining_room_and_make_progress(loop: Loop) -> None:
     """One huge array, a swarm of tiny jobs; the fleet is too small for all of it."""
-
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        world.cloud.capacity = 4
-        await world.start()
-        await world.submit(world.job(500, Crew="blue", Rank="best_effort", Pieces=2000, RunS=4.0))
-        began = loop.time()
-        swarm = [
-            world.job(500 + number, Crew="blue", Rank="best_effort", Cores=0.5, RunS=1.0)
-            for number in range(1, 41)
-        ]
-        await asyncio.gather(*(world.submit(job) for job in swarm))
-        own = [f"req-{number:06d}" for number in range(1, 9)]
-        for ref in own:
-            number = int(ref[4:])
-            await world.submit(world.job(number, Pieces=4, Rank="high", RunS=3.0))
-            await world.until(lambda ref=ref: world.rule_checker.starts_of(ref) > 0, seconds=15)
-            await asyncio.sleep(2)
-        await world.until_done(*own, seconds=40)
-        await world.until_done(*(job["Ref"] for job in swarm), seconds=240 - (loop.time() - began))
-        assert world.rule_checker.starts_of("req-000500") > 100  # the largest goes on as well
-        world.verdict()
-
-    play(story)
-
-
-def test_a_controller_that_was_silent_for_long_acts_on_nothing_it_believed() -> None:
-    """Its late orders and writes change nothing, and what it learns of run times stays sensible."""
-
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        shard_leader = await world.busy(6, 30.0)
-        await world.submit(world.job(2, Pieces=6, RunS=5.0))
-        world.freeze(shard_leader)
-        await asyncio.sleep(75)
-        other = world.shard_leader()
-        assert other not in (None, shard_leader)
-        await world.until_done("req-000001", "req-000002")
-        before = dict(world.store.keys)
-        starts = world.rule_checker.starts
-        world.thaw(shard_leader)
-        await asyncio.sleep(3)
-        assert world.shard_leader() == other and world.rule_checker.starts == starts
-        kept = [key for key in before if key.startswith(("over/", "c/block/"))]
-        assert all(world.store.keys[key] == before[key] for key in kept)
-        # The other one stands still while its tasks run: no run time is taken from that.
-        await world.submit(world.job(3, Pieces=4, RunS=4.0, GuessS=4.0))
-        await world.until(lambda: len(world.on("req-000003")) == 4)
-        assert other is not None
-        world.freeze(other)
-        await asyncio.sleep(1.0)
-        world.thaw(other)
-        await world.until_done("req-000003")
-        now = world.shard_leader()
-        assert now is not None
-        ratio = world.parts[now].shard_leaders[0].shard.ratio.get("reports", 1.0)
-        assert 0.3 < ratio < 3.0
-        world.verdict()
-
-    play(story)
-
-
-GARBLED: dict[str, Callable[[Response], Response]] = {
+    deployment = Deployment(loop)
+    deployment.cloud.capacity = 4
+    await deployment.start()
+    await deployment.submit(
+        deployment.job(500, Crew="blue", Rank="best_effort", Pieces=2000, RunS=4.0)
+    )
+
+    began = loop.time()
+    swarm = [
+        deployment.job(500 + number, Crew="blue", Rank="best_effort", Cores=0.5, RunS=1.0)
+        for number in range(1, 41)
+    ]
+    await asyncio.gather(*(deployment.submit(job) for job in swarm))
+    own = job_refs(1, 8)
+    for ref in own:
+        number = int(ref[4:])
+        await deployment.submit(deployment.job(number, Pieces=4, Rank="high", RunS=3.0))
+        await deployment.wait_until(
+            lambda ref=ref: deployment.rule_checker.starts_of(ref) > 0, seconds=15
+        )
+        await asyncio.sleep(2)
+
+    await deployment.wait_until_done(*own, seconds=40)
+    await deployment.wait_until_done(
+        *(job["Ref"] for job in swarm), seconds=240 - (loop.time() - began)
+    )
+    assert deployment.rule_checker.starts_of("req-000500") > 100  # the largest goes on as well
+    deployment.assert_no_violation()
+
+
+@simulated
+async def test_controller_frozen_for_long_acts_on_no_outdated_state(loop: Loop) -> None:
+    """Its late commands and writes change nothing, and learned run times stay plausible."""
+    deployment = Deployment(loop)
+    shard_leader = await deployment.start_with_running_job(6, 30.0)
+    await deployment.submit(deployment.job(2, Pieces=6, RunS=5.0))
+
+    deployment.freeze(shard_leader)
+    await asyncio.sleep(75)
+    other = deployment.shard_leader()
+    assert other not in (None, shard_leader)
+    await deployment.wait_until_done("req-000001", "req-000002")
+    before = dict(deployment.store.keys)
+    starts = deployment.rule_checker.starts
+    deployment.thaw(shard_leader)
+    await asyncio.sleep(3)
+    assert deployment.shard_leader() == other
+    assert deployment.rule_checker.starts == starts
+    kept = [key for key in before if key.startswith(("over/", "c/block/"))]
+    assert all(deployment.store.keys[key] == before[key] for key in kept)
+    # The other one stands still while its tasks run: no run time is taken from that.
+    await deployment.submit(deployment.job(3, Pieces=4, RunS=4.0, GuessS=4.0))
+    await deployment.wait_until(lambda: len(deployment.running_tasks("req-000003")) == 4)
+    assert other is not None
+    deployment.freeze(other)
+    await asyncio.sleep(1.0)
+    deployment.thaw(other)
+    await deployment.wait_until_done("req-000003")
+    now = deployment.acting_shard_leader()
+    ratio = deployment.controllers[now].shard_leaders[0].shard.ratio.get("reports", 1.0)
+
+    assert 0.3 < ratio < 3.0
+    deployment.assert_no_violation()
+
+
+CORRUPTIONS: dict[str, Callable[[Response], Response]] = {
     "cut off": lambda answer: Response(answer.status, answer.body[: len(answer.body) // 2]),
     "empty": lambda answer: Response(answer.status, b""),
     "not JSON": lambda answer: Response(answer.status, b"<html>gateway</html>"),
@@ -163,35 +168,36 @@
 
 
 @pytest.mark.parametrize("who", ["state", "cloud"])
-@pytest.mark.parametrize("how", list(GARBLED))
-def test_answers_that_make_no_sense_are_no_answers(
+@pytest.mark.parametrize("how", list(CORRUPTIONS))
+def test_corrupt_replies_count_as_unanswered(
     how: str, who: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """What was asked for may have been done all the same. No loop ends over them."""
 
-    async def story(loop: Loop) -> None:
-        world = World(loop)
-        await world.busy(4, 30.0)
-        service = world.store if who == "state" else world.cloud
-        service.garble = GARBLED[how]
-        submitting = loop.create_task(world.submit(world.job(2, Pieces=3, RunS=2.0)))
+    async def scenario(loop: Loop) -> None:
+        deployment = Deployment(loop)
+        await deployment.start_with_running_job(4, 30.0)
+        service = deployment.store if who == "state" else deployment.cloud
+        service.corrupt_reply = CORRUPTIONS[how]
+        submitting = loop.create_task(deployment.submit(deployment.job(2, Pieces=3, RunS=2.0)))
         if who == "state":
-            status, _ = await world.ask(world.nodes[0], "GET", "/api/jobs/req-000001")
+            status, _ = await deployment.request(deployment.nodes[0], "GET", "/api/jobs/req-000001")
             assert status == 503  # nobody is told what was not read
         end = loop.time() + 6.0
         while loop.time() < end:
-            world.rule_checker.check()
-            world.shard_leader()  # never two
+            deployment.rule_checker.check()
+            deployment.shard_leader()  # never two
             await asyncio.sleep(0.1)
-        world.heal()
+        deployment.end_all_faults()
         await submitting
-        await world.until_done("req-000001", "req-000002", seconds=120)
-        assert not any(task.done() for task in world.running.values())
-        world.verdict()
+        await deployment.wait_until_done("req-000001", "req-000002", seconds=120)
+        assert not any(task.done() for task in deployment.controller_tasks.values())
+        deployment.assert_no_violation()
 
     log.addHandler(caplog.handler)
     try:
-        play(story)
+        play(scenario)
     finally:
         log.removeHandler(caplog.handler)
+
     assert [r.getMessage() for r in caplog.records if r.levelno >= logging.ERROR] == []
--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -40,13 +40,15 @@
 ]
 
 
-@pytest.mark.parametrize(("value", "spelling"), SPELLINGS)
+@pytest.mark.parametrize(
+    ("value", "spelling"), SPELLINGS, ids=[type(value).__name__ for value, _ in SPELLINGS]
+)
 def test_records_and_messages_keep_their_spelling(value: msgspec.Struct, spelling: str) -> None:
     assert msgspec.json.encode(value).decode() == spelling
     assert msgspec.json.decode(spelling, type=type(value)) == value
 
 
-def test_a_member_that_names_no_version_is_of_the_first() -> None:
+def test_member_without_a_version_is_of_the_first() -> None:
     assert msgspec.json.decode('{"name":"n-0","life":"ab"}', type=Claim) == Claim("n-0", "ab", 0)
 
 
