--- /dev/null
+++ b/tests/test_wire_terms.py
@@ -0,0 +1,59 @@
+"""The tables of message fields in docs/glossary.md are complete: terms and names on the wire."""
+
+import importlib
+import inspect
+import pkgutil
+import re
+from pathlib import Path
+from typing import NamedTuple
+
+import msgspec
+import pytest
+
+from basaltlead import wire
+
+GLOSSARY = Path(__file__).resolve().parent.parent / "docs" / "glossary.md"
+HEADING = "## Fields of messages"
+INTERFACES = [module.name for module in pkgutil.iter_modules(wire.__path__)]
+
+
+class MessageTerms(NamedTuple):
+    """A message's tag, if it has one, and its fields: the name in the code and that on the wire."""
+
+    tag: str
+    fields: dict[str, str]
+
+
+def _documented(interface: str) -> dict[str, MessageTerms]:
+    """The rows of the table that stands under an interface's own heading."""
+    section = GLOSSARY.read_text().partition(HEADING)[2]
+    table = section.partition(f"### `wire/{interface}.py`")[2].partition("\n##")[0]
+    rows = re.findall(r"^\| `(\w+)` \| (?:`([\w-]+)`)? ?\| (.*) \|$", table, re.MULTILINE)
+    return {
+        name: MessageTerms(tag, dict(re.findall(r"`(\w+)`: `(\w+)`", fields)))
+        for name, tag, fields in rows
+    }
+
+
+def _defined(interface: str) -> dict[str, MessageTerms]:
+    """The messages that an interface's module defines."""
+    module = importlib.import_module(f"basaltlead.wire.{interface}")
+    return {
+        name: MessageTerms(
+            struct.__struct_config__.tag or "",
+            {field.name: field.encode_name for field in msgspec.structs.fields(struct)},
+        )
+        for name, struct in inspect.getmembers(module, inspect.isclass)
+        if issubclass(struct, msgspec.Struct) and struct.__module__ == module.__name__
+    }
+
+
+@pytest.mark.parametrize("interface", INTERFACES)
+def test_glossary_lists_each_message_with_each_field(interface: str) -> None:
+    assert _documented(interface) == _defined(interface)
+
+
+def test_glossary_lists_no_interface_that_does_not_exist() -> None:
+    section = GLOSSARY.read_text().partition(HEADING)[2]
+
+    assert sorted(re.findall(r"^### `wire/(\w+)\.py`", section, re.MULTILINE)) == sorted(INTERFACES)
