--- /dev/null
+++ b/tests/test_layers.py
@@ -0,0 +1,136 @@
+"""Which package may import which: lower layers know nothing of higher ones; no imports in circles.
+
+Counted are imports that run when a module is loaded; an import inside a function is made late on
+purpose (libraries that few need) and says why beside it.
+"""
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+PACKAGE = Path(__file__).resolve().parent.parent / "basaltlead"
+
+# From the lowest layer up. A package may import those of lower layers, not its neighbours.
+LAYERS = (
+    ("errors", "runtime", "wire"),
+    ("core", "net"),
+    ("clients",),
+    ("storage",),
+    ("config",),
+    ("cluster",),
+    ("duties", "shard"),
+    ("api", "operators", "scaling"),
+    ("controller",),
+    ("cli",),
+    ("__main__",),
+)
+LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
+ONLY_ERRORS = {"core", "errors"}  # all that decisions may know of
+# Decisions, and what takes no part in messages: names of the protocol stay out of these.
+WITHOUT_WIRE = {"core", "net", "runtime", "config", "errors"}
+
+
+def _modules() -> dict[str, ast.Module]:
+    """The sources by dotted name within the package."""
+    return {
+        ".".join(path.relative_to(PACKAGE).with_suffix("").parts): ast.parse(path.read_text())
+        for path in sorted(PACKAGE.rglob("*.py"))
+        if path.name != "__init__.py"
+    }
+
+
+def _statements(body: list[ast.stmt]) -> Iterator[ast.stmt]:
+    """What runs when a module is loaded: not the bodies of functions, nor for type checkers."""
+    for node in body:
+        yield node
+        if isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test):
+            continue
+        if not isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+            for field in ("body", "orelse", "finalbody"):
+                yield from _statements(getattr(node, field, []))
+
+
+MODULES = _modules()
+
+
+def _imports(module: str) -> set[str]:
+    """The modules of the package that a module imports when it is loaded."""
+    found: set[str] = set()
+    for node in _statements(MODULES[module].body):
+        if isinstance(node, ast.ImportFrom) and (node.module or "").split(".")[0] == "basaltlead":
+            base = (node.module or "").partition(".")[2]
+            for alias in node.names:
+                inner = f"{base}.{alias.name}".lstrip(".")
+                found.add(inner if inner in MODULES else base)
+        elif isinstance(node, ast.Import):
+            names = [alias.name.partition(".") for alias in node.names]
+            found |= {inner for top, _, inner in names if top == "basaltlead"}
+    return found & MODULES.keys()
+
+
+IMPORTS = {module: _imports(module) for module in MODULES}
+
+
+def _package(module: str) -> str:
+    return module.partition(".")[0]
+
+
+def test_each_package_has_its_layer() -> None:
+    assert {_package(module) for module in MODULES} == LAYER_OF.keys()
+
+
+@pytest.mark.parametrize("package", LAYER_OF)
+def test_package_imports_only_lower_layers(package: str) -> None:
+    upward = [
+        f"{module} imports {other}"
+        for module, others in IMPORTS.items()
+        for other in others
+        if _package(module) == package != _package(other)
+        and LAYER_OF[_package(other)] >= LAYER_OF[package]
+    ]
+
+    assert upward == []
+
+
+def test_decisions_import_nothing_outside_core_but_errors() -> None:
+    outside = [
+        f"{module} imports {other}"
+        for module, others in IMPORTS.items()
+        for other in others
+        if _package(module) == "core" and _package(other) not in ONLY_ERRORS
+    ]
+
+    assert outside == []
+
+
+def test_names_of_the_protocol_stay_at_the_edges() -> None:
+    inner = [
+        f"{module} imports {other}"
+        for module, others in IMPORTS.items()
+        for other in others
+        if _package(module) in WITHOUT_WIRE and _package(other) == "wire"
+    ]
+
+    assert inner == []
+
+
+def test_no_module_imports_itself_through_others() -> None:
+    def reachable(module: str) -> set[str]:
+        seen: set[str] = set()
+        rest = list(IMPORTS[module])
+        while rest:
+            other = rest.pop()
+            if other not in seen:
+                seen.add(other)
+                rest += IMPORTS[other]
+        return seen
+
+    assert [module for module in MODULES if module in reachable(module)] == []
+
+
+def test_imports_of_this_program_are_found() -> None:
+    assert "cluster.membership" in IMPORTS["cluster.election"]
+    assert "core.cluster_view" in IMPORTS["cluster.membership"]
+    assert len(IMPORTS["controller"]) > 10
--- /dev/null
+++ b/tests/test_runbook.py
@@ -0,0 +1,62 @@
+"""docs/operations.md explains each line that is logged at the levels info and error, and no others.
+
+Lines are compared as templates: what varies in them is written as an ellipsis.
+"""
+
+import ast
+import re
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+RUNBOOK = ROOT / "docs" / "operations.md"
+LEVELS = {"info": "I", "error": "E", "exception": "E", "log": "I"}  # `log` of a shard is info
+PLACEHOLDER = re.compile(r"%[-+#0]*\d*(?:\.\d+)?[sdfr]")
+VARIES = "…"
+
+
+def _template(argument: ast.expr) -> str:
+    """A log call's first argument, with an ellipsis for each part that varies."""
+    if isinstance(argument, ast.JoinedStr):
+        parts = [
+            part.value if isinstance(part, ast.Constant) else VARIES for part in argument.values
+        ]
+        return "".join(map(str, parts))
+    if isinstance(argument, ast.Constant) and isinstance(argument.value, str):
+        return PLACEHOLDER.sub(VARIES, argument.value)
+    return ""
+
+
+def _logged() -> set[tuple[str, str]]:
+    """Level and template of each line; those without any words of their own are left out."""
+    found = set()
+    for path in sorted((ROOT / "basaltlead").rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if (
+                isinstance(node, ast.Call)
+                and isinstance(node.func, ast.Attribute)
+                and node.func.attr in LEVELS
+                and node.args
+                and ast.unparse(node.func).rpartition(".")[0].split(".")[-1] in ("log", "self")
+            ):
+                template = _template(node.args[0])
+                if re.search(r"[a-z]{4}", template):
+                    found.add((LEVELS[node.func.attr], template))
+    return found
+
+
+def _explained() -> set[tuple[str, str]]:
+    section = RUNBOOK.read_text().partition("## Log lines")[2].partition("\n## ")[0]
+    rows = re.findall(r"^\| ([IE]) \| (.*?) \| .+ \| .+ \|$", section, re.MULTILINE)
+    return {(level, line) for level, lines in rows for line in re.findall(r"`([^`]+)`", lines)}
+
+
+def test_each_logged_line_is_explained() -> None:
+    assert _logged() - _explained() == set()
+
+
+def test_each_explained_line_is_logged() -> None:
+    assert _explained() - _logged() == set()
+
+
+def test_lines_are_found() -> None:
+    assert len(_logged()) > 30
