--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("when", ["before the check", "sent", "half sent"])
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 @simulated
 async def test_holder_frozen_for_a_minute_decides_nothing_after_it_resumes(
     loop: Loop, duty: Duty, when: str
@@ -155,7 +155,7 @@
     deployment = await start_with_duties(loop)
 
     prefix = "hire/" if duty == Duty.RENT else "return/"
-    if duty == Duty.SCALE_IN:
+    if duty == Duty.RETURN:
         await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
         await deployment.wait_until_done("req-000001")
     holder = deployment.acting_holder(duty)
@@ -181,22 +181,22 @@
 @simulated
 async def test_regrant_to_the_same_controller_has_a_new_version(loop: Loop) -> None:
     deployment = await start_with_duties(loop)
-    name = deployment.acting_holder(Duty.SCALE_IN)
+    name = deployment.acting_holder(Duty.RETURN)
     member = deployment.controllers[name].membership
-    stale = deployment.controllers[name].duties.holders[Duty.SCALE_IN]
+    stale = deployment.controllers[name].duties.holders[Duty.RETURN]
     others = deployment.other_nodes(name)
 
-    assert await member.release(Duty.SCALE_IN.key, leader_too=False)
+    assert await member.release(Duty.RETURN.key, leader_too=False)
     for other in others:  # so that it can only come back
         deployment.crash(other)
     held = deployment.controllers[name].duties.holders
     await deployment.wait_until(
         lambda: (
-            held.get(Duty.SCALE_IN, stale) is not stale and deployment.holder(Duty.SCALE_IN) == name
+            held.get(Duty.RETURN, stale) is not stale and deployment.holder(Duty.RETURN) == name
         ),
         seconds=4 * FAILOVER_S,
     )
-    fresh = held[Duty.SCALE_IN]
+    fresh = held[Duty.RETURN]
     stale.stepped_down = False
     precondition = stale.preconditions()[1]
     assert precondition.version < fresh.preconditions()[1].version
@@ -211,7 +211,7 @@
 async def test_regrant_before_the_answer_to_a_release_is_kept(loop: Loop) -> None:
     """Only the holder that was handed back ends: the next one may be there already."""
     deployment = await start_with_duties(loop)
-    name = deployment.acting_holder(Duty.SCALE_IN)
+    name = deployment.acting_holder(Duty.RETURN)
 
     for other in deployment.nodes:  # so that all that it hands back comes back
         if other != name:
@@ -228,11 +228,11 @@
         return done
 
     node.membership.release = answered_late
-    node.duties.holders[Duty.SCALE_IN].step_down()
+    node.duties.holders[Duty.RETURN].step_down()
     node.shard_leaders[0].stepped_down = True
     await asyncio.sleep(15)
 
-    assert deployment.holder(Duty.SCALE_IN) == name == deployment.shard_leader()
+    assert deployment.holder(Duty.RETURN) == name == deployment.shard_leader()
 
 
 @pytest.mark.parametrize(
@@ -248,7 +248,7 @@
     await deployment.submit(deployment.job(1, Pieces=6, RunS=20.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 6)
 
-    for duty in (Duty.RENT, Duty.SCALE_IN, Duty.RECLAIM):
+    for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
         holder = deployment.acting_holder(duty)
         loop.wall_off[deployment.host(holder)] = wall
         loop.steady_off[deployment.host(holder)] = steady
@@ -330,7 +330,7 @@
     await _finish_all_jobs_and_return_machines(deployment)
 
 
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 @simulated
 async def test_holder_cut_off_from_the_key_value_store_alone_is_replaced(
     loop: Loop, duty: Duty
@@ -513,7 +513,7 @@
     await _finish_all_jobs_and_return_machines(deployment)
 
 
-@pytest.mark.parametrize("duty", [Duty.RENT, Duty.SCALE_IN])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 @simulated
 async def test_cloud_calls_minutes_late_rent_and_delete_only_what_was_recorded(
     loop: Loop, duty: Duty
@@ -527,7 +527,7 @@
     if duty == Duty.RENT:
         await deployment.submit(deployment.job(2, Pieces=16, RunS=10.0))
     await deployment.wait_until(
-        lambda: bool(_open_intents(deployment, "return/" if duty == Duty.SCALE_IN else "hire/")),
+        lambda: bool(_open_intents(deployment, "return/" if duty == Duty.RETURN else "hire/")),
         seconds=120,
     )
     await asyncio.sleep(10)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -182,8 +182,8 @@
     monkeypatch.setattr("basaltlead.duties.history.PAGES", 3)
 
     deployment = await start_with_duties(loop)
-    name = deployment.acting_holder(Duty.SCALE_IN)
-    history = deployment.controllers[name].duties.holders[Duty.SCALE_IN].history
+    name = deployment.acting_holder(Duty.RETURN)
+    history = deployment.controllers[name].duties.holders[Duty.RETURN].history
 
     for number in range(400):
         await history.commit([], [], event("returned", f"1-{number}", SECOND, ["m-1"]))
