--- /dev/null
+++ b/basaltlead/api/admission.py
@@ -0,0 +1,46 @@
+"""Which submissions can never run, and are refused for good."""
+
+from collections.abc import Mapping
+
+from basaltlead.core.jobs import EPS, Job, MachineType
+from basaltlead.core.teams import TeamQuota
+from basaltlead.storage.records import job_of
+from basaltlead.wire.users import Submission
+
+
+class AdmissionCheck:
+    """Compares a submission with the machine types and its team's quota."""
+
+    def __init__(
+        self, quotas: Mapping[str, TeamQuota], machine_types: Mapping[str, MachineType]
+    ) -> None:
+        self.quotas = quotas
+        self.machine_types = machine_types
+
+    def never_runs(self, submission: Submission) -> str:
+        """Why the job can never run; empty if it can."""
+        quota = self.quotas.get(submission.team)
+        if quota is None:
+            return "unknown team"
+        job = job_of(submission)
+        zones = self._fitting_zones(job)
+        if not zones:
+            return "a task fits no allowed machine type"
+        zone_count = 1 if job.one_zone else len(zones)
+        if job.together > job.zone_cap * zone_count:
+            return "tasks that may not be where they must be"
+        cpus, gpus = job.cpus * job.together, job.gpus * job.together
+        if (quota.cpus_max and cpus > quota.cpus_max + EPS) or (
+            quota.gpus_max and gpus > quota.gpus_max + EPS
+        ):
+            return "more than the team's limit"
+        return ""
+
+    def _fitting_zones(self, job: Job) -> set[str]:
+        return {
+            zone
+            for machine_type in self.machine_types.values()
+            if machine_type.holds(job) and (job.types is None or machine_type.name in job.types)
+            for zone in machine_type.zones
+            if job.zone in (None, zone)
+        }
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http import Pool, Server
+from basaltlead.net.http.client import Pool
+from basaltlead.net.http.server import Server
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.duty_checker import DutyChecker
 from tests.fakes.old_version import OldController
@@ -72,9 +73,10 @@
 
     def settings(self, name: str) -> Any:
         """The settings of a controller as it loads them."""
-        from basaltlead.config.settings import Settings, _convert
+        from basaltlead.config.loader import convert
+        from basaltlead.config.settings import Settings
 
-        return _convert(self.settings_file(name), Settings, "test")
+        return convert(self.settings_file(name), Settings, "test")
 
     def settings_file(self, name: str) -> dict[str, Any]:
         """The settings file that the platform hands to a controller."""
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,10 +5,12 @@
 
 import pytest
 
-from basaltlead.clients.base import Budget
+from basaltlead.clients.rate_budget import RateBudget
 from basaltlead.clients.workers import Workers
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http import Pool, Request, Response, Server
+from basaltlead.net.http.client import Pool
+from basaltlead.net.http.messages import Request, Response
+from basaltlead.net.http.server import Server
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
 from tests.builders import job_refs
 from tests.fakes import Deployment, FakeWorker
@@ -334,8 +336,8 @@
 @simulated
 async def test_background_writes_wait_for_user_writes(loop: Loop) -> None:
     """Hundreds of machines and results fill the limit on writes by themselves."""
-    budget = Budget(rate=20.0)
-    records = [loop.create_task(budget.spare(4)) for _ in range(50)]
+    budget = RateBudget(rate=20.0)
+    records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
     for _ in range(10):
         await asyncio.sleep(0.5)
         asked = loop.time()
@@ -369,12 +371,12 @@
         assert (await comer.request("GET", "/"))[0] == 200
     assert len(workers.pools) == 0
     assert len(server.connections) == 6
-    assert all(comer.resting for comer in comers)  # nobody was thrown out
+    assert all(comer.idle for comer in comers)  # nobody was thrown out
     late = Pool("10.0.0.9:80", 1)
     assert (await late.request("GET", "/"))[0] == 200  # now the longest unused goes
     await asyncio.sleep(0.1)
 
-    assert [bool(comer.resting) for comer in comers] == [False] + [True] * 5
+    assert [bool(comer.idle) for comer in comers] == [False] + [True] * 5
 
 
 @simulated
@@ -389,12 +391,12 @@
     halt = WorkerCommand("halt", "req-000001/0", attempt.attempt_number, 0.0)
     workers = Workers(most=1)
     async with workers.calls:
-        command = DirectCommand(shard_leader.grant.fencing_token, machine.epoch, [halt])
+        command = DirectCommand(shard_leader.lease.fencing_token, machine.epoch, [halt])
         asked = loop.create_task(
             workers.command(machine.address, command, lambda: shard_leader.holds_valid_lease)
         )
         await asyncio.sleep(0.1)
-        shard_leader.stepped_down = True
+        shard_leader.lease.stepped_down = True
 
     with pytest.raises(RequestFailed) as caught:
         await asked
@@ -451,7 +453,7 @@
     await Server(answer, 10).start("10.0.0.1:8080")
     pool = Pool("10.0.0.1:8080", 1)
     with pytest.raises(RequestFailed) as failed:
-        await pool.request("POST", "/", still=lambda: False)
+        await pool.request("POST", "/", may_send=lambda: False)
     assert not failed.value.sent
     await asyncio.sleep(0.1)
     del failed, pool  # nothing may hold the reply any more
--- a/tests/test_failover_order.py
+++ b/tests/test_failover_order.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from basaltlead.core.cluster_view import Claim, ClusterView, Grant, shard_key
+from basaltlead.core.cluster_view import Claim, ClusterView, Grant, Versioned, shard_key
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
 
 
 def _cluster(last_owner: str, *names: str) -> ClusterView:
     cluster = ClusterView()
-    cluster.grants[shard_key(0)] = (Grant(last_owner, "gone", 1), 1)
-    cluster.members = {name: (Claim(name, "here"), 2) for name in names}
+    cluster.grants[shard_key(0)] = Versioned(Grant(last_owner, "gone", 1), 1)
+    cluster.members = {name: Versioned(Claim(name, "here"), 2) for name in names}
     return cluster
 
 
@@ -35,7 +35,7 @@
 
 def test_shard_leader_that_released_its_shard_comes_last() -> None:
     cluster = _cluster("n-1", "n-0", "n-1", "n-2")
-    cluster.grants[shard_key(0)] = (Grant("", "", 1, avoid="n-1"), 1)
+    cluster.grants[shard_key(0)] = Versioned(Grant("", "", 1, avoid="n-1"), 1)
     assert cluster.failover_order() == ["n-2", "n-0", "n-1"]
 
 
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -1,8 +1,9 @@
 """Fleet sizing: what is rented for waiting tasks."""
 
 from basaltlead.core import fleet_sizing
-from basaltlead.core.entities import US
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.jobs import US
+from basaltlead.core.offers import Offer
 from tests.builders import MACHINE_TYPE, Story, make_job
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
@@ -18,7 +19,7 @@
     needs = [Demand(job_state, 40, drain_us)]
     return [
         offer.spot
-        for offer in fleet_sizing.size(needs, [], [], {"k": MACHINE_TYPE}, offers, {}, 12).rentals
+        for offer in fleet_sizing.plan_fleet(needs, [], [], {"k": MACHINE_TYPE}, offers, 12).rentals
     ]
 
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -2,12 +2,14 @@
 requests."""
 
 import asyncio
+import dataclasses
 
 import pytest
 
+from basaltlead.clients.workers import Workers
 from basaltlead.core.entities import Machine
 from basaltlead.runtime.clock import now_us
-from basaltlead.shard.dispatcher import WorkerDispatcher
+from basaltlead.shard.dispatcher import WorkerDispatcher, worker_sockets
 from basaltlead.wire.workers import DirectCommand
 from tests.builders import job_refs
 from tests.fakes import Deployment, FakeWorker
@@ -122,9 +124,9 @@
     name = await deployment.start_with_running_job(8, 4.0)
     # Has results to store all the time
     await deployment.submit(deployment.job(2, Pieces=40, RunS=4.0))
-    writes = deployment.controllers[name].shard_leaders[0].store.writes
+    writes = deployment.controllers[name].shard_leaders[0].context.store.client.writes
 
-    records = [loop.create_task(writes.spare(4)) for _ in range(100)]
+    records = [loop.create_task(writes.take_low_priority(4)) for _ in range(100)]
     await deployment.submit(deployment.job(3, RunS=2.0, Rank="high"))
     await deployment.wait_until(
         lambda: "req-000003/0" in deployment.rule_checker.results, seconds=40
@@ -145,7 +147,10 @@
     shard_leader = deployment.controllers[name].shard_leaders[0]
 
     (live,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
-    shard_leader.dispatcher = WorkerDispatcher(shard_leader)
+    context = shard_leader.context
+    own_connections = Workers(worker_sockets(context.settings))  # from the test's own host
+    context = dataclasses.replace(context, workers=own_connections)
+    shard_leader.dispatcher = WorkerDispatcher(context)
     for number in range(2 * shard_leader.dispatcher.workers.most):
         silent = Machine(f"m-9{number:05d}", live.machine_type, "b", False, now_us())
         silent.address = f"10.1.3.{number}:9000"
@@ -154,7 +159,7 @@
         shard_leader.dispatcher.probe(silent)
     await asyncio.sleep(0.1)
     asked = loop.time()
-    command = DirectCommand(shard_leader.grant.fencing_token, live.epoch, [])
+    command = DirectCommand(shard_leader.lease.fencing_token, live.epoch, [])
 
     assert (await shard_leader.dispatcher.workers.command(live.address, command))[0]
     assert loop.time() - asked < 0.1
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -5,7 +5,7 @@
 import pytest
 
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.cluster_view import Claim, Grant, session_validity_end, shard_key
+from basaltlead.core.cluster_view import Claim, Grant, Versioned, session_validity_end, shard_key
 from basaltlead.errors import PreconditionFailed
 from basaltlead.wire.peers import DeferralRequest
 from tests.fakes import Deployment
@@ -109,12 +109,12 @@
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
     member = deployment.controllers["node-0"].membership
 
-    incarnation = member.cluster.members["node-1"][0].incarnation
-    assert member.defer_failover("node-1", incarnation, 1_000_000) == 0
+    incarnation = member.cluster.members["node-1"].value.incarnation
+    assert member.deferrals.defer_failover("node-1", incarnation, 1_000_000) == 0
     deployment.store.down = True
     await asyncio.sleep(member.ttl_us / 1e6)
-    assert member.defer_failover("node-1", "an earlier incarnation", 1_000_000) == 0
-    span = member.defer_failover("node-1", incarnation, 10**12)
+    assert member.deferrals.defer_failover("node-1", "an earlier incarnation", 1_000_000) == 0
+    span = member.deferrals.defer_failover("node-1", incarnation, 10**12)
 
     assert 0 < span <= member.ttl_us
     assert DeferralRequest(1, "node-1", "incarnation", 5).span_us == 5
@@ -128,19 +128,19 @@
     member = deployment.controllers["node-0"].membership
 
     gone = Grant("node-x", "incarnation", 1)
-    assert not member.may_replace(
-        gone
-    )  # just started: may have granted a deferral in an earlier run
+    # Just started: may have granted a deferral in an earlier run
+    assert not member.deferrals.may_replace(gone)
     await asyncio.sleep(member.ttl_us * 1.02 / 1e6)
-    assert member.may_replace(gone)
+    assert member.deferrals.may_replace(gone)
     deployment.store.down = True
     await asyncio.sleep(member.ttl_us / 2e6)
-    member.cluster.members["node-x"] = (Claim("node-x", "incarnation"), 1)
-    assert member.defer_failover("node-x", "incarnation", member.ttl_us) > 0
+    member.cluster.members["node-x"] = Versioned(Claim("node-x", "incarnation"), 1)
+    assert member.deferrals.defer_failover("node-x", "incarnation", member.ttl_us) > 0
     del member.cluster.members["node-x"]  # its session lease has ended
 
-    assert not member.may_replace(gone)
-    assert member.may_replace(Grant("node-1", "an earlier incarnation", 1))  # replaced by itself
+    assert not member.deferrals.may_replace(gone)
+    # Replaced by itself
+    assert member.deferrals.may_replace(Grant("node-1", "an earlier incarnation", 1))
 
 
 @simulated
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -12,14 +12,15 @@
 import pytest
 
 from basaltlead import cli
-from basaltlead.config.settings import SettingsError
-from basaltlead.core.entities import US
-from basaltlead.duties.history import PAGES, HistoryPage, event
+from basaltlead.config.errors import SettingsError
+from basaltlead.core.jobs import US
+from basaltlead.duties.history import PAGES, Action, Event, HistoryPage
 from basaltlead.duties.model import Duty
 from basaltlead.operators import client
 from basaltlead.operators.audit_export import export
 from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuiet
-from basaltlead.scaling.quiet_times import QuietTime, QuietTimes, read
+from basaltlead.scaling.quiet_calendar import QuietCalendar, read_calendar
+from basaltlead.scaling.quiet_times import QuietTime
 from basaltlead.wire.peers import (
     DutiesAnswer,
     DutiesQuestion,
@@ -28,10 +29,10 @@
     HistoryQuestion,
     OpenIntent,
 )
+from tests.duty_support import DUTIES_ON, start_with_duties
 from tests.fakes import Deployment
-from tests.run_loopback import as_toml
 from tests.simulation import Loop, simulated
-from tests.test_duties import DUTIES_ON, start_with_duties
+from tests.tools.run_loopback import as_toml
 
 SECOND = 1_000_000
 
@@ -146,7 +147,9 @@
     """Pages of ten events each, in the order of their keys in the ring."""
     pages = []
     for number in range(low, high):
-        events = [event("returned", f"{number}-{n}", SECOND, ["m-1", "m-2"]) for n in range(10)]
+        events = [
+            Event.of(Action.RETURNED, f"{number}-{n}", SECOND, ["m-1", "m-2"]) for n in range(10)
+        ]
         raw = msgspec.json.encode(HistoryPage(number, number * 10, events))
         pages.append(HistoryAnswer("", f"history/{duty}/{number % PAGES:03d}", msgspec.Raw(raw)))
     return sorted(pages, key=lambda page: page.key)
@@ -156,7 +159,7 @@
     out = tmp_path / "history.parquet"
 
     done = export([*_pages("rent", 0, 3), *_pages("return", 30, 30 + PAGES)], str(out))
-    assert (done.events, done.cut) == (30 + 10 * PAGES, {"return": 300})
+    assert (done.events, done.overwritten) == (30 + 10 * PAGES, {"return": 300})
     file = pq.ParquetFile(out)
     assert file.metadata.row_group(0).column(0).compression == "ZSTD"
     rows = [row for batch in file.iter_batches(batch_size=64) for row in batch.to_pylist()]
@@ -186,7 +189,7 @@
     history = deployment.controllers[name].duties.holders[Duty.RETURN].history
 
     for number in range(400):
-        await history.commit([], [], event("returned", f"1-{number}", SECOND, ["m-1"]))
+        await history.commit([], [], Event.of(Action.RETURNED, f"1-{number}", SECOND, ["m-1"]))
     rows = [v[0] for k, v in deployment.store.keys.items() if k.startswith("history/return/")]
     assert len(rows) == 3
     newest = max(rows, key=lambda page: page["number"])
@@ -235,7 +238,7 @@
     """It lasts from one to five by the wall: an hour less or more when the clock changes."""
     start = _at("Europe/Berlin", *day, 1)
     now = [start - 1]
-    times = QuietTimes(_calendar(tmp_path), lambda: now[0])
+    times = QuietCalendar(_calendar(tmp_path), lambda: now[0])
     assert times.current() is None
     now[0] = start
     assert times.current() == QuietTime(start, start + hours * HOUR_US)
@@ -287,12 +290,12 @@
 def test_calendar_that_becomes_invalid_leaves_the_last_valid_one_in_force(tmp_path: Path) -> None:
     now = [_at("Europe/Berlin", 2026, 5, 5, 2)]
     path = _calendar(tmp_path)
-    times = QuietTimes(path, lambda: now[0])
+    times = QuietCalendar(path, lambda: now[0])
     assert times.current() is not None
     Path(path).write_text("nonsense")
     os.utime(path, (1, 1))
     with pytest.raises(SettingsError):
-        read(path)
+        read_calendar(path)
     now[0] += 120 * SECOND
     assert times.current() is not None
     _calendar(tmp_path, "Asia/Tokyo")
--- /dev/null
+++ b/tests/test_rent_and_return_duties.py
@@ -0,0 +1,243 @@
+"""Renting and returning: what a replaced holder can still do, and faults of the cloud."""
+
+import asyncio
+
+import pytest
+
+from basaltlead.duties.model import Duty
+from basaltlead.scaling.scale_in import ScaleIn
+from tests.duty_support import (
+    FAILOVER_S,
+    finish,
+    open_intents,
+    recorded_events,
+    start_with_duties,
+    when_recorded,
+)
+from tests.fakes import Deployment
+from tests.fakes.cloud import FakeCloud
+from tests.simulation import Loop, simulated
+
+
+async def _freeze_at(deployment: Deployment, when: str, prefix: str, name: str) -> None:
+    """The holder of a duty stands still when its next intent is recorded, or sent."""
+    if when == "half sent":
+        deployment.net.halving[FakeCloud.HOST] = 90.0
+    if when == "before the check":
+        when_recorded(deployment, prefix, lambda: deployment.freeze(name))
+        await deployment.wait_until(
+            lambda: deployment.host(name) in deployment.loop.frozen, seconds=120.0
+        )
+        return
+    deployment.cloud.answer_delay_s = 5.0
+    recorded = asyncio.Event()
+    when_recorded(deployment, prefix, recorded.set)
+    await deployment.wait_until(recorded.is_set, seconds=120.0)
+    await asyncio.sleep(0.6)
+    deployment.freeze(name)
+
+
+@pytest.mark.parametrize("when", ["before the check", "sent", "half sent"])
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
+@simulated
+async def test_holder_frozen_for_a_minute_decides_nothing_after_it_resumes(
+    loop: Loop, duty: Duty, when: str
+) -> None:
+    deployment = await start_with_duties(loop)
+
+    prefix = "hire/" if duty == Duty.RENT else "return/"
+    if duty == Duty.RETURN:
+        await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+        await deployment.wait_until_done("req-000001")
+    holder = deployment.acting_holder(duty)
+    if duty == Duty.RENT:
+        await deployment.submit(
+            deployment.job(1, Pieces=8, RunS=30.0), deployment.other_node(holder)
+        )
+    await _freeze_at(deployment, when, prefix, holder)
+    await deployment.wait_until(
+        lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
+    )
+    deployment.cloud.answer_delay_s = 0.02
+    deployment.net.halving.clear()
+    await asyncio.sleep(60)
+    rented = len(deployment.cloud.scale_outs)
+    deployment.thaw(holder)
+    await asyncio.sleep(10)
+    assert len(deployment.cloud.scale_outs) == rented
+    await finish(deployment)
+
+
+@simulated
+async def test_late_transaction_of_a_replaced_holder_is_refused(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+    holder = deployment.acting_holder(Duty.RENT)
+
+    deployment.store.late_write_share, deployment.store.late_by_s = 1.0, (20.0, 20.0)
+    deployment.store.late_key_prefix = "history/rent/"  # what settles a request
+    await deployment.submit(deployment.job(1, Pieces=8, RunS=20.0), deployment.other_node(holder))
+    await deployment.wait_until(lambda: bool(deployment.cloud.scale_outs))
+    await asyncio.sleep(1)
+    deployment.crash(holder)
+    deployment.store.late_write_share = 0.0
+    await deployment.wait_until(
+        lambda: not open_intents(deployment, "hire/"), seconds=2 * FAILOVER_S
+    )
+    settled = {k: v[1] for k, v in deployment.store.keys.items() if k.startswith("hire/")}
+    await asyncio.sleep(20)
+    left = {k: v[1] for k, v in deployment.store.keys.items() if k in settled}
+    assert left.items() <= settled.items()  # none was written again
+    assert len(recorded_events(deployment, "rented")) == len(settled)
+    deployment.start_controller(holder)
+    await finish(deployment)
+
+
+@simulated
+async def test_new_shard_leader_starts_nothing_on_a_terminating_machine(
+    loop: Loop, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # The machines that each shard leader knows to be terminating before it does anything.
+    at_first: list[set[str]] = []
+
+    start = ScaleIn.start
+
+    def noting_start(scale_ins: ScaleIn) -> None:
+        machines = scale_ins.context.shard.machines.values()
+        at_first.append({machine.name for machine in machines if machine.terminating})
+        start(scale_ins)
+
+    monkeypatch.setattr(ScaleIn, "start", noting_start)
+
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001")
+    when_recorded(deployment, "return/", lambda: setattr(deployment.cloud, "error_status", 503))
+    await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
+    going = {
+        name
+        for key in open_intents(deployment, "return/")
+        for name in deployment.store.keys[key][0]["names"]
+    }
+    shard_leader = deployment.acting_shard_leader()
+    deployment.crash(shard_leader)
+    await deployment.wait_until(
+        lambda: deployment.shard_leader() not in (None, shard_leader), seconds=2 * FAILOVER_S
+    )
+    await deployment.submit(
+        deployment.job(2, Pieces=3, RunS=3.0), deployment.other_node(shard_leader)
+    )
+    for _ in range(100):
+        await asyncio.sleep(0.1)
+        assert not {worker.name for worker in deployment.rule_checker.running_on.values()} & going
+    assert going <= set(deployment.cloud.machines)
+    assert at_first[-1] == going
+    deployment.start_controller(shard_leader)
+    await finish(deployment)
+
+
+@pytest.mark.parametrize("error_status", [429, 503])
+@simulated
+async def test_cloud_errors_in_the_middle_of_a_batch(loop: Loop, error_status: int) -> None:
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=24, RunS=4.0))
+    await deployment.wait_until(lambda: len(deployment.cloud.scale_outs) >= 1)
+    deployment.cloud.error_status = error_status
+
+    await asyncio.sleep(8)
+    deployment.cloud.error_status = 0
+    await deployment.wait_until_done("req-000001")
+    when_recorded(
+        deployment, "return/", lambda: setattr(deployment.cloud, "error_status", error_status)
+    )
+    await deployment.wait_until(
+        lambda: deployment.cloud.error_status == error_status, seconds=120.0
+    )
+    await asyncio.sleep(8)
+    await finish(deployment)
+
+
+@simulated
+async def test_duty_lost_during_a_slow_cloud_call_rents_nothing_twice(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+    deployment.cloud.answer_delay_s = 3.5
+    await deployment.submit(deployment.job(1, Pieces=16, RunS=20.0))
+    await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
+    holder = deployment.acting_holder(Duty.RENT)
+
+    deployment.crash(holder)
+    await asyncio.sleep(1)
+    deployment.start_controller(holder)
+    await asyncio.sleep(15)
+    deployment.cloud.answer_delay_s = 0.02
+    machines = [name for names in deployment.cloud.scale_outs.values() for name in names]
+    assert len(machines) == len(set(machines)) == deployment.cloud.rented_count
+    await finish(deployment)
+
+
+@pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
+@simulated
+async def test_cloud_calls_minutes_late_rent_and_delete_only_what_was_recorded(
+    loop: Loop, duty: Duty
+) -> None:
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001")
+    holder = deployment.acting_holder(duty)
+
+    deployment.net.cut(deployment.host(holder), FakeCloud.HOST)
+    if duty == Duty.RENT:
+        await deployment.submit(deployment.job(2, Pieces=16, RunS=10.0))
+    await deployment.wait_until(
+        lambda: bool(open_intents(deployment, "return/" if duty == Duty.RETURN else "hire/")),
+        seconds=120,
+    )
+    await asyncio.sleep(10)
+    deployment.crash(holder)
+    await asyncio.sleep(150)
+    deployment.net.heal(deployment.host(holder), FakeCloud.HOST, deliver=True)
+    deployment.start_controller(holder)
+    await finish(deployment)
+
+
+@simulated
+async def test_requests_that_the_cloud_always_refuses_are_shown_and_delay_no_others(
+    loop: Loop, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("basaltlead.duties.rent_duty.MOST_REQUESTS", 1)
+
+    deployment = await start_with_duties(loop)
+
+    deployment.cloud.refused_names.add("large")
+    # Fits large ones only
+    await deployment.submit(deployment.job(1, Pieces=2, RunS=3.0, Cores=8.0))
+    await deployment.submit(deployment.job(2, Pieces=6, RunS=3.0))
+    await deployment.wait_until_done("req-000002")
+    await asyncio.sleep(150)
+    hanging = [v[0] for k, v in deployment.store.keys.items() if k.startswith("hire/")]
+    assert hanging
+    assert all("400" in one["refused"] for one in hanging)
+    offers = [(one["zone"], one["spot"]) for one in hanging]
+    assert len(offers) == len(set(offers))  # none is asked for twice: so there are few
+    deployment.cloud.refused_names.clear()
+    await deployment.wait_until_done("req-000001", seconds=120.0)
+    await deployment.submit(deployment.job(3, Pieces=5, RunS=20.0, Cores=4.0, Grades=["small"]))
+    await deployment.wait_until_done("req-000003")
+    deployment.cloud.error_status = 503  # until they all are to go, in one batch
+    await deployment.wait_until(
+        lambda: (
+            sum(
+                len(deployment.store.keys[k][0]["names"])
+                for k in open_intents(deployment, "return/")
+            )
+            == len(deployment.cloud.machines)
+            > 2
+        ),
+        seconds=200.0,
+    )
+    victim = next(iter(deployment.cloud.machines))
+    deployment.cloud.refused_names.add(victim)
+    deployment.cloud.error_status = 0
+    await deployment.wait_until(lambda: set(deployment.cloud.machines) == {victim}, seconds=200.0)
+    await deployment.wait_until(lambda: bool(recorded_events(deployment, "refused")))
+    deployment.cloud.refused_names.clear()
+    await finish(deployment)
--- a/tests/test_runbook.py
+++ b/tests/test_runbook.py
@@ -9,7 +9,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 RUNBOOK = ROOT / "docs" / "operations.md"
-LEVELS = {"info": "I", "error": "E", "exception": "E", "log": "I"}  # `log` of a shard is info
+# `_log` is what a shard is given to log with: the level info.
+LEVELS = {"info": "I", "error": "E", "exception": "E", "_log": "I"}
 PLACEHOLDER = re.compile(r"%[-+#0]*\d*(?:\.\d+)?[sdfr]")
 VARIES = "…"
 
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -7,10 +7,13 @@
 
 import pytest
 
-from basaltlead.core import demand, fleet_sizing, planning
-from basaltlead.core.entities import US, JobState, Machine, Resources, Shape
-from basaltlead.core.fleet_sizing import Demand, Offer
-from basaltlead.core.shard_state import TeamQuota
+from basaltlead.core import demand, fleet_sizing, placement, planning
+from basaltlead.core import offers as core_offers
+from basaltlead.core.entities import JobState, Machine
+from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.jobs import US, Resources, Shape
+from basaltlead.core.offers import Offer
+from basaltlead.core.teams import TeamQuota
 from tests.builders import MACHINE_TYPE, TIMING, Story, make_job, task_status
 
 MACHINES = 930
@@ -64,9 +67,7 @@
 ) -> None:
     story = _fleet_with_backlog()
 
-    count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     placed = sum(len(job_state.live) for job_state in story.shard.job_states.values())
     assert placed > MACHINES
@@ -94,9 +95,7 @@
     so."""
     story = _full_fleet()
 
-    count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
 
     assert count.calls < MACHINES
@@ -110,9 +109,9 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     machines = list(story.shard.machines.values())
     count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
     )
-    fleet_sizing.size(needs, [], machines, {"k": MACHINE_TYPE}, {}, {}, 12)
+    fleet_sizing.plan_fleet(needs, [], machines, {"k": MACHINE_TYPE}, {}, 12)
 
     assert running >= 3 * MACHINES
     assert count.calls < running + 2 * MACHINES
@@ -163,9 +162,7 @@
         story.shard.add_job(
             make_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
         )
-    count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
 
     assert count.calls < 12 * MACHINES
@@ -182,9 +179,9 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
     count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (fleet_sizing, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
     )
-    plan = fleet_sizing.size(needs, [], machines, {"k": MACHINE_TYPE}, offers, {}, 12)
+    plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": MACHINE_TYPE}, offers, 12)
 
     assert len(plan.rentals) == 12
     assert count.calls < 6 * MACHINES * len(job_states)
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -6,11 +6,18 @@
 
 import pytest
 
-from basaltlead.core import fleet_sizing, planning, replica_placement
-from basaltlead.core.entities import RANKS, US, Machine, Resources, Shape
-from basaltlead.core.fleet_sizing import Demand, Offer
+from basaltlead.core import fleet_sizing, placement, planning, replica_placement
+from basaltlead.core.attempt_table import AttemptTable
+from basaltlead.core.draining import Drainer
+from basaltlead.core.entities import Machine
+from basaltlead.core.failures import FailurePolicy
+from basaltlead.core.fleet import NAMES_KEPT
+from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.jobs import RANKS, US, Resources, Shape
+from basaltlead.core.offers import Offer
 from basaltlead.core.shard import Shard
-from basaltlead.core.shard_state import NAMES_KEPT, ShardState, TeamQuota
+from basaltlead.core.task_reports import TaskReports
+from basaltlead.core.teams import TeamQuota
 from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
 from tests.builders import MACHINE_TYPE, TIMING, Story, make_job, task_status
 from tests.fakes import Deployment
@@ -46,9 +53,7 @@
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (planning.placement, "tier")
-    )
+    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
     planning.plan(story.shard, story.now)
     return count.calls
 
@@ -65,7 +70,7 @@
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = CallCounter(monkeypatch, (ShardState, "_reconcile_unknown"), (ShardState, "_progress"))
+    taken = CallCounter(monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress"))
     for number in range(MACHINES):
         shown = _running(before, number)
         after.heartbeat(_name(number), *shown, fencing_token=7)
@@ -87,8 +92,8 @@
     for number in range(0, MACHINES, 2):
         story.heartbeat(_name(number), *_running(story, number))
     story.now += TIMING.lease_expiry_us // 2 + US
-    removed = CallCounter(monkeypatch, (ShardState, "_remove"))
-    drained = CallCounter(monkeypatch, (Shard, "_drain"))
+    removed = CallCounter(monkeypatch, (AttemptTable, "remove"))
+    drained = CallCounter(monkeypatch, (Drainer, "drain"))
     story.shard.advance(story.now)
     assert removed.calls == PLACES * MACHINES // 2
     for _ in range(10):
@@ -104,11 +109,11 @@
 ) -> None:
     story = _full_fleet(jobs=1600, tasks=10)
 
-    stopped = CallCounter(monkeypatch, (ShardState, "stop"), (ShardState, "_clear_failures"))
+    stopped = CallCounter(monkeypatch, (AttemptTable, "stop"), (FailurePolicy, "clear"))
     job_states = list(story.shard.job_states.values())[:1000]
     tasks = sum(len(job_state.live) for job_state in job_states)
     for job_state in job_states:
-        story.shard.close_job(job_state.job.ref, story.now)
+        story.shard.close_job(job_state.job.ref)
 
     assert stopped.calls == tasks + len(job_states)
     assert _plan_calls(monkeypatch, story) < 20 * MACHINES
@@ -182,7 +187,8 @@
         machine = Machine(_name(number), MACHINE_TYPE, "a", False, 0)
         machine.recorded = True
         shard_leader.shard.add_machine(machine)
-    recordable = int((5.0 + RECORD_S) * shard_leader.store.writes.rate)  # types boot in 5 s
+    # Types boot in 5 s
+    recordable = int((5.0 + RECORD_S) * shard_leader.context.store.client.writes.rate)
     assert autoscaler._max_rentals() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
     for number in range(recordable - 100):
         shard_leader.shard.machines[_name(number)].recorded = False
@@ -205,7 +211,7 @@
     needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
     machines: list[Machine] = list(story.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
-    plan = fleet_sizing.size(needs, [], machines, {"k": MACHINE_TYPE}, offers, {}, MACHINES // 16)
+    plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": MACHINE_TYPE}, offers, MACHINES // 16)
     assert len(plan.rentals) == MACHINES // 16
     for number in range(MACHINES):
         story.shard.drop_machine(_name(number), story.now)
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -2,9 +2,10 @@
 
 import pytest
 
-from basaltlead.core.entities import US, Attempt, Shape
+from basaltlead.core.entities import Attempt
+from basaltlead.core.jobs import US, Shape
 from basaltlead.core.planning import plan
-from basaltlead.core.shard_state import TeamQuota
+from basaltlead.core.teams import TeamQuota
 from basaltlead.wire.workers import TaskStatus
 from tests.builders import TIMING, Story, make_job, task_status
 
@@ -133,7 +134,7 @@
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
 
-    commands, pushed_starts = story.shard.take_push_commands(machine, story.now)
+    commands, pushed_starts = story.shard.take_push_commands(machine)
     assert [w.verb for w in commands] == ["run"]
     assert story.heartbeat("m-0") == []  # on its way: not sent twice
     assert job_state.live, "a heartbeat that does not list it proves nothing"
@@ -152,9 +153,9 @@
     story = Story()
     job_state = story.submit()
 
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     story.shard.acknowledge_starts(pushed_starts, None)
-    story.shard.close_job("req-000001", story.now)
+    story.shard.close_job("req-000001")
     assert story.heartbeat("m-0") == [("run", "req-000001/0"), ("halt", "req-000001/0")]
     assert job_state.live  # the command may still arrive: first it is made known, then ended
     attempt = story.attempt(job_state)
@@ -168,7 +169,7 @@
     story = Story()
     job_state = story.submit()
 
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     story.shard.acknowledge_starts(pushed_starts, None)
     first = story.attempt(job_state)
     story.heartbeat("m-0", task_status(first, "ended", "full"))
@@ -183,7 +184,7 @@
     story = Story()
     job_state = story.submit()
 
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     story.shard.acknowledge_starts(pushed_starts, False)
 
     assert story.attempt(job_state).stage == "planned"
@@ -194,7 +195,7 @@
     job_state = story.submit()
     before = story.make_heartbeat("m-0")  # sent before the worker had the command
 
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"], story.now)
+    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     attempt = story.attempt(job_state)
     answer = story.make_heartbeat("m-0", task_status(attempt, "fetching"))
     story.shard.answer(answer, story.now, pushed_starts)
@@ -261,7 +262,7 @@
 
     story.heartbeat("m-0")
     story.heartbeat("m-0", task_status(attempt, "running"))
-    story.shard.close_job("req-000001", story.now)
+    story.shard.close_job("req-000001")
     assert story.heartbeat("m-0", task_status(attempt, "running")) == [("halt", "req-000001/0")]
     story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
 
@@ -280,7 +281,7 @@
         TaskStatus("req-000002/0", 7, "running"),
     ]
     assert story.heartbeat("m-9", *tasks, fencing_token=6) == [("halt", "req-000001/0")]
-    story.shard.close_job("req-000002", story.now)
+    story.shard.close_job("req-000002")
 
     assert ("halt", "req-000002/0") in (story.heartbeat("m-9", *tasks, fencing_token=6) or [])
 
@@ -391,7 +392,7 @@
     filler = story.submit(1, tasks=4)
     array, gang = story.submit(2, tasks=4), story.submit(3, shape=Shape.GANG, tasks=2, cpus=2.0)
 
-    story.shard.close_job("req-000001", story.now)
+    story.shard.close_job("req-000001")
     assert not filler.live
     plan(story.shard, story.now)
 
@@ -437,7 +438,7 @@
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
 
-    _, pushed_starts = story.shard.take_push_commands(machine, story.now)
+    _, pushed_starts = story.shard.take_push_commands(machine)
     story.shard.acknowledge_starts(pushed_starts, None)
     story.shard.mark_unreachable(machine, story.now)
     assert not machine.usable(story.now)
@@ -532,10 +533,10 @@
         attempt = everywhere.live[0]
         attempt.stage, attempt.running_since = "running", story.now
         story.now += 400 * US
-        story.shard._give_up_slow(everywhere, story.now)
+        story.shard._stragglers.stop_stragglers(everywhere, story.now)
         if attempt.stop_grace_s is None:
             break
-        story.shard._remove(attempt, story.now)
+        story.shard._attempts.remove(attempt, story.now)
         for machine in story.shard.machines.values():
             machine.draining = False
         story.now += 301 * US
@@ -543,7 +544,7 @@
             story.heartbeat(name)
         plan(story.shard, story.now)
 
-    assert everywhere.given_up == 4
+    assert everywhere.history.stragglers_stopped == 4
     assert attempt.stop_grace_s is None
 
 
@@ -554,7 +555,7 @@
 
     attempt.stage, attempt.running_since = "running", story.now
     story.now += 400 * US
-    story.shard._give_up_slow(job_state, story.now)
+    story.shard._stragglers.stop_stragglers(job_state, story.now)
     assert attempt.stop_grace_s is not None
     story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
     plan(story.shard, story.now)
@@ -579,7 +580,7 @@
             story.heartbeat(name, *(task_status(a, "running") for a in _attempts_on(story, name)))
         first = running.pop(0).live[0]
         story.heartbeat(first.machine.name, task_status(first, "ended", "done"))
-        story.shard.close_job(first.job_state.job.ref, story.now)
+        story.shard.close_job(first.job_state.job.ref)
         running.append(story.submit(number, cpus=2.0, shape=Shape.GANG))
         running = [job_state for job_state in running if job_state.live]
         if large.live:
@@ -600,7 +601,7 @@
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
-    _, pushed_starts = story.shard.take_push_commands(machine, story.now)
+    _, pushed_starts = story.shard.take_push_commands(machine)
     assert not story.shard.settled(machine)
     story.shard.acknowledge_starts(pushed_starts, None)
     assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from basaltlead.core.entities import US, MachineType
-from basaltlead.core.fleet_sizing import Offer
+from basaltlead.core.jobs import US, MachineType
+from basaltlead.core.offers import Offer
 from basaltlead.core.silent_zones import PAUSE_US, SilentZones
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, simulated
@@ -26,16 +26,16 @@
     zones = SilentZones()
 
     assert zones.admitted(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
-    assert zones.look(SILENT, 0) == ["b"]
-    assert zones.look(SILENT, US) == []  # it is known by now
+    assert zones.update(SILENT, 0) == ["b"]
+    assert zones.update(SILENT, US) == []  # it is known by now
     assert zones.admitted(OFFERS, MACHINE_TYPES, [], PAUSE_US) == IN_A
     after = US + PAUSE_US
     trial = Offer("cheap", "b", True)
     assert zones.admitted(OFFERS, MACHINE_TYPES, ["a"], after) == IN_A | {trial: 1}
     assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after) == IN_A  # it has not been heard yet
-    assert zones.look({"a": [True]}, after) == []  # all machines there were returned
+    assert zones.update({"a": [True]}, after) == []  # all machines there were returned
     assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after + PAUSE_US) == IN_A
-    zones.look({"a": [True], "b": [True]}, after + PAUSE_US)
+    zones.update({"a": [True], "b": [True]}, after + PAUSE_US)
 
     assert zones.admitted(OFFERS, MACHINE_TYPES, [], after + PAUSE_US) == OFFERS
 
@@ -43,8 +43,8 @@
 def test_no_zone_is_silent_when_all_machines_are() -> None:
     zones = SilentZones()
 
-    assert zones.look({"a": [False] * 5, "b": [False] * 5}, 0) == []
-    assert zones.look({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by rng
+    assert zones.update({"a": [False] * 5, "b": [False] * 5}, 0) == []
+    assert zones.update({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by rng
     assert zones.admitted(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
 
 
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -8,9 +8,10 @@
 import pytest
 
 from basaltlead import cli
-from basaltlead.clients.base import encode
-from basaltlead.controller import most_bids
-from basaltlead.core.entities import US, JobState
+from basaltlead.clients.codec import encode
+from basaltlead.controller import max_stored_bids
+from basaltlead.core.entities import JobState
+from basaltlead.core.jobs import US
 from basaltlead.core.market import Market, ServiceLevelObjectives, Terms
 from basaltlead.errors import TransactionTooLarge
 from basaltlead.scaling.machine_type_catalog import pages_of
@@ -39,7 +40,7 @@
 
 def test_each_limit_is_exact_to_the_byte_and_to_the_operation() -> None:
     assert _excess(12, [200, 200, 200], TRANSACTION_BYTES) == ""
-    assert "guards" in _excess(13, [1], 100)
+    assert "preconditions" in _excess(13, [1], 100)
     assert "operations" in _excess(1, [1, 1, 1, 1], 100)
     assert "201 bytes" in _excess(1, [200, 201], 500)
     assert f"{TRANSACTION_BYTES + 1} bytes" in _excess(1, [1], TRANSACTION_BYTES + 1)
@@ -132,7 +133,7 @@
 def test_budgets_and_machine_types_fit_into_values_however_many_there_are() -> None:
     value_bytes = 2048
 
-    terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, most_bids(value_bytes))
+    terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, max_stored_bids(value_bytes))
     market = Market(terms, ["red"], ServiceLevelObjectives())
     job_states = {}
     for number in range(500):
@@ -312,9 +313,9 @@
 def test_the_lower_of_both_limits_holds_from_the_start(
     text: str, wanted: StoreLimits, tmp_path: Path
 ) -> None:
-    from basaltlead.config import settings
+    from basaltlead.config import loader
 
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace("{next}", text))
 
-    assert settings.load(str(path)).store_limits == wanted
+    assert loader.load(str(path)).store_limits == wanted
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,9 +18,9 @@
 import pytest
 
 from basaltlead.cluster import versions
-from basaltlead.cluster.peers import decoder
-from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant
-from basaltlead.core.entities import Shape
+from basaltlead.cluster.peer_link import decoder
+from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant, Versioned
+from basaltlead.core.jobs import Shape
 from basaltlead.core.market import TeamRecord
 from basaltlead.storage.records import Final, StoredJob, StoredMachine, StoredScaleOut, job_of
 from basaltlead.storage.result_rows import Progress
@@ -150,7 +150,7 @@
 def _cluster(**versions: int) -> ClusterView:
     cluster = ClusterView()
     for name, version in versions.items():
-        cluster.members[name] = (Claim(name, "ab", version), 5)
+        cluster.members[name] = Versioned(Claim(name, "ab", version), 5)
     return cluster
 
 
--- a/tests/test_wire_terms.py
+++ b/tests/test_wire_terms.py
@@ -14,7 +14,6 @@
 
 GLOSSARY = Path(__file__).resolve().parent.parent / "docs" / "glossary.md"
 HEADING = "## Fields of messages"
-INTERFACES = [module.name for module in pkgutil.iter_modules(wire.__path__)]
 
 
 class MessageTerms(NamedTuple):
@@ -48,6 +47,11 @@
     }
 
 
+INTERFACES = [
+    module.name for module in pkgutil.iter_modules(wire.__path__) if _defined(module.name)
+]
+
+
 @pytest.mark.parametrize("interface", INTERFACES)
 def test_glossary_lists_each_message_with_each_field(interface: str) -> None:
     assert _documented(interface) == _defined(interface)
--- a/tests/measure_duties.py
+++ b/tests/tools/measure_duties.py
@@ -1,7 +1,7 @@
-"""Measures duties in simulated time: python3 -m tests.measure_duties
+"""Measures duties in simulated time: python3 -m tests.tools.measure_duties
 
-Takeovers of each duty by cause, changes of the key-value store for each machine that is rented and
-returned, and what duties cost while nothing happens.
+How long a duty is without an acting holder, by cause; changes of the key-value store for each
+machine that is rented and returned; and what duties cost while there is no job.
 """
 
 import asyncio
@@ -16,6 +16,7 @@
 from tests.simulation import Loop, play, poll_until
 
 SEEDS = range(1, 11)
+RESOLUTION_S = 0.01  # of the measured times
 CAUSES: dict[str, Callable[[Deployment, str], Any]] = {
     "crash": lambda deployment, name: deployment.crash(name),
     "stands still": lambda deployment, name: deployment.freeze(name),
@@ -25,14 +26,22 @@
 }
 
 
-def failover_s(cause: str, duty: Duty, seed: int) -> float:
+async def _until_held_by_another(deployment: Deployment, duty: Duty, name: str) -> None:
+    """Return once a controller other than this one acts for the duty."""
+    while True:
+        if deployment.holder(duty) not in (None, name):
+            return
+        await asyncio.sleep(RESOLUTION_S)
+
+
+def failover(cause: str, duty: Duty, seed: int) -> float:
     """Seconds until another controller acts for the duty."""
     took: list[float] = []
 
     async def scenario(loop: Loop) -> None:
         deployment = Deployment(loop, seed, operator={"duties": True}, lease=20.0, cancel=60.0)
         await deployment.start()
-        await deployment.wait_until(lambda: all(deployment.holder(one) for one in Duty))
+        await deployment.wait_until(lambda: all(deployment.holder(held) for held in Duty))
         await asyncio.sleep(5 + seed / 10)
         name = deployment.holder(duty)
         assert name is not None
@@ -94,7 +103,7 @@
     """Print all figures."""
     for cause in CAUSES:
         for duty in Duty:
-            took = sorted(failover_s(cause, duty, seed) for seed in SEEDS)
+            took = sorted(failover(cause, duty, seed) for seed in SEEDS)
             median, worst = statistics.median(took), took[-1]
             print(f"failover, {cause}, {duty}: median {median:.2f} s, worst {worst:.2f} s")
     for duties in (False, True):
--- a/tests/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -1,8 +1,8 @@
 """Three real controllers on loopback, paused and resumed at random while they work.
 
-    python3 -m tests.run_loopback --seed 7 --minutes 10
+    python3 -m tests.tools.run_loopback --seed 7 --minutes 10
 
-The key-value store, the cloud, the workers and the users are the fakes of the tests, in this
+The key-value store, the cloud, the workers and the users are the tests' fakes, in this
 process; the controllers are processes of their own, with duties switched on. At the end everything
 is resumed, all jobs must get done and all machines must go. The rule checker and the checker of
 stale holders watch throughout; the result is printed as JSON, and the exit status is 1 if either
@@ -17,26 +17,27 @@
 import sys
 import tempfile
 from pathlib import Path
-from typing import Any, BinaryIO
+from typing import Any
 
+from basaltlead.duties.history import Action
 from tests.fakes import Deployment
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.store import FakeKeyValueStore
 
 NETWORK = "127"
-OPERATOR = Path(__file__).resolve().parent.parent / "deploy" / "duties.yaml"
+OPERATOR = Path(__file__).resolve().parents[2] / "deploy" / "duties.yaml"
 PAUSES_S = (0.3, 2.0, 5.0, 12.0, 60.0)
-FINISH_S = 240.0  # in which all must be done once nobody is paused any more
+FINISH_S = 240.0  # in which all must be done once no controller is paused any more
 
 
 class LoopbackNet:
-    """Where a machine stops, its server does."""
+    """Stops the server of a machine that is powered off."""
 
     def __init__(self, deployment: "LoopbackDeployment") -> None:
         self.deployment = deployment
 
     def power_off(self, host: str) -> None:
-        """Close the server of a machine that stops."""
+        """Close the listener of a machine's server and all its connections."""
         server = self.deployment.servers.pop(host, None)
         if server is not None and server.listener is not None:
             server.listener.close()
@@ -57,7 +58,7 @@
 
 
 class LoopbackDeployment(Deployment):
-    """Controllers are processes."""
+    """A deployment whose controllers are processes."""
 
     NETWORK = NETWORK
 
@@ -68,42 +69,42 @@
         self.paused: set[str] = set()
         self.pauses = 0
 
-    def start_controller(self, name: str) -> None:
-        """Start a controller as a process."""
+    def boot(self, name: str) -> None:
         self.loop.create_task(self._launch(name))
 
     async def _launch(self, name: str) -> None:
         path = self.folder / f"{name}.toml"
         path.write_text(as_toml(self.settings_file(name)))
         command = ["-m", "basaltlead", "serve", "--operator", str(OPERATOR), "--config", str(path)]
-        with self._open_log(name) as log:
+        with self.log_path(name).open("ab") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
                 sys.executable, *command, stderr=log
             )
 
-    def _open_log(self, name: str) -> BinaryIO:
-        return (self.folder / f"{name}.log").open("ab")
+    def log_path(self, name: str) -> Path:
+        """The file that a controller logs to."""
+        return self.folder / f"{name}.log"
 
     def pause(self, name: str) -> None:
-        """Stop a process with a signal."""
+        """Suspend a controller's process."""
         self.paused.add(name)
         self.pauses += 1
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Continue a stopped process."""
+        """Let a controller's process run again."""
         self.paused.discard(name)
         self.processes[name].send_signal(signal.SIGCONT)
 
 
 def as_toml(fields: dict[str, Any]) -> str:
-    """Settings as a file: strings, numbers and lists are written as in JSON."""
+    """Settings as the text of a TOML file: strings, numbers and lists are written as in JSON."""
     return "".join(f"{key} = {_value(value)}\n" for key, value in fields.items())
 
 
 def _value(value: Any) -> str:
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{key} = {_value(one)}" for key, one in value.items()) + "}"
+        return "{" + ", ".join(f"{key} = {_value(field)}" for key, field in value.items()) + "}"
     if isinstance(value, list):
         return "[" + ", ".join(map(_value, value)) + "]"
     return json.dumps(value)
@@ -135,18 +136,24 @@
         await asyncio.sleep(rng.uniform(0, 25 if number % 5 else 60))
 
 
-def moved(deployment: LoopbackDeployment) -> dict[str, int]:
-    """How often each duty was taken up."""
+def is_failed_task(line: str) -> bool:
+    """Whether a line of a controller's log says that one of its background tasks has failed."""
+    return line.startswith("E ") and line.endswith(" failed")
+
+
+def acquisitions(deployment: LoopbackDeployment) -> dict[str, int]:
+    """How often each duty was acquired."""
     counts: dict[str, int] = {}
     for key, (page, _, _) in deployment.store.keys.items():
         if key.startswith("history/"):
-            taken = sum(event["action"] == "taken up" for event in page["events"])
-            counts[key.split("/")[1]] = counts.get(key.split("/")[1], 0) + taken
+            duty = key.split("/")[1]
+            acquired = sum(event["action"] == Action.ACQUIRED for event in page["events"])
+            counts[duty] = counts.get(duty, 0) + acquired
     return counts
 
 
 async def run(seed: int, minutes: float) -> dict[str, Any]:
-    """Play, and tell what was found."""
+    """Run for so long and let everything finish; what was found."""
     rng = random.Random(seed)
     FakeKeyValueStore.HOST, FakeKeyValueStore.ADDRESS = f"{NETWORK}.2.0.1", f"{NETWORK}.2.0.1:2379"
     FakeCloud.HOST, FakeCloud.ADDRESS = f"{NETWORK}.2.0.2", f"{NETWORK}.2.0.2:8443"
@@ -164,13 +171,13 @@
         unfinished = await _finish(deployment)
         for process in deployment.processes.values():
             process.kill()
-        logs = "".join((Path(folder) / f"{n}.log").read_text() for n in deployment.nodes)
+        logs = "".join(deployment.log_path(name).read_text() for name in deployment.nodes)
     checker = deployment.duty_checker
     return {
         "seed": seed,
         "minutes": minutes,
         "pauses": deployment.pauses,
-        "duties taken up": moved(deployment),
+        "duties taken up": acquisitions(deployment),
         "jobs": len(deployment.jobs),
         "machines rented": deployment.cloud.rented_count,
         "actions checked": checker.actions,
@@ -178,16 +185,15 @@
         "stale": checker.stale,
         "rules broken": deployment.rule_checker.violations,
         "unfinished": unfinished,
-        "failed loops": logs.count(" failed"),
+        "failed loops": sum(map(is_failed_task, logs.splitlines())),
     }
 
 
 async def _finish(deployment: LoopbackDeployment) -> list[str]:
-    """Everybody is awake: what is not done, or not returned, after a while."""
+    """What is not done, or not returned, within FINISH_S, with all controllers resumed."""
     try:
         async with asyncio.timeout(FINISH_S):
-            answered = deployment.rule_checker.last_stage
-            accepted = [ref for ref in deployment.jobs if ref in answered]
+            accepted = [ref for ref in deployment.jobs if ref in deployment.rule_checker.last_stage]
             await deployment.wait_until_done(*accepted, seconds=FINISH_S)
             await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=FINISH_S)
     except (TimeoutError, AssertionError) as fault:
@@ -197,7 +203,9 @@
 
 def main() -> int:
     """The command line."""
-    top = argparse.ArgumentParser(prog="tests.run_loopback", description="Pause real controllers.")
+    top = argparse.ArgumentParser(
+        prog="tests.tools.run_loopback", description="Pause real controllers."
+    )
     top.add_argument("--seed", type=int, default=1)
     top.add_argument("--minutes", type=float, default=10.0)
     options = top.parse_args()
