--- a/tests/duty_support.py
+++ b/tests/duty_support.py
@@ -1,63 +1,67 @@
-"""What the tests of duties share: a world with duties granted, its records, and its end."""
+"""What the tests of duties share: a deployment with duties granted, its records, and its end."""
 
 import asyncio
 from collections.abc import Callable
 from typing import Any
 
 from basaltlead.duties.model import Duty
-from tests.fakes import World
+from tests.fakes import Deployment
 from tests.simulation import Loop
 
-ON = {"duties": True}
-TAKEOVER = 6.0  # s: a session lease of 1.8 s, its end noticed, and the grant
+DUTIES_ON = {"duties": True}
+FAILOVER_S = 6.0  # s: a session lease of 1.8 s, its end noticed, and the grant
 
 
-async def all_duties_held(world: World) -> None:
+async def wait_for_all_holders(deployment: Deployment) -> None:
     """Every duty has a holder that acts."""
-    await world.until(lambda: all(world.holder(duty) for duty in Duty), seconds=TAKEOVER)
+    await deployment.wait_until(
+        lambda: all(deployment.holder(duty) for duty in Duty), seconds=FAILOVER_S
+    )
 
 
-async def started_world(loop: Loop, seed: int = 1, **more: Any) -> World:
-    world = World(loop, seed, operator=ON, **more)
-    await world.start()
-    await all_duties_held(world)
+async def start_with_duties(loop: Loop, seed: int = 1, **more: Any) -> Deployment:
+    """Start a deployment with duties switched on, and wait until each has a holder."""
+    deployment = Deployment(loop, seed, operator=DUTIES_ON, **more)
+    await deployment.start()
+    await wait_for_all_holders(deployment)
     await asyncio.sleep(2)  # every controller knows the machine types
-    return world
+    return deployment
 
 
-def open_intents(world: World, prefix: str) -> list[str]:
+def open_intents(deployment: Deployment, prefix: str) -> list[str]:
     """Intents that are recorded and not carried out."""
     return [
         key
-        for key, (value, _, _) in world.store.keys.items()
+        for key, (value, _, _) in deployment.store.keys.items()
         if key.startswith(prefix) and (prefix == "return/" or value["names"] is None)
     ]
 
 
-def recorded_events(world: World, action: str) -> list[dict[str, Any]]:
-    pages = [v for k, (v, _, _) in world.store.keys.items() if k.startswith("history/")]
+def recorded_events(deployment: Deployment, action: str) -> list[dict[str, Any]]:
+    """The events of this action in the recorded history of all duties."""
+    pages = [v for k, (v, _, _) in deployment.store.keys.items() if k.startswith("history/")]
     return [event for page in pages for event in page["events"] if event["action"] == action]
 
 
-async def finish(world: World) -> None:
+async def finish(deployment: Deployment) -> None:
     """All jobs are done, and no machine is left that anybody has to pay for."""
-    world.heal()
-    await world.until_done(*world.jobs, seconds=200.0)
-    await world.until(lambda: not world.cloud.machines, seconds=250.0)
-    await world.until(
-        lambda: not open_intents(world, "return/") and not open_intents(world, "hire/")
+    deployment.end_all_faults()
+    await deployment.wait_until_done(*deployment.jobs, seconds=200.0)
+    await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=250.0)
+    await deployment.wait_until(
+        lambda: not open_intents(deployment, "return/") and not open_intents(deployment, "hire/")
     )
-    world.verdict()
+    deployment.assert_no_violation()
 
 
-def when_recorded(world: World, prefix: str, action: Callable[[], None]) -> None:
+def when_recorded(deployment: Deployment, prefix: str, action: Callable[[], None]) -> None:
     """Act in the very moment in which an intent is recorded."""
-    before = world.store.accepting
+    before = deployment.store.on_accept
 
-    def accepting(changes: list[dict[str, Any]]) -> None:
+    def on_accept(changes: list[dict[str, Any]]) -> None:
         before(changes)
         if any(change.get("Put", "").startswith(prefix) for change in changes):
-            world.store.accepting = before
+            deployment.store.on_accept = before
             action()
 
-    world.store.accepting = accepting
+    deployment.store.on_accept = on_accept
--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -1,4 +1,4 @@
-"""Finds actions of holders that were replaced, in what the stand-ins have accepted.
+"""Finds actions of holders that were replaced, in what the fakes have accepted.
 
 It reads what was written and requested, not the preconditions: what shows the writer's right is the
 fencing token in its record, compared with the grant that stands at that moment.
@@ -7,7 +7,8 @@
 from typing import Any
 
 from tests.fakes.cloud import FakeCloud
-from tests.fakes.store import FakeState
+from tests.fakes.replies import key_of
+from tests.fakes.store import FakeKeyValueStore
 
 GRANTS = ("c/duty/", "c/block/")
 MEMBERS = "c/member/"
@@ -20,15 +21,15 @@
 class DutyChecker:
     """Watches the key-value store's transactions and the cloud's calls."""
 
-    def __init__(self, store: FakeState, cloud: FakeCloud) -> None:
+    def __init__(self, store: FakeKeyValueStore, cloud: FakeCloud) -> None:
         self.store = store
         self.stale: list[str] = []  # what was accepted from a stale holder
         self.requested: dict[str, dict[str, Any]] = {}  # every request that was ever recorded
         self.to_return: set[str] = set()  # every machine that was ever recorded as to be returned
         self.actions = 0  # that were checked
         self.repeats = 0  # calls for what was carried out already
-        store.accepting = self.written
-        cloud.accepting = self.called
+        store.on_accept = self.check_transaction
+        cloud.on_accept = self.check_cloud_call
 
     @property
     def granted(self) -> bool:
@@ -38,18 +39,18 @@
         return bool(members) and min(m.get("version", 0) for m in members) >= DUTIES_VERSION
 
     def tokens(self, *prefixes: str) -> set[int]:
-        """The fencing tokens of all grants that stand."""
+        """The fencing tokens of all current grants."""
         return {
             value["baton"]
             for key, (value, _, _) in self.store.keys.items()
             if key.startswith(prefixes) and value["name"]
         }
 
-    def written(self, changes: list[dict[str, Any]]) -> None:
+    def check_transaction(self, changes: list[dict[str, Any]]) -> None:
         """A transaction whose preconditions hold is about to be carried out."""
         has_event = any(change.get("Put", "").startswith(HISTORY) for change in changes)
         for change in changes:
-            key = change.get("Put", change.get("Drop"))
+            key = key_of(change)
             if key.startswith(HISTORY):
                 self._check_event(key, change["V"])
             elif key.startswith(SCALE_OUT):
@@ -90,7 +91,7 @@
             self.to_return.update(value["names"])
             self._check(value["token"] in self.tokens(*GRANTS), f"stale decision: {key}")
 
-    def called(self, path: str, body: dict[str, Any]) -> None:
+    def check_cloud_call(self, path: str, body: dict[str, Any]) -> None:
         """The cloud is about to carry out a call."""
         if path == "/machines/delete":
             for name in body["Anvils"] if self.granted else ():
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,256 +8,270 @@
 from basaltlead.duties.model import Duty
 from basaltlead.errors import PreconditionFailed
 from tests.duty_support import (
-    ON,
-    TAKEOVER,
-    all_duties_held,
+    DUTIES_ON,
+    FAILOVER_S,
     finish,
     open_intents,
     recorded_events,
-    started_world,
+    start_with_duties,
+    wait_for_all_holders,
 )
-from tests.fakes import World
+from tests.fakes import Deployment
 from tests.fakes.cloud import FakeCloud
-from tests.fakes.store import FakeState
-from tests.simulation import Loop, on_host, play
-
-
-def test_duties_are_spread_and_move_with_tokens_that_only_grow() -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        holders = {duty: world.holder(duty) for duty in Duty}
-        assert len(set(holders.values())) == 3
-        tokens = {duty: world.store.keys[duty.key][0]["baton"] for duty in Duty}
-        lost = holders[Duty.RENT]
-        assert lost is not None
-        world.crash(lost)
-        await world.until(lambda: world.holder(Duty.RENT) not in (None, lost), seconds=TAKEOVER)
-        await all_duties_held(world)
-        moved = {duty: world.store.keys[duty.key][0]["baton"] for duty in Duty}
-        assert all(moved[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
-        assert all(moved[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
-        world.boot(lost)  # it gets its part again, and nothing is without a holder for long
-        await world.until(lambda: any(world.holder(duty) == lost for duty in Duty), seconds=20.0)
-        await all_duties_held(world)
-
-    play(story)
-
-
-def test_without_duties_switched_on_by_all_the_owner_acts_as_before() -> None:
-    async def story(loop: Loop) -> None:
-        world = World(loop, operator=ON)
-        world.old = {"node-1"}
-        await world.start()
-        await world.submit(world.job(1, Pieces=3, RunS=3.0))
-        await world.until_done("req-000001")
-        await world.until(lambda: not world.cloud.machines, seconds=150.0)
-        assert not any(key.startswith(("c/duty/", "return/")) for key in world.store.keys)
-        world.verdict()
-
-    play(story)
-
-
-def test_a_grant_that_came_back_to_the_same_controller_is_another_grant() -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        name = world.holder(Duty.RETURN)
-        assert name is not None
-        member = world.parts[name].membership
-        stale = world.parts[name].duties.holders[Duty.RETURN]
-        others = [node for node in world.nodes if node != name]
-        assert await member.release(Duty.RETURN.key, leader_too=False)
-        for other in others:  # so that it can only come back
-            world.crash(other)
-        held = world.parts[name].duties.holders
-        await world.until(
-            lambda: held.get(Duty.RETURN, stale) is not stale and world.holder(Duty.RETURN) == name,
-            seconds=4 * TAKEOVER,
-        )
-        fresh = held[Duty.RETURN]
-        stale.stepped_down = False
-        precondition = stale.preconditions()[1]
-        assert precondition.version < fresh.preconditions()[1].version
-        before = world.store.revision
-        with pytest.raises(PreconditionFailed, match="c/duty/return"):
-            await stale.history.commit([], [], Event.of(Action.RETURNED))
-        assert world.store.revision == before
-
-    play(story)
-
-
-def test_what_is_granted_again_before_a_hand_back_is_answered_is_kept() -> None:
+from tests.fakes.store import FakeKeyValueStore
+from tests.simulation import Loop, on_host, simulated
+
+
+@simulated
+async def test_duties_are_spread_over_controllers_and_fencing_tokens_only_increase(
+    loop: Loop,
+) -> None:
+    deployment = await start_with_duties(loop)
+
+    holders = {duty: deployment.holder(duty) for duty in Duty}
+    assert len(set(holders.values())) == 3
+    tokens = {duty: deployment.store.keys[duty.key][0]["baton"] for duty in Duty}
+    lost = holders[Duty.RENT]
+    assert lost is not None
+    deployment.crash(lost)
+    await deployment.wait_until(
+        lambda: deployment.holder(Duty.RENT) not in (None, lost), seconds=FAILOVER_S
+    )
+    await wait_for_all_holders(deployment)
+    moved = {duty: deployment.store.keys[duty.key][0]["baton"] for duty in Duty}
+    assert all(moved[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
+    assert all(moved[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
+    # It gets its part again, and nothing is without a holder for long
+    deployment.start_controller(lost)
+    await deployment.wait_until(
+        lambda: any(deployment.holder(duty) == lost for duty in Duty), seconds=20.0
+    )
+    await wait_for_all_holders(deployment)
+
+
+@simulated
+async def test_shard_leader_rents_and_returns_itself_unless_all_controllers_support_duties(
+    loop: Loop,
+) -> None:
+    deployment = Deployment(loop, operator=DUTIES_ON)
+    deployment.old_version_nodes = {"node-1"}
+    await deployment.start()
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001")
+    await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=150.0)
+
+    assert not any(key.startswith(("c/duty/", "return/")) for key in deployment.store.keys)
+    deployment.assert_no_violation()
+
+
+@simulated
+async def test_regrant_to_the_same_controller_has_a_new_version(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+    name = deployment.acting_holder(Duty.RETURN)
+    member = deployment.controllers[name].membership
+    stale = deployment.controllers[name].duties.holders[Duty.RETURN]
+    others = deployment.other_nodes(name)
+
+    assert await member.release(Duty.RETURN.key, leader_too=False)
+    for other in others:  # so that it can only come back
+        deployment.crash(other)
+    held = deployment.controllers[name].duties.holders
+    await deployment.wait_until(
+        lambda: (
+            held.get(Duty.RETURN, stale) is not stale and deployment.holder(Duty.RETURN) == name
+        ),
+        seconds=4 * FAILOVER_S,
+    )
+    fresh = held[Duty.RETURN]
+    stale.stepped_down = False
+    precondition = stale.preconditions()[1]
+    assert precondition.version < fresh.preconditions()[1].version
+    before = deployment.store.revision
+
+    with pytest.raises(PreconditionFailed, match="c/duty/return"):
+        await stale.history.commit([], [], Event.of(Action.RETURNED))
+    assert deployment.store.revision == before
+
+
+@simulated
+async def test_regrant_before_the_answer_to_a_release_is_kept(loop: Loop) -> None:
     """Only the holder that was handed back ends: the next one may be there already."""
+    deployment = await start_with_duties(loop)
+    name = deployment.acting_holder(Duty.RETURN)
+
+    for other in deployment.nodes:  # so that all that it hands back comes back
+        if other != name:
+            deployment.crash(other)
+    await deployment.wait_until(
+        lambda: deployment.holder(Duty.RENT) == name == deployment.shard_leader(), seconds=15.0
+    )
+    node = deployment.controllers[name]
+    release = node.membership.release
+
+    async def answered_late(key: str, leader_too: bool) -> bool:
+        done: bool = await release(key, leader_too)
+        await asyncio.sleep(5)
+        return done
+
+    node.membership.release = answered_late
+    node.duties.holders[Duty.RETURN].step_down()
+    node.shard_leaders[0].lease.stepped_down = True
+    await asyncio.sleep(15)
+
+    assert deployment.holder(Duty.RETURN) == name == deployment.shard_leader()
+
 
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        name = world.holder(Duty.RETURN)
-        assert name is not None
-        for other in world.nodes:  # so that all that it hands back comes back
-            if other != name:
-                world.crash(other)
-        await world.until(
-            lambda: world.holder(Duty.RENT) == name == world.shard_leader(), seconds=15.0
-        )
-        node = world.parts[name]
-        release = node.membership.release
-
-        async def answered_late(key: str, leader_too: bool) -> bool:
-            done: bool = await release(key, leader_too)
-            await asyncio.sleep(5)
-            return done
-
-        node.membership.release = answered_late
-        node.duties.holders[Duty.RETURN].step_down()
-        node.shard_leaders[0].lease.stepped_down = True
-        await asyncio.sleep(15)
-        assert world.holder(Duty.RETURN) == name == world.shard_leader()
-
-    play(story)
-
-
-@pytest.mark.parametrize(("wall", "steady"), [(3600, 0), (-3600, 0), (0, 3600)])
-def test_clocks_that_jump_on_one_host_make_no_stale_holder(wall: float, steady: float) -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        await world.submit(world.job(1, Pieces=6, RunS=20.0))
-        await world.until(lambda: len(world.on("req-000001")) == 6)
-        for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
-            holder = world.holder(duty)
-            assert holder is not None
-            loop.wall_off[world.host(holder)] = wall
-            loop.steady_off[world.host(holder)] = steady
-            await asyncio.sleep(4)
-            await all_duties_held(world)
-        await finish(world)
-
-    play(story)
-
-
-def test_a_machine_whose_steady_clock_stood_still_while_it_slept_is_refused_by_the_store() -> None:
+@pytest.mark.parametrize(
+    ("wall", "steady"),
+    [(3600, 0), (-3600, 0), (0, 3600)],
+    ids=["wall forward", "wall back", "steady forward"],
+)
+@simulated
+async def test_clock_jumps_on_one_host_make_no_stale_holder(
+    loop: Loop, wall: float, steady: float
+) -> None:
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=6, RunS=20.0))
+    await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 6)
+
+    for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
+        holder = deployment.acting_holder(duty)
+        loop.wall_off[deployment.host(holder)] = wall
+        loop.steady_off[deployment.host(holder)] = steady
+        await asyncio.sleep(4)
+        await wait_for_all_holders(deployment)
+    await finish(deployment)
+
+
+@simulated
+async def test_store_refuses_holder_whose_steady_clock_stopped_during_suspend(loop: Loop) -> None:
     """Its clock says that no time has passed, so its own check of the lease lets it act."""
+    deployment = await start_with_duties(loop)
+    holder = deployment.acting_holder(Duty.RENT)
 
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        holder = world.holder(Duty.RENT)
-        assert holder is not None
-        world.freeze(holder)
-        await world.submit(world.job(1, Pieces=8, RunS=60.0), world.other_node(holder))
-        await asyncio.sleep(60)
-        loop.steady_off[world.host(holder)] = -60.0
-        stale = world.parts[holder].duties.holders[Duty.RENT]
-        believed: list[bool] = []
+    deployment.freeze(holder)
+    await deployment.submit(deployment.job(1, Pieces=8, RunS=60.0), deployment.other_node(holder))
+    await asyncio.sleep(60)
+    loop.steady_off[deployment.host(holder)] = -60.0
+    stale = deployment.controllers[holder].duties.holders[Duty.RENT]
+    lease_checks: list[bool] = []
 
-        async def look() -> None:
-            believed.append(stale.holds_valid_lease)
+    async def check_lease() -> None:
+        lease_checks.append(stale.holds_valid_lease)
 
-        on_host(world.host(holder), look())
-        world.thaw(holder)
-        await world.until(lambda: bool(believed))
-        assert believed == [True]
-        await finish(world)
+    on_host(deployment.host(holder), check_lease())
+    deployment.thaw(holder)
+    await deployment.wait_until(lambda: bool(lease_checks))
 
-    play(story)
+    assert lease_checks == [True]
+    await finish(deployment)
 
 
 @pytest.mark.parametrize("duty", list(Duty))
-def test_leader_and_holder_lost_together_hold_nothing_up(duty: Duty) -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        await world.submit(world.job(1, Pieces=6, RunS=10.0))
-        holder, leader = world.holder(duty), world.store.keys["c/leader"][0]["name"]
-        assert holder is not None
-        for name in {holder, leader}:
-            world.crash(name)
-        await world.until(lambda: world.holder(duty) not in (None, holder), seconds=2 * TAKEOVER)
-        await finish(world)
-
-    play(story)
-
-
-def test_intents_that_were_open_when_all_were_restarted_are_carried_out_once() -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        await world.submit(world.job(1, Pieces=3, RunS=3.0))
-        await world.until_done("req-000001")
-        world.cloud.trouble = 503
-        await world.submit(world.job(2, Pieces=4, RunS=60.0, Cores=8.0))  # fits large ones only
-        await world.until(lambda: bool(open_intents(world, "hire/")))
-        await world.until(lambda: bool(open_intents(world, "return/")), seconds=120.0)
-        requested = set(open_intents(world, "hire/"))
-        for name in world.nodes:
-            world.crash(name)
-        await asyncio.sleep(5)
-        world.cloud.trouble = 0
-        for name in world.nodes:
-            world.boot(name)
-        await world.until(lambda: not requested & set(open_intents(world, "hire/")), seconds=30.0)
-        assert {f"hire/{name}" for name in world.cloud.scale_outs} >= requested
-        await finish(world)
-
-    play(story)
+@simulated
+async def test_duty_moves_on_when_leader_and_holder_are_lost_together(
+    loop: Loop, duty: Duty
+) -> None:
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=6, RunS=10.0))
+
+    holder, leader = deployment.holder(duty), deployment.store.keys["c/leader"][0]["name"]
+    assert holder is not None
+    for name in {holder, leader}:
+        deployment.crash(name)
+    await deployment.wait_until(
+        lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
+    )
+    await finish(deployment)
+
+
+@simulated
+async def test_open_intents_are_carried_out_once_after_all_controllers_restart(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001")
+    deployment.cloud.error_status = 503
+    # Fits large ones only
+    await deployment.submit(deployment.job(2, Pieces=4, RunS=60.0, Cores=8.0))
+    await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
+    await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
+    requested = set(open_intents(deployment, "hire/"))
+
+    for name in deployment.nodes:
+        deployment.crash(name)
+    await asyncio.sleep(5)
+    deployment.cloud.error_status = 0
+    for name in deployment.nodes:
+        deployment.start_controller(name)
+    await deployment.wait_until(
+        lambda: not requested & set(open_intents(deployment, "hire/")), seconds=30.0
+    )
+    assert {f"hire/{name}" for name in deployment.cloud.scale_outs} >= requested
+    await finish(deployment)
 
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
-def test_a_holder_cut_off_from_the_state_service_alone_is_replaced(duty: Duty) -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        holder = world.holder(duty)
-        assert holder is not None
-        world.net.cut(world.host(holder), FakeState.HOST)
-        await world.submit(world.job(1, Pieces=6, RunS=5.0), world.other_node(holder))
-        await world.until(lambda: world.holder(duty) not in (None, holder), seconds=2 * TAKEOVER)
-        await asyncio.sleep(20)
-        world.net.heal(world.host(holder), FakeState.HOST)
-        await finish(world)
-
-    play(story)
-
-
-def test_a_holder_cut_off_from_the_cloud_alone_lets_another_try() -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        holder = world.holder(Duty.RENT)
-        assert holder is not None
-        world.net.cut(world.host(holder), FakeCloud.HOST)
-        await world.submit(world.job(1, Pieces=6, RunS=5.0))
-        await world.until(lambda: world.holder(Duty.RENT) not in (None, holder), seconds=40.0)
-        await world.until_done("req-000001", seconds=30.0)
-        moves = len(recorded_events(world, "taken up"))
-        await asyncio.sleep(120)
-        assert len(recorded_events(world, "taken up")) <= moves + 3  # it does not go to and fro
-        world.net.heal(world.host(holder), FakeCloud.HOST)
-        await finish(world)
-
-    play(story)
-
-
-def test_an_older_version_takes_over_in_the_middle_and_hands_back() -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        await world.submit(world.job(1, Pieces=8, RunS=15.0))
-        await world.until(lambda: len(world.on("req-000001")) == 8)
-        world.cloud.trouble = 503
-        await world.submit(world.job(2, Pieces=16, RunS=15.0))
-        await world.until(lambda: bool(open_intents(world, "hire/")))
-        old = world.shard_leader()
-        assert old is not None
-        world.crash(old)
-        world.old = {old}
-        world.boot(old)
-        for (
-            name
-        ) in world.nodes:  # only the old one is left: it leads the shard and rents for itself
-            if name != old:
-                world.crash(name)
-        world.cloud.trouble = 0
-        await world.until(lambda: world.shard_leader() == old, seconds=4 * TAKEOVER)
-        await world.until_done("req-000002", seconds=120.0)
-        world.crash(old)
-        world.old = set()
-        for name in world.nodes:
-            world.boot(name)
-        await all_duties_held(world)
-        await world.submit(world.job(3, Pieces=8, RunS=5.0))
-        await finish(world)
-
-    play(story)
+@simulated
+async def test_holder_cut_off_from_the_key_value_store_alone_is_replaced(
+    loop: Loop, duty: Duty
+) -> None:
+    deployment = await start_with_duties(loop)
+    holder = deployment.acting_holder(duty)
+
+    deployment.net.cut(deployment.host(holder), FakeKeyValueStore.HOST)
+    await deployment.submit(deployment.job(1, Pieces=6, RunS=5.0), deployment.other_node(holder))
+    await deployment.wait_until(
+        lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
+    )
+    await asyncio.sleep(20)
+    deployment.net.heal(deployment.host(holder), FakeKeyValueStore.HOST)
+    await finish(deployment)
+
+
+@simulated
+async def test_holder_cut_off_from_the_cloud_alone_releases_its_duty(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+    holder = deployment.acting_holder(Duty.RENT)
+
+    deployment.net.cut(deployment.host(holder), FakeCloud.HOST)
+    await deployment.submit(deployment.job(1, Pieces=6, RunS=5.0))
+    await deployment.wait_until(
+        lambda: deployment.holder(Duty.RENT) not in (None, holder), seconds=40.0
+    )
+    await deployment.wait_until_done("req-000001", seconds=30.0)
+    moves = len(recorded_events(deployment, "taken up"))
+    await asyncio.sleep(120)
+    assert len(recorded_events(deployment, "taken up")) <= moves + 3  # it does not go to and fro
+    deployment.net.heal(deployment.host(holder), FakeCloud.HOST)
+    await finish(deployment)
+
+
+@simulated
+async def test_older_version_takes_over_open_intents_and_newer_version_takes_them_back(
+    loop: Loop,
+) -> None:
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=8, RunS=15.0))
+    await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 8)
+    deployment.cloud.error_status = 503
+    await deployment.submit(deployment.job(2, Pieces=16, RunS=15.0))
+    await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
+    old = deployment.acting_shard_leader()
+
+    deployment.crash(old)
+    deployment.old_version_nodes = {old}
+    deployment.start_controller(old)
+    # Only the old one is left: it leads the shard and rents for itself
+    for name in deployment.nodes:
+        if name != old:
+            deployment.crash(name)
+    deployment.cloud.error_status = 0
+    await deployment.wait_until(lambda: deployment.shard_leader() == old, seconds=4 * FAILOVER_S)
+    await deployment.wait_until_done("req-000002", seconds=120.0)
+    deployment.crash(old)
+    deployment.old_version_nodes = set()
+    for name in deployment.nodes:
+        deployment.start_controller(name)
+    await wait_for_all_holders(deployment)
+    await deployment.submit(deployment.job(3, Pieces=8, RunS=5.0))
+    await finish(deployment)
--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -7,92 +7,98 @@
 from basaltlead.duties.model import Duty
 from basaltlead.scaling.scale_in import ScaleIn
 from tests.duty_support import (
-    TAKEOVER,
+    FAILOVER_S,
     finish,
     open_intents,
     recorded_events,
-    started_world,
+    start_with_duties,
     when_recorded,
 )
-from tests.fakes import World
+from tests.fakes import Deployment
 from tests.fakes.cloud import FakeCloud
-from tests.simulation import Loop, play
+from tests.simulation import Loop, simulated
 
 
-async def _freeze_at(world: World, when: str, prefix: str, name: str) -> None:
+async def _freeze_at(deployment: Deployment, when: str, prefix: str, name: str) -> None:
     """The holder of a duty stands still when its next intent is recorded, or sent."""
     if when == "half sent":
-        world.net.halving[FakeCloud.HOST] = 90.0
+        deployment.net.halving[FakeCloud.HOST] = 90.0
     if when == "before the check":
-        when_recorded(world, prefix, lambda: world.freeze(name))
-        await world.until(lambda: world.host(name) in world.loop.frozen, seconds=120.0)
+        when_recorded(deployment, prefix, lambda: deployment.freeze(name))
+        await deployment.wait_until(
+            lambda: deployment.host(name) in deployment.loop.frozen, seconds=120.0
+        )
         return
-    world.cloud.slowness = 5.0
+    deployment.cloud.answer_delay_s = 5.0
     recorded = asyncio.Event()
-    when_recorded(world, prefix, recorded.set)
-    await world.until(recorded.is_set, seconds=120.0)
+    when_recorded(deployment, prefix, recorded.set)
+    await deployment.wait_until(recorded.is_set, seconds=120.0)
     await asyncio.sleep(0.6)
-    world.freeze(name)
+    deployment.freeze(name)
 
 
 @pytest.mark.parametrize("when", ["before the check", "sent", "half sent"])
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
-def test_a_holder_that_stood_still_for_a_minute_decides_nothing_when_it_wakes(
-    duty: Duty, when: str
+@simulated
+async def test_holder_frozen_for_a_minute_decides_nothing_after_it_resumes(
+    loop: Loop, duty: Duty, when: str
 ) -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        prefix = "hire/" if duty == Duty.RENT else "return/"
-        if duty == Duty.RETURN:
-            await world.submit(world.job(1, Pieces=3, RunS=3.0))
-            await world.until_done("req-000001")
-        holder = world.holder(duty)
-        assert holder is not None
-        if duty == Duty.RENT:
-            await world.submit(world.job(1, Pieces=8, RunS=30.0), world.other_node(holder))
-        await _freeze_at(world, when, prefix, holder)
-        await world.until(lambda: world.holder(duty) not in (None, holder), seconds=2 * TAKEOVER)
-        world.cloud.slowness = 0.02
-        world.net.halving.clear()
-        await asyncio.sleep(60)
-        rented = len(world.cloud.scale_outs)
-        world.thaw(holder)
-        await asyncio.sleep(10)
-        assert len(world.cloud.scale_outs) == rented
-        await finish(world)
-
-    play(story)
-
-
-def test_a_late_transaction_of_a_holder_that_was_replaced_is_refused() -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        holder = world.holder(Duty.RENT)
-        assert holder is not None
-        world.store.late_writes, world.store.late_by = 1.0, (20.0, 20.0)
-        world.store.late_keys = "history/rent/"  # what settles a request
-        await world.submit(world.job(1, Pieces=8, RunS=20.0), world.other_node(holder))
-        await world.until(lambda: bool(world.cloud.scale_outs))
-        await asyncio.sleep(1)
-        world.crash(holder)
-        world.store.late_writes = 0.0
-        await world.until(lambda: not open_intents(world, "hire/"), seconds=2 * TAKEOVER)
-        settled = {k: v[1] for k, v in world.store.keys.items() if k.startswith("hire/")}
-        await asyncio.sleep(20)
-        left = {k: v[1] for k, v in world.store.keys.items() if k in settled}
-        assert left.items() <= settled.items()  # none was written again
-        assert len(recorded_events(world, "rented")) == len(settled)
-        world.boot(holder)
-        await finish(world)
-
-    play(story)
-
-
-def test_a_new_owner_starts_nothing_on_a_machine_that_is_to_go(
-    monkeypatch: pytest.MonkeyPatch,
+    deployment = await start_with_duties(loop)
+
+    prefix = "hire/" if duty == Duty.RENT else "return/"
+    if duty == Duty.RETURN:
+        await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+        await deployment.wait_until_done("req-000001")
+    holder = deployment.acting_holder(duty)
+    if duty == Duty.RENT:
+        await deployment.submit(
+            deployment.job(1, Pieces=8, RunS=30.0), deployment.other_node(holder)
+        )
+    await _freeze_at(deployment, when, prefix, holder)
+    await deployment.wait_until(
+        lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
+    )
+    deployment.cloud.answer_delay_s = 0.02
+    deployment.net.halving.clear()
+    await asyncio.sleep(60)
+    rented = len(deployment.cloud.scale_outs)
+    deployment.thaw(holder)
+    await asyncio.sleep(10)
+    assert len(deployment.cloud.scale_outs) == rented
+    await finish(deployment)
+
+
+@simulated
+async def test_late_transaction_of_a_replaced_holder_is_refused(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+    holder = deployment.acting_holder(Duty.RENT)
+
+    deployment.store.late_write_share, deployment.store.late_by_s = 1.0, (20.0, 20.0)
+    deployment.store.late_key_prefix = "history/rent/"  # what settles a request
+    await deployment.submit(deployment.job(1, Pieces=8, RunS=20.0), deployment.other_node(holder))
+    await deployment.wait_until(lambda: bool(deployment.cloud.scale_outs))
+    await asyncio.sleep(1)
+    deployment.crash(holder)
+    deployment.store.late_write_share = 0.0
+    await deployment.wait_until(
+        lambda: not open_intents(deployment, "hire/"), seconds=2 * FAILOVER_S
+    )
+    settled = {k: v[1] for k, v in deployment.store.keys.items() if k.startswith("hire/")}
+    await asyncio.sleep(20)
+    left = {k: v[1] for k, v in deployment.store.keys.items() if k in settled}
+    assert left.items() <= settled.items()  # none was written again
+    assert len(recorded_events(deployment, "rented")) == len(settled)
+    deployment.start_controller(holder)
+    await finish(deployment)
+
+
+@simulated
+async def test_new_shard_leader_starts_nothing_on_a_terminating_machine(
+    loop: Loop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The machines that each shard leader knows to be terminating before it does anything.
     at_first: list[set[str]] = []
+
     start = ScaleIn.start
 
     def noting_start(scale_ins: ScaleIn) -> None:
@@ -102,136 +108,136 @@
 
     monkeypatch.setattr(ScaleIn, "start", noting_start)
 
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        await world.submit(world.job(1, Pieces=3, RunS=3.0))
-        await world.until_done("req-000001")
-        when_recorded(world, "return/", lambda: setattr(world.cloud, "trouble", 503))
-        await world.until(lambda: bool(open_intents(world, "return/")), seconds=120.0)
-        going = {
-            name
-            for key in open_intents(world, "return/")
-            for name in world.store.keys[key][0]["names"]
-        }
-        shard_leader = world.shard_leader()
-        assert shard_leader is not None
-        world.crash(shard_leader)
-        await world.until(
-            lambda: world.shard_leader() not in (None, shard_leader), seconds=2 * TAKEOVER
-        )
-        await world.submit(world.job(2, Pieces=3, RunS=3.0), world.other_node(shard_leader))
-        for _ in range(100):
-            await asyncio.sleep(0.1)
-            assert not {worker.name for worker in world.rule_checker.on.values()} & going
-        assert going <= set(world.cloud.machines)
-        assert at_first[-1] == going
-        world.boot(shard_leader)
-        await finish(world)
-
-    play(story)
-
-
-@pytest.mark.parametrize("trouble", [429, 503])
-def test_trouble_of_the_cloud_in_the_middle_of_a_batch(trouble: int) -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        await world.submit(world.job(1, Pieces=24, RunS=4.0))
-        await world.until(lambda: len(world.cloud.scale_outs) >= 1)
-        world.cloud.trouble = trouble
-        await asyncio.sleep(8)
-        world.cloud.trouble = 0
-        await world.until_done("req-000001")
-        when_recorded(world, "return/", lambda: setattr(world.cloud, "trouble", trouble))
-        await world.until(lambda: world.cloud.trouble == trouble, seconds=120.0)
-        await asyncio.sleep(8)
-        await finish(world)
-
-    play(story)
-
-
-def test_a_grant_that_is_lost_while_the_cloud_answers_slowly() -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        world.cloud.slowness = 3.5
-        await world.submit(world.job(1, Pieces=16, RunS=20.0))
-        await world.until(lambda: bool(open_intents(world, "hire/")))
-        holder = world.holder(Duty.RENT)
-        assert holder is not None
-        world.crash(holder)
-        await asyncio.sleep(1)
-        world.boot(holder)
-        await asyncio.sleep(15)
-        world.cloud.slowness = 0.02
-        machines = [name for names in world.cloud.scale_outs.values() for name in names]
-        assert len(machines) == len(set(machines)) == world.cloud.count
-        await finish(world)
-
-    play(story)
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001")
+    when_recorded(deployment, "return/", lambda: setattr(deployment.cloud, "error_status", 503))
+    await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
+    going = {
+        name
+        for key in open_intents(deployment, "return/")
+        for name in deployment.store.keys[key][0]["names"]
+    }
+    shard_leader = deployment.acting_shard_leader()
+    deployment.crash(shard_leader)
+    await deployment.wait_until(
+        lambda: deployment.shard_leader() not in (None, shard_leader), seconds=2 * FAILOVER_S
+    )
+    await deployment.submit(
+        deployment.job(2, Pieces=3, RunS=3.0), deployment.other_node(shard_leader)
+    )
+    for _ in range(100):
+        await asyncio.sleep(0.1)
+        assert not {worker.name for worker in deployment.rule_checker.running_on.values()} & going
+    assert going <= set(deployment.cloud.machines)
+    assert at_first[-1] == going
+    deployment.start_controller(shard_leader)
+    await finish(deployment)
+
+
+@pytest.mark.parametrize("error_status", [429, 503])
+@simulated
+async def test_cloud_errors_in_the_middle_of_a_batch(loop: Loop, error_status: int) -> None:
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=24, RunS=4.0))
+    await deployment.wait_until(lambda: len(deployment.cloud.scale_outs) >= 1)
+    deployment.cloud.error_status = error_status
+
+    await asyncio.sleep(8)
+    deployment.cloud.error_status = 0
+    await deployment.wait_until_done("req-000001")
+    when_recorded(
+        deployment, "return/", lambda: setattr(deployment.cloud, "error_status", error_status)
+    )
+    await deployment.wait_until(
+        lambda: deployment.cloud.error_status == error_status, seconds=120.0
+    )
+    await asyncio.sleep(8)
+    await finish(deployment)
+
+
+@simulated
+async def test_duty_lost_during_a_slow_cloud_call_rents_nothing_twice(loop: Loop) -> None:
+    deployment = await start_with_duties(loop)
+    deployment.cloud.answer_delay_s = 3.5
+    await deployment.submit(deployment.job(1, Pieces=16, RunS=20.0))
+    await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
+    holder = deployment.acting_holder(Duty.RENT)
+
+    deployment.crash(holder)
+    await asyncio.sleep(1)
+    deployment.start_controller(holder)
+    await asyncio.sleep(15)
+    deployment.cloud.answer_delay_s = 0.02
+    machines = [name for names in deployment.cloud.scale_outs.values() for name in names]
+    assert len(machines) == len(set(machines)) == deployment.cloud.rented_count
+    await finish(deployment)
 
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
-def test_calls_that_arrive_minutes_late_rent_and_delete_nothing_that_was_not_recorded(
-    duty: Duty,
+@simulated
+async def test_cloud_calls_minutes_late_rent_and_delete_only_what_was_recorded(
+    loop: Loop, duty: Duty
 ) -> None:
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        await world.submit(world.job(1, Pieces=3, RunS=3.0))
-        await world.until_done("req-000001")
-        holder = world.holder(duty)
-        assert holder is not None
-        world.net.cut(world.host(holder), FakeCloud.HOST)
-        if duty == Duty.RENT:
-            await world.submit(world.job(2, Pieces=16, RunS=10.0))
-        await world.until(
-            lambda: bool(open_intents(world, "return/" if duty == Duty.RETURN else "hire/")),
-            seconds=120,
-        )
-        await asyncio.sleep(10)
-        world.crash(holder)
-        await asyncio.sleep(150)
-        world.net.heal(world.host(holder), FakeCloud.HOST, deliver=True)
-        world.boot(holder)
-        await finish(world)
-
-    play(story)
-
-
-def test_what_the_cloud_refuses_for_good_is_shown_and_holds_up_nothing_else(
-    monkeypatch: pytest.MonkeyPatch,
+    deployment = await start_with_duties(loop)
+    await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
+    await deployment.wait_until_done("req-000001")
+    holder = deployment.acting_holder(duty)
+
+    deployment.net.cut(deployment.host(holder), FakeCloud.HOST)
+    if duty == Duty.RENT:
+        await deployment.submit(deployment.job(2, Pieces=16, RunS=10.0))
+    await deployment.wait_until(
+        lambda: bool(open_intents(deployment, "return/" if duty == Duty.RETURN else "hire/")),
+        seconds=120,
+    )
+    await asyncio.sleep(10)
+    deployment.crash(holder)
+    await asyncio.sleep(150)
+    deployment.net.heal(deployment.host(holder), FakeCloud.HOST, deliver=True)
+    deployment.start_controller(holder)
+    await finish(deployment)
+
+
+@simulated
+async def test_requests_that_the_cloud_always_refuses_are_shown_and_delay_no_others(
+    loop: Loop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("basaltlead.duties.rent_duty.MOST_REQUESTS", 1)
 
-    async def story(loop: Loop) -> None:
-        world = await started_world(loop)
-        world.cloud.refusing.add("large")
-        await world.submit(world.job(1, Pieces=2, RunS=3.0, Cores=8.0))  # fits large ones only
-        await world.submit(world.job(2, Pieces=6, RunS=3.0))
-        await world.until_done("req-000002")
-        await asyncio.sleep(150)
-        hanging = [v[0] for k, v in world.store.keys.items() if k.startswith("hire/")]
-        assert hanging
-        assert all("400" in one["refused"] for one in hanging)
-        offers = [(one["zone"], one["spot"]) for one in hanging]
-        assert len(offers) == len(set(offers))  # none is asked for twice: so there are few
-        world.cloud.refusing.clear()
-        await world.until_done("req-000001", seconds=120.0)
-        await world.submit(world.job(3, Pieces=5, RunS=20.0, Cores=4.0, Grades=["small"]))
-        await world.until_done("req-000003")
-        world.cloud.trouble = 503  # until they all are to go, in one batch
-        await world.until(
-            lambda: (
-                sum(len(world.store.keys[k][0]["names"]) for k in open_intents(world, "return/"))
-                == len(world.cloud.machines)
-                > 2
-            ),
-            seconds=200.0,
-        )
-        victim = next(iter(world.cloud.machines))
-        world.cloud.refusing.add(victim)
-        world.cloud.trouble = 0
-        await world.until(lambda: set(world.cloud.machines) == {victim}, seconds=200.0)
-        await world.until(lambda: bool(recorded_events(world, "refused")))
-        world.cloud.refusing.clear()
-        await finish(world)
-
-    play(story)
+    deployment = await start_with_duties(loop)
+
+    deployment.cloud.refused_names.add("large")
+    # Fits large ones only
+    await deployment.submit(deployment.job(1, Pieces=2, RunS=3.0, Cores=8.0))
+    await deployment.submit(deployment.job(2, Pieces=6, RunS=3.0))
+    await deployment.wait_until_done("req-000002")
+    await asyncio.sleep(150)
+    hanging = [v[0] for k, v in deployment.store.keys.items() if k.startswith("hire/")]
+    assert hanging
+    assert all("400" in one["refused"] for one in hanging)
+    offers = [(one["zone"], one["spot"]) for one in hanging]
+    assert len(offers) == len(set(offers))  # none is asked for twice: so there are few
+    deployment.cloud.refused_names.clear()
+    await deployment.wait_until_done("req-000001", seconds=120.0)
+    await deployment.submit(deployment.job(3, Pieces=5, RunS=20.0, Cores=4.0, Grades=["small"]))
+    await deployment.wait_until_done("req-000003")
+    deployment.cloud.error_status = 503  # until they all are to go, in one batch
+    await deployment.wait_until(
+        lambda: (
+            sum(
+                len(deployment.store.keys[k][0]["names"])
+                for k in open_intents(deployment, "return/")
+            )
+            == len(deployment.cloud.machines)
+            > 2
+        ),
+        seconds=200.0,
+    )
+    victim = next(iter(deployment.cloud.machines))
+    deployment.cloud.refused_names.add(victim)
+    deployment.cloud.error_status = 0
+    await deployment.wait_until(lambda: set(deployment.cloud.machines) == {victim}, seconds=200.0)
+    await deployment.wait_until(lambda: bool(recorded_events(deployment, "refused")))
+    deployment.cloud.refused_names.clear()
+    await finish(deployment)
--- a/tests/tools/measure_duties.py
+++ b/tests/tools/measure_duties.py
@@ -11,23 +11,25 @@
 from typing import Any
 
 from basaltlead.duties.model import Duty
-from tests.fakes import World
-from tests.fakes.store import FakeState
-from tests.simulation import Loop, play
+from tests.fakes import Deployment
+from tests.fakes.store import FakeKeyValueStore
+from tests.simulation import Loop, play, poll_until
 
 SEEDS = range(1, 11)
 RESOLUTION_S = 0.01  # of the measured times
-CAUSES: dict[str, Callable[[World, str], Any]] = {
-    "crash": lambda world, name: world.crash(name),
-    "stands still": lambda world, name: world.freeze(name),
-    "loses the state service": lambda world, name: world.net.cut(world.host(name), FakeState.HOST),
+CAUSES: dict[str, Callable[[Deployment, str], Any]] = {
+    "crash": lambda deployment, name: deployment.crash(name),
+    "stands still": lambda deployment, name: deployment.freeze(name),
+    "loses the state service": lambda deployment, name: deployment.net.cut(
+        deployment.host(name), FakeKeyValueStore.HOST
+    ),
 }
 
 
-async def _until_held_by_another(world: World, duty: Duty, name: str) -> None:
+async def _until_held_by_another(deployment: Deployment, duty: Duty, name: str) -> None:
     """Return once a controller other than this one acts for the duty."""
     while True:
-        if world.holder(duty) not in (None, name):
+        if deployment.holder(duty) not in (None, name):
             return
         await asyncio.sleep(RESOLUTION_S)
 
@@ -36,19 +38,19 @@
     """Seconds until another controller acts for the duty."""
     took: list[float] = []
 
-    async def story(loop: Loop) -> None:
-        world = World(loop, seed, operator={"duties": True}, lease=20.0, cancel=60.0)
-        await world.start()
-        await world.until(lambda: all(world.holder(held) for held in Duty))
+    async def scenario(loop: Loop) -> None:
+        deployment = Deployment(loop, seed, operator={"duties": True}, lease=20.0, cancel=60.0)
+        await deployment.start()
+        await deployment.wait_until(lambda: all(deployment.holder(held) for held in Duty))
         await asyncio.sleep(5 + seed / 10)
-        name = world.holder(duty)
+        name = deployment.holder(duty)
         assert name is not None
-        CAUSES[cause](world, name)
+        CAUSES[cause](deployment, name)
         at = loop.time()
-        await _until_held_by_another(world, duty, name)
+        await poll_until(lambda: deployment.holder(duty) not in (None, name), 0.01)
         took.append(loop.time() - at)
 
-    play(story, seed)
+    play(scenario, seed)
     return took[0]
 
 
@@ -57,24 +59,24 @@
     counts: Counter[str] = Counter()
     machines: list[int] = []
 
-    async def story(loop: Loop) -> None:
-        world = World(loop, operator={"duties": duties})
-        world.cloud.capacity = 60
-        await world.start()
-        before = world.store.accepting
+    async def scenario(loop: Loop) -> None:
+        deployment = Deployment(loop, operator={"duties": duties})
+        deployment.cloud.capacity = 60
+        await deployment.start()
+        before = deployment.store.on_accept
 
-        def accepting(changes: list[dict[str, Any]]) -> None:
+        def on_accept(changes: list[dict[str, Any]]) -> None:
             before(changes)
             counts.update(c.get("Put", c.get("Drop")).split("/")[0] for c in changes)
 
-        world.store.accepting = accepting
-        await world.submit(world.job(1, Pieces=400, RunS=20.0))
-        await world.until_done("req-000001", seconds=300.0)
-        await world.until(lambda: not world.cloud.machines, seconds=300.0)
+        deployment.store.on_accept = on_accept
+        await deployment.submit(deployment.job(1, Pieces=400, RunS=20.0))
+        await deployment.wait_until_done("req-000001", seconds=300.0)
+        await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=300.0)
         await asyncio.sleep(60)
-        machines.append(world.cloud.count)
+        machines.append(deployment.cloud.rented_count)
 
-    play(story)
+    play(scenario)
     prefixes = ("hire", "mach", "return", "history")
     each = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
     return each | {"machines": machines[0], "all": round(sum(each.values()), 2)}
@@ -84,16 +86,16 @@
     """Requests and changes a second of all controllers while there is no job."""
     rates: dict[str, float] = {}
 
-    async def story(loop: Loop) -> None:
-        world = World(loop, operator={"duties": duties})
-        await world.start()
+    async def scenario(loop: Loop) -> None:
+        deployment = Deployment(loop, operator={"duties": duties})
+        await deployment.start()
         await asyncio.sleep(30)
-        requests, writes = world.store.requests, world.store.writes
+        requests, writes = deployment.store.requests, deployment.store.writes
         await asyncio.sleep(300)
-        rates["requests"] = round((world.store.requests - requests) / 300, 2)
-        rates["changes"] = round((world.store.writes - writes) / 300, 2)
+        rates["requests"] = round((deployment.store.requests - requests) / 300, 2)
+        rates["changes"] = round((deployment.store.writes - writes) / 300, 2)
 
-    play(story)
+    play(scenario)
     return rates
 
 
--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -2,7 +2,7 @@
 
     python3 -m tests.tools.run_loopback --seed 7 --minutes 10
 
-The key-value store, the cloud, the workers and the users are the tests' stand-ins, in this
+The key-value store, the cloud, the workers and the users are the tests' fakes, in this
 process; the controllers are processes of their own, with duties switched on. At the end everything
 is resumed, all jobs must get done and all machines must go. The rule checker and the checker of
 stale holders watch throughout; the result is printed as JSON, and the exit status is 1 if either
@@ -20,9 +20,9 @@
 from typing import Any
 
 from basaltlead.duties.history import Action
-from tests.fakes import World
+from tests.fakes import Deployment
 from tests.fakes.cloud import FakeCloud
-from tests.fakes.store import FakeState
+from tests.fakes.store import FakeKeyValueStore
 
 NETWORK = "127"
 OPERATOR = Path(__file__).resolve().parents[2] / "deploy" / "duties.yaml"
@@ -33,12 +33,12 @@
 class LoopbackNet:
     """Stops the server of a machine that is powered off."""
 
-    def __init__(self, world: "LoopbackWorld") -> None:
-        self.world = world
+    def __init__(self, deployment: "LoopbackDeployment") -> None:
+        self.deployment = deployment
 
     def power_off(self, host: str) -> None:
         """Close the listener of a machine's server and all its connections."""
-        server = self.world.servers.pop(host, None)
+        server = self.deployment.servers.pop(host, None)
         if server is not None and server.listener is not None:
             server.listener.close()
             for connection in list(server.connections):
@@ -47,17 +47,17 @@
 
 
 class LoopbackLoop:
-    """The event loop with the network that the stand-ins expect."""
+    """The event loop with the network that the fakes expect."""
 
-    def __init__(self, world: "LoopbackWorld") -> None:
+    def __init__(self, deployment: "LoopbackDeployment") -> None:
         self.real = asyncio.get_running_loop()
-        self.net = LoopbackNet(world)
+        self.net = LoopbackNet(deployment)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.real, name)
 
 
-class LoopbackWorld(World):
+class LoopbackDeployment(Deployment):
     """A deployment whose controllers are processes."""
 
     NETWORK = NETWORK
@@ -110,30 +110,30 @@
     return json.dumps(value)
 
 
-async def _pause_at_random(world: LoopbackWorld, chance: random.Random) -> None:
+async def _pause_at_random(deployment: LoopbackDeployment, rng: random.Random) -> None:
     while True:
-        await asyncio.sleep(chance.uniform(1, 8))
-        awake = sorted(set(world.nodes) - world.paused)
+        await asyncio.sleep(rng.uniform(1, 8))
+        awake = sorted(set(deployment.nodes) - deployment.paused)
         if len(awake) < 2:
             continue
-        name = chance.choice(awake)
-        world.pause(name)
-        asyncio.get_running_loop().call_later(chance.choice(PAUSES_S), world.resume, name)
+        name = rng.choice(awake)
+        deployment.pause(name)
+        asyncio.get_running_loop().call_later(rng.choice(PAUSES_S), deployment.resume, name)
 
 
-async def _submit_at_random(world: LoopbackWorld, chance: random.Random) -> None:
+async def _submit_at_random(deployment: LoopbackDeployment, rng: random.Random) -> None:
     number = 0
     while True:
         number += 1
-        job = world.job(
+        job = deployment.job(
             number,
-            Pieces=chance.choice([1, 3, 8]),
-            Cores=chance.choice([1.0, 2.0]),
-            RunS=chance.choice([1.0, 4.0, 12.0]),
-            Shape=chance.choice(["batch", "batch", "group"]),
+            Pieces=rng.choice([1, 3, 8]),
+            Cores=rng.choice([1.0, 2.0]),
+            RunS=rng.choice([1.0, 4.0, 12.0]),
+            Shape=rng.choice(["batch", "batch", "group"]),
         )
-        await world.submit(job)
-        await asyncio.sleep(chance.uniform(0, 25 if number % 5 else 60))
+        await deployment.submit(job)
+        await asyncio.sleep(rng.uniform(0, 25 if number % 5 else 60))
 
 
 def is_failed_task(line: str) -> bool:
@@ -141,10 +141,10 @@
     return line.startswith("E ") and line.endswith(" failed")
 
 
-def acquisitions(world: LoopbackWorld) -> dict[str, int]:
+def acquisitions(deployment: LoopbackDeployment) -> dict[str, int]:
     """How often each duty was acquired."""
     counts: dict[str, int] = {}
-    for key, (page, _, _) in world.store.keys.items():
+    for key, (page, _, _) in deployment.store.keys.items():
         if key.startswith("history/"):
             duty = key.split("/")[1]
             acquired = sum(event["action"] == Action.ACQUIRED for event in page["events"])
@@ -154,50 +154,50 @@
 
 async def run(seed: int, minutes: float) -> dict[str, Any]:
     """Run for so long and let everything finish; what was found."""
-    chance = random.Random(seed)
-    FakeState.HOST, FakeState.ADDRESS = f"{NETWORK}.2.0.1", f"{NETWORK}.2.0.1:2379"
+    rng = random.Random(seed)
+    FakeKeyValueStore.HOST, FakeKeyValueStore.ADDRESS = f"{NETWORK}.2.0.1", f"{NETWORK}.2.0.1:2379"
     FakeCloud.HOST, FakeCloud.ADDRESS = f"{NETWORK}.2.0.2", f"{NETWORK}.2.0.2:8443"
     with tempfile.TemporaryDirectory() as folder:
-        world = LoopbackWorld(seed, Path(folder))
-        await world.start()
+        deployment = LoopbackDeployment(seed, Path(folder))
+        await deployment.start()
         await asyncio.sleep(3)
-        users = asyncio.create_task(_submit_at_random(world, chance))
-        pauses = asyncio.create_task(_pause_at_random(world, chance))
+        users = asyncio.create_task(_submit_at_random(deployment, rng))
+        pauses = asyncio.create_task(_pause_at_random(deployment, rng))
         await asyncio.sleep(minutes * 60)
         pauses.cancel()
         users.cancel()
-        for name in world.nodes:
-            world.resume(name)
-        unfinished = await _finish(world)
-        for process in world.processes.values():
+        for name in deployment.nodes:
+            deployment.resume(name)
+        unfinished = await _finish(deployment)
+        for process in deployment.processes.values():
             process.kill()
-        logs = "".join(world.log_path(name).read_text() for name in world.nodes)
-    checker = world.duty_checker
+        logs = "".join(deployment.log_path(name).read_text() for name in deployment.nodes)
+    checker = deployment.duty_checker
     return {
         "seed": seed,
         "minutes": minutes,
-        "pauses": world.pauses,
-        "duties taken up": acquisitions(world),
-        "jobs": len(world.jobs),
-        "machines rented": world.cloud.count,
+        "pauses": deployment.pauses,
+        "duties taken up": acquisitions(deployment),
+        "jobs": len(deployment.jobs),
+        "machines rented": deployment.cloud.rented_count,
         "actions checked": checker.actions,
         "calls repeated": checker.repeats,
         "stale": checker.stale,
-        "rules broken": world.rule_checker.broken,
+        "rules broken": deployment.rule_checker.violations,
         "unfinished": unfinished,
         "failed loops": sum(map(is_failed_task, logs.splitlines())),
     }
 
 
-async def _finish(world: LoopbackWorld) -> list[str]:
+async def _finish(deployment: LoopbackDeployment) -> list[str]:
     """What is not done, or not returned, within FINISH_S, with all controllers resumed."""
     try:
         async with asyncio.timeout(FINISH_S):
-            accepted = [ref for ref in world.jobs if ref in world.rule_checker.told]
-            await world.until_done(*accepted, seconds=FINISH_S)
-            await world.until(lambda: not world.cloud.machines, seconds=FINISH_S)
+            accepted = [ref for ref in deployment.jobs if ref in deployment.rule_checker.last_stage]
+            await deployment.wait_until_done(*accepted, seconds=FINISH_S)
+            await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=FINISH_S)
     except (TimeoutError, AssertionError) as fault:
-        return [f"{type(fault).__name__}: {fault}", *sorted(world.cloud.machines)]
+        return [f"{type(fault).__name__}: {fault}", *sorted(deployment.cloud.machines)]
     return []
 
 
