--- a/basaltlead/core/cancellations.py
+++ b/basaltlead/core/cancellations.py
@@ -22,7 +22,7 @@
 
     def add(self, ref: str, now: int) -> bool:
         """Note a cancellation; True if it was not known. Must be called before the user gets the
-        confirmation: what another controller is told must hold all that users were told."""
+        confirmation: the list for other controllers must hold all that users saw confirmed."""
         if ref in self._known:
             return False
         self._known[ref] = now
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -81,7 +81,7 @@
         self.ended = ended
         self.forgettable = forgettable  # its end means nothing that must be stored first
         # A start command may still arrive. The worker must go on listing the attempt: it refuses
-        # a start of an attempt that it knows, and would execute one that it was told to forget.
+        # a start of an attempt that it knows, and would execute one that it has forgotten.
         self.start_unacknowledged = start_unacknowledged
 
 
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -12,12 +12,13 @@
 
 # A replica that has run for so long shows that its service can run.
 LASTING_US = 30 * US
-# What a replica is taken to have before it wherever a run time is asked for: much longer than any
-# span that plans consider.
+# The run time that a replica is taken to have left, always: much longer than any span that plans
+# consider.
 STANDING_US = 24 * 3600 * US
 
 RANKS = {"best_effort": 0, "standard": 1, "high": 2, "production": 3}
 MIN_SIZE_CPUS = 0.1  # what a task counts as at least
+MIN_PULL_GB_PER_S = 0.01  # what a machine type without a known rate is taken to fetch
 
 
 class Shape(Enum):
@@ -113,7 +114,7 @@
 
     def fetch_s(self, job: Job) -> float:
         """How long the job's image takes to arrive, if the machine fetches no other."""
-        return job.image_gb / max(self.pull_gb_per_s, 0.01)
+        return job.image_gb / max(self.pull_gb_per_s, MIN_PULL_GB_PER_S)
 
     def holds(self, job: Job) -> int:
         """How many tasks of a job fit on an empty machine."""
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -25,7 +25,7 @@
 
 
 class Shard:
-    """The one entrance to a shard: joins the parts that keep its jobs, attempts and machines.
+    """The facade of a shard: joins the parts that keep its jobs, attempts and machines.
 
     Does no input or output. Each method takes the time, so that all that happens under one grant
     is determined by the calls.
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -68,7 +68,7 @@
             )
 
     def _end(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
-        """It has ended. Its worker lists it until it is told to forget it."""
+        """It has ended. Its worker lists it until a command lets it forget it."""
         machine, job_state = attempt.machine, attempt.job_state
         job = job_state.job
         reason = reported.why or ExitReason.ERROR
@@ -144,7 +144,7 @@
 def _is_wanted(job_state: JobState, index: int, machine: Machine) -> bool:
     """May the task go on with an attempt of an earlier shard leader? Only until the machine is
     synced: from then on all that runs there was started by us, and an attempt that we do not know
-    is one that we have given up."""
+    is one that was removed here."""
     return (
         index not in job_state.live
         and not job_state.is_done(index)
