--- a/basaltlead/duties/machine_deletion.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -44,13 +44,16 @@
         try:
             await self.cloud.delete(names, self._holds_valid_lease)
         except RequestRejected as fault:
-            if len(names) > 1:
-                middle = len(names) // 2
-                deleted = await self.delete(names[:middle], now)
-                return deleted + await self.delete(names[middle:], now)
-            log.error("machine %s: its deletion is rejected by the cloud: %s", names[0], fault)
-            self.rejected[names[0]] = RejectedDeletion(now + REJECTED_PAUSE_US, str(fault))
-            return []
+            if len(names) < 2:
+                self._note_rejection(names[0], str(fault), now)
+                return []
+            middle = len(names) // 2
+            deleted = await self.delete(names[:middle], now)
+            return deleted + await self.delete(names[middle:], now)
         for name in names:
             self.rejected.pop(name, None)
         return names
+
+    def _note_rejection(self, name: str, reason: str, now: int) -> None:
+        log.error("machine %s: its deletion is rejected by the cloud: %s", name, reason)
+        self.rejected[name] = RejectedDeletion(now + REJECTED_PAUSE_US, reason)
--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -75,9 +75,7 @@
                 )
                 return None
             except RequestRejected as fault:
-                log.error("rental request %s is rejected by the cloud: %s", name, fault)
-                await on_rejected(str(fault))
-                await asyncio.sleep(REJECTED_PAUSE_S)
+                await self._wait_after_rejection(name, str(fault), on_rejected)
             except (RequestFailed, Unavailable) as fault:
                 log.info("rental request %s: no result, will be retried: %s", name, fault)
                 await backoff.wait()
@@ -85,6 +83,12 @@
                 log.info("rental request %s: rented %s", name, ", ".join(names))
                 return names
 
+    async def _wait_after_rejection(self, name: str, reason: str, on_rejected: OnRejected) -> None:
+        """Log and report a rejection, and wait until the request may be sent once more."""
+        log.error("rental request %s is rejected by the cloud: %s", name, reason)
+        await on_rejected(reason)
+        await asyncio.sleep(REJECTED_PAUSE_S)
+
     async def record_outcome(
         self, name: str, stored: StoredScaleOut | None, version: int, commit: Commit | None = None
     ) -> None:
--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -169,7 +169,7 @@
         try:
             self.calendar = read_calendar(self.path)
         except SettingsError as error:
-            log.error("quiet times stay as they were, the calendar can't be used: %s", error)
+            _log_unusable(error)
         else:
             log.info("quiet times read again from %s", self.path)
             self.known_until = 0
@@ -184,5 +184,9 @@
         self.known_until = now + HORIZON_US
 
 
+def _log_unusable(error: SettingsError) -> None:
+    log.error("quiet times stay as they were, the calendar can't be used: %s", error)
+
+
 def _to_us(at: datetime) -> int:
     return int(at.timestamp() * US)
