--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -27,8 +27,6 @@
     ("__main__",),
 )
 LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
-# Interfaces of a package that lower layers may name: they import nothing of this program.
-INTERFACES = {"scaling.quiet_times"}
 ONLY_ERRORS = {"core", "errors"}  # all that decisions may know of
 # Decisions, and what takes no part in messages: names of the protocol stay out of these.
 WITHOUT_WIRE = {"core", "net", "runtime", "config", "errors"}
@@ -91,17 +89,11 @@
         for other in others
         if _package(module) == package != _package(other)
         and LAYER_OF[_package(other)] >= LAYER_OF[package]
-        and other not in INTERFACES
     ]
 
     assert upward == []
 
 
-@pytest.mark.parametrize("module", sorted(INTERFACES))
-def test_interface_imports_nothing_of_this_program(module: str) -> None:
-    assert IMPORTS[module] == set()
-
-
 def test_decisions_import_nothing_outside_core_but_errors() -> None:
     outside = [
         f"{module} imports {other}"
