--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -1,4 +1,4 @@
-"""Carrying out rental requests that are recorded, for whoever holds the grant to do so."""
+"""Carrying out scale-out requests that are recorded, for whoever holds the grant to do so."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -67,7 +67,7 @@
             except NoCapacity:
                 spot = " (spot)" if stored.spot else ""
                 log.info(
-                    "rental request %s: no capacity: %s in %s%s",
+                    "scale-out request %s: no capacity: %s in %s%s",
                     name,
                     stored.type_name,
                     stored.zone,
@@ -77,15 +77,15 @@
             except RequestRejected as fault:
                 await self._wait_after_rejection(name, str(fault), on_rejected)
             except (RequestFailed, Unavailable) as fault:
-                log.info("rental request %s: no result, will be retried: %s", name, fault)
+                log.info("scale-out request %s: no result, will be retried: %s", name, fault)
                 await backoff.wait()
             else:
-                log.info("rental request %s: rented %s", name, ", ".join(names))
+                log.info("scale-out request %s: rented %s", name, ", ".join(names))
                 return names
 
     async def _wait_after_rejection(self, name: str, reason: str, on_rejected: OnRejected) -> None:
         """Log and report a rejection, and wait until the request may be sent once more."""
-        log.error("rental request %s is rejected by the cloud: %s", name, reason)
+        log.error("scale-out request %s is rejected by the cloud: %s", name, reason)
         await on_rejected(reason)
         await asyncio.sleep(REJECTED_PAUSE_S)
 
--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -1,4 +1,4 @@
-"""The duty of renting: rental requests that the shard leaders have recorded are carried out."""
+"""The duty of renting: scale-out requests that the shard leaders have recorded are carried out."""
 
 import asyncio
 from functools import partial
@@ -75,7 +75,7 @@
 
     def _start_request(self, name: str, stored: StoredScaleOut) -> None:
         coroutine = self._carry_out(name, stored)
-        self.requests[name] = self.background.spawn(coroutine, f"rental request {name}")
+        self.requests[name] = self.background.spawn(coroutine, f"scale-out request {name}")
 
     def _close(self, name: str) -> None:
         """The outcome of a request is recorded, by us or by another controller."""
@@ -92,7 +92,7 @@
                 await self._record_outcome(name, stored, names)
             except ServiceError as fault:
                 log.info(
-                    "rental request %s: its outcome is not recorded, will be retried: %s",
+                    "scale-out request %s: its outcome is not recorded, will be retried: %s",
                     name,
                     fault,
                 )
@@ -138,4 +138,4 @@
             await self.history.commit(preconditions, changes, event)
         except ServiceError as fault:
             stored.refused = msgspec.UNSET
-            log.info("rental request %s: its rejection is not recorded: %s", name, fault)
+            log.info("scale-out request %s: its rejection is not recorded: %s", name, fault)
--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -1,8 +1,9 @@
 """Which of the rented machines nobody knows: pure decisions of the duty of reclaiming.
 
-The cloud's list lags. It may still show a machine that was deleted, and a rental request's machines
-may stand in it before their names are recorded. So a machine counts as abandoned only if it is
-listed without being known for longer than a list may lag, and no open request may have brought it.
+The cloud's list lags. It may still show a machine that was deleted, and a scale-out request's
+machines may stand in it before their names are recorded. So a machine counts as abandoned only if
+it is listed without being known for longer than a list may lag, and no open request may have
+brought it.
 """
 
 from collections.abc import Collection, Iterable
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -56,7 +56,8 @@
         self.capacity = 12
         self.page_rows = 500  # rows of a page of the list at most
         self.list_lag_s = 2.0  # how old a page of the list is, at least; some are twice that old
-        self.unanswered_rentals = 0  # that many rental requests will be executed without an answer
+        # that many scale-out requests will be executed without an answer
+        self.unanswered_rentals = 0
         self.error_status = 0  # the status that every call gets; 0: none
         self.refused_names: set[str] = set()  # types and machines that are refused with 400
         self.answer_delay_s = 0.02  # s until it answers
--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -13,7 +13,7 @@
 GRANTS = ("c/duty/", "c/block/")
 MEMBERS = "c/member/"
 HISTORY, SCALE_OUT, SCALE_IN, MACHINE = "history/", "hire/", "return/", "mach/"
-ADOPTED = "a-"  # names of rental requests that the holder of reclaiming records begin so
+ADOPTED = "a-"  # names of scale-out requests that the holder of reclaiming records begin so
 OF_SHARD = "h-"  # and those of a shard leader, followed by its fencing token
 DUTIES_VERSION = 2  # from which on a member lets duties be granted on their own
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -174,7 +174,7 @@
     deployment.cloud.list_lag_s = 4.0
     await deployment.start()
     deployment.cloud.unanswered_rentals = (
-        2  # and two rental requests are carried out, but never answered
+        2  # and two scale-out requests are carried out, but never answered
     )
     await deployment.submit(deployment.job(1, Pieces=60, RunS=30.0))
     await deployment.wait_until_done("req-000001", seconds=200)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -4,7 +4,7 @@
 the commit that deploy/service.toml names, a script submitted jobs of every shape to the deployment
 of `tests/fakes`, cancelled one, took the key-value store away for 5 s, and kept the first record of
 each kind as the key-value store got it, and the first message of each kind that a controller got
-from another. Records of members, shards, jobs, results (one of 24,576 tasks), rental requests,
+from another. Records of members, shards, jobs, results (one of 24,576 tasks), scale-out requests,
 machines and teams are among them.
 """
 
@@ -109,7 +109,7 @@
 
 @simulated
 async def test_records_written_beside_an_old_member_are_readable_by_it(loop: Loop) -> None:
-    """Jobs, results of a large array, rental requests, machines, budgets: and no service."""
+    """Jobs, results of a large array, scale-out requests, machines, budgets: and no service."""
     deployment = Deployment(loop, announced_limits={"value_kb": 2.0, "txn_ops": 4})
     deployment.old_version_nodes = {"node-1"}
     await deployment.start()
@@ -244,7 +244,8 @@
     await deployment.submit(deployment.job(3, Pieces=2, RunS=400.0, GuessS=400.0))
     await deployment.wait_until(lambda: len(deployment.rule_checker.results) > 10)
     shard_leader = deployment.acting_shard_leader()
-    deployment.cloud.unanswered_rentals = 1  # a rental request under way, whose answer nobody hears
+    # a scale-out request under way, whose answer nobody hears
+    deployment.cloud.unanswered_rentals = 1
     await deployment.submit(deployment.job(4, Pieces=30, RunS=10.0))
 
     await asyncio.sleep(0.8)
