--- a/basaltlead/api/routing.py
+++ b/basaltlead/api/routing.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from basaltlead.api.responses import refusal
-from basaltlead.api.users import UserApi
+from basaltlead.api.users import JOBS_PATH, UserApi
 from basaltlead.clients.codec import encode
 from basaltlead.cluster.membership import Membership
-from basaltlead.net.http.messages import Request, Response
+from basaltlead.net.http.messages import GET, POST, Request, Response
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.shard.assignment import ShardAssigner
@@ -18,7 +18,6 @@
 
 HEARTBEAT_PATH = "/agent/beat"
 HEALTH_PATH = "/healthz"
-JOBS_PATH = "/api/jobs"
 
 heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
@@ -68,11 +67,11 @@
         """Answer any request."""
         path = request.path
         if path == HEARTBEAT_PATH:
-            if request.method != "POST":
+            if request.method != POST:
                 return refusal(405, "use POST")
             return self.heartbeat_api.handle(request.body)
         if path == HEALTH_PATH:
-            if request.method != "GET":
+            if request.method != GET:
                 return refusal(405, "use GET")
             return Response(200, b"{}") if self.is_healthy() else refusal(503, "not ready")
         if path == JOBS_PATH or path.startswith(f"{JOBS_PATH}/"):
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -15,7 +15,7 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.jobs import MachineType
 from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
-from basaltlead.net.http.messages import Request, Response
+from basaltlead.net.http.messages import GET, POST, Request, Response
 from basaltlead.net.limiter import Limiter
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import LogRateLimiter, log
@@ -26,10 +26,11 @@
 from basaltlead.wire.store import Drop, Precondition, Put, Row
 from basaltlead.wire.users import REF, Submission
 
+JOBS_PATH = "/api/jobs"
 KNOWN_REF = re.compile(REF)
 MAX_QUEUED_S = 0.5  # a request that would wait for longer for the store is refused at once
 # Users wait 2 s for a poll and 5 s for a change: they are told before that they get no answer.
-ANSWER_TIMEOUT_S = {"GET": 1.7, "POST": 4.0}
+ANSWER_TIMEOUT_S = {GET: 1.7, POST: 4.0}
 DEFAULT_TIMEOUT_S = 1.0
 CANCEL_ATTEMPTS = 4
 SERVICE = "service"
@@ -61,12 +62,12 @@
     async def handle(self, request: Request) -> Response:
         """Answer a request in time: with 503 if the store can't be asked, or does not answer."""
         submission: Submission | None = None
-        if request.path == "/api/jobs" and request.method == "POST":
+        if request.path == JOBS_PATH and request.method == POST:
             try:  # malformed submissions get 400 also while nothing can be accepted
                 submission = msgspec.json.decode(request.body, type=Submission)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
                 return refusal(400, str(fault)[:200])
-        if self.store.queue_delay_s(writing=request.method == "POST") > MAX_QUEUED_S:
+        if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUED_S:
             return refusal(503, "busy", RETRY_LATER)
         if not self.limiter.enter():
             return refusal(503, "busy", RETRY_SOON)
@@ -84,13 +85,13 @@
             self.limiter.leave(now_us() - started)
 
     async def _route(self, request: Request) -> Response:
-        rest = request.path.removeprefix("/api/jobs")
+        rest = request.path.removeprefix(JOBS_PATH)
         if rest == "":
             return refusal(405, "use POST")
         ref, _, verb = rest[1:].partition("/")
         if verb not in ("", "cancel"):
             return refusal(404, "no such path")
-        if request.method != ("POST" if verb else "GET"):
+        if request.method != (POST if verb else GET):
             return refusal(405, "use POST" if verb else "use GET")
         if not KNOWN_REF.match(ref):
             return refusal(404, "no such job")
--- a/basaltlead/cluster/cluster_watch.py
+++ b/basaltlead/cluster/cluster_watch.py
@@ -6,13 +6,10 @@
 
 from basaltlead.cluster.session_lease import SessionLeaseKeeper
 from basaltlead.core.cluster_view import (
-    LEADER,
-    MEMBER_PREFIX,
     PREFIX,
     Claim,
     ClusterView,
     Counter,
-    Versioned,
 )
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
@@ -45,15 +42,15 @@
 
     def note_member(self, claim: Claim, version: int) -> None:
         """Take in a member record that this process has written itself."""
-        self.view.members[claim.name] = Versioned(claim, version)
+        self.view.note_member(claim, version)
 
     def note_leader(self, claim: Claim, version: int) -> None:
         """Take in a leader record that this process has written itself."""
-        self.view.leader = Versioned(claim, version)
+        self.view.note_leader(claim, version)
 
     def note_fencing_token(self, counter: Counter, version: int) -> None:
         """Take in a count of fencing tokens that this process has written itself."""
-        self.view.fencing_token = Versioned(counter, version)
+        self.view.note_fencing_token(counter, version)
 
     def _after_read(self, _sent_at: int, has_changes: bool) -> None:
         self.session.note_contact()
@@ -89,19 +86,10 @@
         if change.put is not None:
             self._put(change.put, change.value, change.version)
         elif change.drop is not None:
-            self._drop(change.drop, change.version)
+            self.view.drop(change.drop, change.version)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         try:
             self.view.put(key, raw, version)
         except (msgspec.DecodeError, ValueError) as fault:
             log.error("record %s can't be read: %s", key, fault)
-
-    def _drop(self, key: str, version: int) -> None:
-        if key == LEADER:
-            self.view.leader = None
-        elif key.startswith(MEMBER_PREFIX):
-            name = key.removeprefix(MEMBER_PREFIX)
-            # A record that was written after the key was dropped stays.
-            if name in self.view.members and self.view.member_version(name) <= version:
-                del self.view.members[name]
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -71,28 +71,11 @@
         self.election = LeaderElection(self.membership)
         self.cancellations = Cancellations(now_us())
         self.registry = ShardRegistry(self.membership, shards, self._start_shard_leader)
-        self.peers = Peers(
-            settings,
-            self.membership,
-            CancellationExchange(
-                self.cancellations,
-                self.registry.cancellations_as_of,
-                self.registry.close_job,
-                self.registry.confirm_cancellations,
-            ),
-            DutyReports(self.store, self.membership).answer,
-        )
+        self.peers = self._new_peers()
         quotas = team_quotas(settings)
         self.shard_assigner = ShardAssigner(self.membership, self.store, quotas, shards)
         self.machine_types: dict[str, MachineType] = {}
-        self.user_api = UserApi(
-            settings,
-            self.store,
-            self.membership,
-            self.machine_types,
-            self.cancellations,
-            self._cancellation_confirmed,
-        )
+        self.user_api = self._new_user_api()
         heartbeat_api = HeartbeatApi(self.registry, self.shard_assigner, self.membership)
         self.router = Router(self.user_api, heartbeat_api, self._is_healthy)
         quiet_times = quiet_times_of(settings)
@@ -113,6 +96,26 @@
         self.server: Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
+    def _new_peers(self) -> Peers:
+        exchange = CancellationExchange(
+            self.cancellations,
+            self.registry.cancellations_as_of,
+            self.registry.close_job,
+            self.registry.confirm_cancellations,
+        )
+        answer = DutyReports(self.store, self.membership).answer
+        return Peers(self.settings, self.membership, exchange, answer)
+
+    def _new_user_api(self) -> UserApi:
+        return UserApi(
+            self.settings,
+            self.store,
+            self.membership,
+            self.machine_types,
+            self.cancellations,
+            self._cancellation_confirmed,
+        )
+
     @property
     def shard_leaders(self) -> dict[int, ShardLeader]:
         """The leaders of the shards that this controller holds, by number."""
--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -117,15 +117,37 @@
         self.fencing_token: Versioned[Counter] | None = None
         self.loads: dict[int, Load] = {}  # by shard
 
+    def note_member(self, claim: Claim, version: int) -> None:
+        """Note the record of a member."""
+        self.members[claim.name] = Versioned(claim, version)
+
+    def note_leader(self, claim: Claim, version: int) -> None:
+        """Note who leads."""
+        self.leader = Versioned(claim, version)
+
+    def note_fencing_token(self, counter: Counter, version: int) -> None:
+        """Note the last fencing token."""
+        self.fencing_token = Versioned(counter, version)
+
+    def drop(self, key: str, version: int) -> None:
+        """Note that a key was dropped at a revision. A member's record that was written after that
+        stays; grants and loads are not dropped."""
+        if key == LEADER:
+            self.leader = None
+        elif key.startswith(MEMBER_PREFIX):
+            name = key.removeprefix(MEMBER_PREFIX)
+            if name in self.members and self.member_version(name) <= version:
+                del self.members[name]
+
     def put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         """Note the value of a key. An older one than is known of a member or a grant is ignored.
 
         Raises `msgspec.DecodeError` or `ValueError` for a key or a value that can't be read.
         """
         if key == LEADER:
-            self.leader = Versioned(msgspec.json.decode(raw, type=Claim), version)
+            self.note_leader(msgspec.json.decode(raw, type=Claim), version)
         elif key == FENCING_TOKEN:
-            self.fencing_token = Versioned(msgspec.json.decode(raw, type=Counter), version)
+            self.note_fencing_token(msgspec.json.decode(raw, type=Counter), version)
         elif key.startswith(MEMBER_PREFIX):
             name = key.removeprefix(MEMBER_PREFIX)
             if self.member_version(name) <= version:
--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -143,7 +143,7 @@
         slots, self._price = SlotAuction(shard, self.terms.reserve).run(arrays)
         for job_state in arrays:
             job_state.slots = slots[job_state.job.ref]
-        shard.dirty = True
+        shard.request_plan()
 
 
 def _smoothed(rate: float, newest: float) -> float:
--- a/basaltlead/core/planning.py
+++ b/basaltlead/core/planning.py
@@ -20,7 +20,7 @@
 
 def plan(shard: Shard, now: int) -> None:
     """Bind waiting tasks to machines, in start order, and move replicas that have to leave."""
-    shard.dirty = False
+    shard.begin_plan()
     usable = usable_machines(shard, now)
     if usable:
         _bind(shard, usable, start_order(shard, now), now)
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -72,10 +72,13 @@
         """May a plan bind tasks that the last one could not?"""
         return self._signals.dirty
 
-    @dirty.setter
-    def dirty(self, dirty: bool) -> None:
-        """Ask for a plan, or begin one."""
-        self._signals.dirty = dirty
+    def request_plan(self) -> None:
+        """Have the next pass of the planning loop make a plan."""
+        self._signals.dirty = True
+
+    def begin_plan(self) -> None:
+        """A plan begins: what changes from now on is for the next one."""
+        self._signals.dirty = False
 
     # Jobs
 
--- a/basaltlead/net/http/messages.py
+++ b/basaltlead/net/http/messages.py
@@ -32,6 +32,9 @@
 }
 
 
+GET, POST = "GET", "POST"
+
+
 class Request:
     """A request that the server has received."""
 
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -22,6 +22,7 @@
     MACHINE,
     OPEN,
     SCALE_OUT,
+    AssignedRange,
     StoredJob,
     StoredMachine,
     StoredScaleOut,
@@ -49,19 +50,19 @@
 
 def assignment_parts(
     job: Job, quota: TeamQuota, shards: int, loads: dict[int, float]
-) -> list[tuple[int, int, int]]:
-    """Which shard gets which tasks of a new job, as (first, end, shard).
+) -> list[AssignedRange]:
+    """Which shard gets which tasks of a new job.
 
     A team with a quota has one shard for all its jobs, jobs that must be placed as a whole go to
     the least loaded one, and other arrays are divided evenly.
     """
     least_loaded = min(range(shards), key=lambda shard: (loads.get(shard, 0.0), shard))
     if quota.is_limited:
-        return [(0, job.tasks, home_shard(job.team, shards))]
+        return [AssignedRange(0, job.tasks, home_shard(job.team, shards))]
     if job.whole or job.tasks < 2 * shards:
-        return [(0, job.tasks, least_loaded)]
+        return [AssignedRange(0, job.tasks, least_loaded)]
     bounds = [job.tasks * number // shards for number in range(shards + 1)]
-    return [(bounds[shard], bounds[shard + 1], shard) for shard in range(shards)]
+    return [AssignedRange(bounds[shard], bounds[shard + 1], shard) for shard in range(shards)]
 
 
 class ShardAssigner:
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -155,7 +155,7 @@
             self._recording.discard(machine.name)
         if not machine.terminating:
             machine.recorded = True
-            self.shard.dirty = True
+            self.shard.request_plan()
             self.context.wake.set()
             log.info(
                 "machine %s (%s in %s) ready", machine.name, machine.machine_type.name, machine.zone
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -8,13 +8,14 @@
 from basaltlead.core.cluster_view import Load, Versioned, load_key
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import US
+from basaltlead.core.task_queue import TaskRange
 from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
 from basaltlead.shard.results import attempt_write
-from basaltlead.storage.records import ASSIGNMENT, OPEN, TaskAssignment
+from basaltlead.storage.records import ASSIGNMENT, OPEN, AssignedRange, TaskAssignment
 from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
@@ -30,7 +31,7 @@
         self._watch_from = 0
         self._handing_over: set[str] = set()  # jobs of which tasks are being handed over
 
-    def ranges_of(self, ref: str) -> list[tuple[int, int]]:
+    def ranges_of(self, ref: str) -> list[TaskRange]:
         """The job's tasks that are assigned to this shard."""
         known = self._assignments.get(ref)
         return known.value.ranges_of(self.context.number) if known is not None else []
@@ -66,7 +67,7 @@
         job_state = self.shard.job_states.get(ref)
         if job_state is not None and ref not in self._handing_over:
             job_state.assign(assignment.ranges_of(self.context.number))
-            self.shard.dirty = True
+            self.shard.request_plan()
             self.context.wake.set()
 
     async def _hand_over(self, job_state: JobState, target: int) -> None:
@@ -107,19 +108,19 @@
             for key in machine.orphaned_attempts
         )
 
-    def _split(
-        self, assignment: TaskAssignment, tail: tuple[int, int], target: int
-    ) -> TaskAssignment:
+    def _split(self, assignment: TaskAssignment, tail: TaskRange, target: int) -> TaskAssignment:
         """The assignment once the tasks of `tail` are another shard's."""
         low, high = tail
-        parts: list[tuple[int, int, int]] = []
-        for first, end, shard in assignment.parts:
-            if shard == self.context.number and first <= low < end:
-                parts += [(first, low, shard)] if first < low else []
-                parts += [(low, high, target)]
-                parts += [(high, end, shard)] if high < end else []
-            else:
-                parts.append((first, end, shard))
+        parts: list[AssignedRange] = []
+        for part in assignment.parts:
+            if part.shard != self.context.number or not part.first <= low < part.end:
+                parts.append(part)
+                continue
+            if part.first < low:
+                parts.append(AssignedRange(part.first, low, part.shard))
+            parts.append(AssignedRange(low, high, target))
+            if high < part.end:
+                parts.append(AssignedRange(high, part.end, part.shard))
         return TaskAssignment(parts)
 
     async def _record(
--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -16,10 +16,13 @@
 The names of keys and fields are stored, and outlive any rename in the code (see `rename`).
 """
 
+from typing import NamedTuple
+
 import msgspec
 from msgspec import UNSET, Struct, UnsetType
 
 from basaltlead.core.jobs import RANKS, US, Job, MachineType, Shape
+from basaltlead.core.task_queue import TaskRange
 from basaltlead.wire.cloud import MachineTypeInfo
 from basaltlead.wire.users import Submission
 
@@ -61,14 +64,22 @@
         return found
 
 
+class AssignedRange(NamedTuple):
+    """Consecutive tasks of a job that one shard starts; stored as an array of three numbers."""
+
+    first: int
+    end: int  # not part of it
+    shard: int
+
+
 class TaskAssignment(Struct):
-    """Which shard starts which tasks of a job; each part is (first, end, shard)."""
+    """Which shard starts which tasks of a job."""
 
-    parts: list[tuple[int, int, int]]
+    parts: list[AssignedRange]
 
-    def ranges_of(self, shard: int) -> list[tuple[int, int]]:
+    def ranges_of(self, shard: int) -> list[TaskRange]:
         """The tasks of a shard, as (first, end)."""
-        return [(first, end) for first, end, part_shard in self.parts if part_shard == shard]
+        return [(part.first, part.end) for part in self.parts if part.shard == shard]
 
 
 class Final(Struct):
