--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -41,8 +41,8 @@
         duty_keys: Sequence[str],
         on_change: Callable[[], None],
     ) -> None:
-        """`duty_keys` are the keys of the duties that are granted beside the shards; `on_change` is
-        called whenever what is granted to this process may have changed."""
+        """`duty_keys` are the keys of the duties that are granted in addition to the shards;
+        `on_change` is called whenever what is granted to this process may have changed."""
         self.name = settings.member
         self.names = sorted({self.name, *(peer.member for peer in settings.known)})
         self.store = store
--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -46,7 +46,7 @@
 
 
 def services_allowed(cluster: ClusterView) -> bool:
-    """Whether services may be accepted, as far as known: not beside a member that can't read
+    """Whether services may be accepted, as far as known: not alongside a member that can't read
     them."""
     return _all_members_know(cluster, SERVICES)
 
--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -141,8 +141,8 @@
 
 
 def _startable(machine: Machine) -> list[Attempt]:
-    """Attempts whose start may go out now: there is room beside all that may be on the machine,
-    the highest rank first."""
+    """Attempts whose start may go out now: there is room in addition to all that may be
+    on the machine, the highest rank first."""
     waiting = [
         attempt
         for attempt in machine.attempts.values()
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -122,7 +122,7 @@
         self.images: dict[str, float] = {}  # sizes in GB; the most recently used last
         self.idle_since = now
         self.needed = True  # the fleet needs it: one it does not need is left to empty
-        self.free = Resources.of(machine_type)  # beside the attempts that stay; see book
+        self.free = Resources.of(machine_type)  # what the attempts that stay leave; see book
         self.booked = 0.0  # the sum of the bids of those
 
         self.usage = MachineUsage()
@@ -214,7 +214,7 @@
                 self.book(attempt)
 
     def room(self) -> Resources:
-        """What is free beside all attempts that may be there, also those that are to stop."""
+        """What all attempts that may be there leave free, also those that are to stop."""
         room = Resources.of(self.machine_type)
         for attempt in self.attempts.values():
             if attempt.may_be_on_machine:
--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -83,7 +83,8 @@
 
 
 class Packing:
-    """One pass over what is wanted: the machines there are, as bins, and what is rented beside."""
+    """One pass over what is wanted: the machines there are, as bins, and what is rented in
+    addition."""
 
     def __init__(
         self, machines: Iterable[Machine], rental_choice: RentalChoice, least_cpus: float
--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -15,7 +15,7 @@
 MAX_STOPPED = 4  # tasks of one job that are taken off slow machines
 SLOW_JOBS_OF_FAULTY = 2  # a machine on which tasks of so many jobs were slow is drained
 # For how long a job keeps off a machine that was slow for it. It may be the only one that fits,
-# and no job is to wait for 90 s beside room for it.
+# and no job is to wait for 90 s while there is room for it.
 KEEP_OFF_US = 60 * US
 
 
--- a/basaltlead/core/team_limits.py
+++ b/basaltlead/core/team_limits.py
@@ -11,8 +11,8 @@
 
 
 def fits_guarantee(shard: Shard, job_state: JobState) -> bool:
-    """Whether the job fits into its team's guarantee beside what the team uses. An array does once
-    another one of its tasks does, a gang or a service only as a whole."""
+    """Whether the job fits into its team's guarantee on top of what the team uses. An array does
+    once another one of its tasks does, a gang or a service only as a whole."""
     job = job_state.job
     team = shard.teams.get(job.team, NO_QUOTA)
     if not team.cpus and not team.gpus:
@@ -45,7 +45,7 @@
         return self._shard.has_unaccounted_tasks
 
     def allow(self, job: Job, count: int = 1) -> bool:
-        """Whether the team may have so many more tasks of the job, beside all that may run.
+        """Whether the team may have so many more tasks of the job, on top of all that may run.
 
         Never for a team with a limit while tasks may run that are not counted: one of them could
         be what exceeds it.
--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -22,7 +22,7 @@
 
 PAGES = 64  # in the ring of each duty
 MOST_NAMES = 8  # machines that an event lists; the others are only counted
-PAGE_ENVELOPE_BYTES = 64  # what is reserved in a page beside its encoded events
+PAGE_ENVELOPE_BYTES = 64  # what is reserved in a page in addition to its encoded events
 MOST_ATTEMPTS = 3  # at a transaction that fails only because the page has changed
 
 
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -102,8 +102,8 @@
         unchanged = Precondition(key, found.version)
         stored = found.stored
         records = [MACHINE + name for name in stored.names]
-        # The last batch is dropped together with the return, beside the page of history.
-        *batches, last = list(self.store.limits.drops(records, beside=2)) or [[]]
+        # The last batch is dropped together with the return, in addition to the page of history.
+        *batches, last = list(self.store.limits.drops(records, extra_operations=2)) or [[]]
         try:
             for batch in batches:
                 await self.store.compare_and_swap(
--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -25,7 +25,7 @@
 SHORTEST_RETRY_US = 200_000
 LONGEST_RETRY_US = 2_000_000
 PAGE_PREFIX = TYPES + "/"
-PAGE_ENVELOPE_BYTES = 64  # of a page, beside its types
+PAGE_ENVELOPE_BYTES = 64  # of a page, in addition to its types
 
 
 class TypesPage(msgspec.Struct, rename={"types": "Grades"}):
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -28,8 +28,8 @@
 PAUSE_S = 0.3  # between two checks for terminating machines
 SHORTEST_RETRY_US = 500_000
 LONGEST_RETRY_US = 4_000_000
-OTHER_PRECONDITIONS = 4  # of a scale-in record's transaction, beside one for each machine
-RECORD_BYTES = 512  # of a scale-in record, beside the names of its machines
+OTHER_PRECONDITIONS = 4  # of a scale-in record's transaction, in addition to one for each machine
+RECORD_BYTES = 512  # of a scale-in record, in addition to the names of its machines
 NAME_BYTES = 32  # of each machine's name in the record
 DROP_ATTEMPTS = 5  # to drop the records of deleted machines
 DROP_RETRY_S = 0.5
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -18,7 +18,7 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 MAX_MACHINES_PER_REQUEST = 50  # the cloud rents that many at once
-RECORD_BYTES = 256  # of a request's record, beside the names of its machines
+RECORD_BYTES = 256  # of a request's record, in addition to the names of its machines
 NAME_BYTES = 32  # of each machine's name in the record
 
 
--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -45,8 +45,8 @@
         """
         store, intents = self.context.store, self.context.intents
         requested_at = now_us()
-        # Scale-ins beside the jobs, so that they cost a failover no time, and before the machines:
-        # one that is returned meanwhile stands in neither listing or in both.
+        # Scale-ins concurrently with the jobs, so that they cost a failover no time, and before the
+        # machines: one that is returned meanwhile stands in neither listing or in both.
         (jobs, revision), (scale_ins, _) = await asyncio.gather(
             store.rows(OPEN), store.rows(SCALE_IN)
         )
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -65,7 +65,8 @@
             await asyncio.sleep(self.market.terms.round_us / US)
 
     def _store_teams(self) -> None:
-        """Store beside the rounds: behind the records of a growing fleet it may take a while."""
+        """Store concurrently with the rounds: behind the records of a growing fleet it may take a
+        while."""
         if self._storing is not None and not self._storing.done():
             return
         rows = {
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -18,7 +18,8 @@
 FLUSH_INTERVAL_US = 2 * US  # results of unfinished jobs wait so long: their workers keep them
 CONFLICT_PAUSE_S = 0.05
 FAILURE_PAUSE_S = 0.2
-FINAL_OPERATIONS = 2  # changes that move a job from open to over, beside its rows of results
+# Changes that move a job from open to over, in addition to its rows of results.
+FINAL_OPERATIONS = 2
 
 
 async def attempt_write(write: Coroutine[Any, Any, None]) -> None:
--- a/basaltlead/shard/store.py
+++ b/basaltlead/shard/store.py
@@ -5,7 +5,7 @@
 
 from basaltlead.errors import PreconditionFailed
 from basaltlead.shard.lease import ShardLease
-from basaltlead.storage.client import KeyValueStore
+from basaltlead.storage.client import KeyValueStore, RowList
 from basaltlead.storage.limits import StoreLimits
 from basaltlead.wire.store import Drop, Precondition, Put, Row
 
@@ -26,7 +26,7 @@
         """One row, or None if the key does not exist."""
         return await self.client.get(key)
 
-    async def rows(self, prefix: str) -> tuple[list[Row], int]:
+    async def rows(self, prefix: str) -> RowList:
         """All rows under a prefix, and the revision from which to watch them."""
         return await self.client.rows(prefix)
 
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -51,7 +51,7 @@
 SINGLE_WRITER_SHARE = 0.6  # of the writes, what the only shard leader uses
 CALL_US = 1_500_000  # deadlines
 PAGE_US = 2_500_000
-AFTER_HOLD_US = 2_000_000  # of a watch, beside the time that the store may hold it
+AFTER_HOLD_US = 2_000_000  # of a watch, in addition to the time that the store may hold it
 
 STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
 
--- a/basaltlead/storage/limits.py
+++ b/basaltlead/storage/limits.py
@@ -6,7 +6,8 @@
 
 TRANSACTION_BYTES = 64 * 1024
 PRECONDITIONS_PER_OPERATION = 4
-# Of a transaction's bytes, what preconditions, keys and punctuation may take beside the values.
+# Of a transaction's bytes, what preconditions, keys and punctuation may take in addition to the
+# values.
 ENVELOPE_BYTES = 8 * 1024
 
 
@@ -39,18 +40,18 @@
             return f"{total} bytes, {TRANSACTION_BYTES} are allowed"
         return ""
 
-    def drops(self, keys: Iterable[str], beside: int = 0) -> Iterator[list[str]]:
-        """Divide keys that are to be dropped into batches, one transaction each, with so many other
-        changes `beside` them."""
-        return self.batches(dict.fromkeys(keys, 0), beside)
+    def drops(self, keys: Iterable[str], extra_operations: int = 0) -> Iterator[list[str]]:
+        """Divide keys that are to be dropped into batches, one transaction each, with room for
+        `extra_operations` other changes in each."""
+        return self.batches(dict.fromkeys(keys, 0), extra_operations)
 
-    def batches(self, sizes: Mapping[str, int], beside: int = 0) -> Iterator[list[str]]:
-        """Divide rows, given the size of each value, into batches, one transaction each, with so
-        many other changes `beside` them."""
+    def batches(self, sizes: Mapping[str, int], extra_operations: int = 0) -> Iterator[list[str]]:
+        """Divide rows, given the size of each value, into batches, one transaction each, with room
+        for `extra_operations` other changes in each."""
         batch: list[str] = []
         used = 0
         for key, size in sizes.items():
-            full = len(batch) >= self.operations - beside
+            full = len(batch) >= self.operations - extra_operations
             if batch and (full or used + size > TRANSACTION_BYTES - ENVELOPE_BYTES):
                 yield batch
                 batch, used = [], 0
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -21,7 +21,7 @@
 
 STRETCH = 24_576  # tasks whose results share a stretch row: 4 KiB of text
 CHUNK_SHARDS = 1000  # shard numbers from this one on stand for chunk rows
-CHUNK_OVERHEAD = 128  # bytes of a chunk row beside its results
+CHUNK_OVERHEAD = 128  # bytes of a chunk row in addition to its results
 LEAST_CHUNK = 64  # tasks in a chunk row, however small the limit
 
 
