--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -138,7 +138,7 @@
 
 def is_failed_task(line: str) -> bool:
     """Whether a line of a controller's log says that one of its background tasks has failed."""
-    return line.startswith("E ") and line.endswith(" failed")
+    return line.startswith("E ") and line.endswith((" failed", " failed, restarting it"))
 
 
 def acquisitions(deployment: LoopbackDeployment) -> dict[str, int]:
