--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -17,7 +17,7 @@
 
 MAX_JOB_TASKS = 100_000  # of one job
 FINALS_KEPT = 5000
-PENDING, RUNNING, WITHDRAWN = "pending", "running", "withdrawn"
+PENDING, RUNNING, CANCELLED = "pending", "running", "withdrawn"
 
 
 class JobStatus(NamedTuple):
@@ -57,7 +57,7 @@
         """Note a final state. To be called before any user is told: shard leaders must know of
         every cancellation that was confirmed."""
         self._finals[ref] = final
-        if final.stage == WITHDRAWN and self.cancellations.add(ref, now_us()):
+        if final.stage == CANCELLED and self.cancellations.add(ref, now_us()):
             self.on_cancelled(ref)
         while len(self._finals) > FINALS_KEPT:
             del self._finals[next(iter(self._finals))]
@@ -95,5 +95,5 @@
         if final is not None:
             return final
         if ref in self.cancellations:
-            return JobStatus(WITHDRAWN, done)
+            return JobStatus(CANCELLED, done)
         return JobStatus(RUNNING if done or running else PENDING, done, running)
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from basaltlead.api.admission import AdmissionCheck
-from basaltlead.api.job_reader import PENDING, WITHDRAWN, JobReader, JobStatus
+from basaltlead.api.job_reader import CANCELLED, PENDING, JobReader, JobStatus
 from basaltlead.api.responses import RETRY_LATER, RETRY_SOON, job_answer, refusal
 from basaltlead.cluster import versions
 from basaltlead.cluster.membership import Membership
@@ -175,15 +175,15 @@
                 continue
             if not self.membership.holds_valid_lease:
                 return refusal(503, "starting", RETRY_SOON)
-            await self._withdraw(ref, rows)
+            await self._store_cancellation(ref, rows)
         final = self.jobs.known_final(ref)
         return refusal(503, "busy", RETRY_SOON) if final is None else _status_answer(ref, final)
 
-    async def _withdraw(self, ref: str, rows: list[Row]) -> None:
+    async def _store_cancellation(self, ref: str, rows: list[Row]) -> None:
         """Move an open job to over, with as many of its rows as one transaction takes. Does nothing
         if the job has changed meanwhile."""
         done = sum(msgspec.json.decode(row.value, type=Progress).count for row in rows[1:])
-        final = Final(WITHDRAWN, done)
+        final = Final(CANCELLED, done)
         drops = [Drop(row.key) for row in rows]
         if self.settings.operator.shards > 1:
             drops.insert(1, Drop(ASSIGNMENT + ref))
--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -54,7 +54,7 @@
                 if not self.membership.cluster.leader_alive:
                     pause_s = await self._claim_in_turn()
                 elif self.membership.leads:
-                    await self._grant_orphans()
+                    await self._grant_vacant()
             except PreconditionFailed as conflict:
                 log.debug("claim or grant not made: %s changed meanwhile", conflict)
                 await asyncio.sleep(self.membership.chance.uniform(*CONFLICT_PAUSE_S))
@@ -103,7 +103,7 @@
         log.info("leading as %s/%s", self.membership.name, self.membership.incarnation)
         self.membership.wake.set()
 
-    async def _grant_orphans(self) -> None:
+    async def _grant_vacant(self) -> None:
         """Grant the shards that no living controller holds, then such duties."""
         keys = list(self.membership.shard_keys)
         if self.membership.duties_granted:
@@ -142,7 +142,7 @@
         self.membership.watch.note_fencing_token(Counter(grant.fencing_token), version)
         cluster.note_grant(key, grant, version)
         log.info(
-            "%s leased to %s with fencing token %d",
+            "%s granted to %s with fencing token %d",
             grant_label(key),
             grant.name,
             grant.fencing_token,
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -157,5 +157,5 @@
             log.info("%s not released: %s", grant_label(key), fault)
             return False
         self.cluster.note_grant(key, free, version)
-        log.info("%s handed back", grant_label(key))
+        log.info("%s released", grant_label(key))
         return True
--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -135,7 +135,7 @@
     reserve_price: Positive = 0.01
     threshold: Annotated[float, Meta(ge=0, le=1)] = 0.05
     idle_share: Annotated[float, Meta(ge=0, le=100)] = 0.6
-    shards: Annotated[int, Meta(ge=1, le=16)] = 1
+    shards: Annotated[int, Meta(ge=1, le=16)] = 1  # `blocks` in the file
     right_s: Annotated[float, Meta(ge=1, le=600)] | None = None
     duties: bool = False
     quiet: Quiet | None = None
--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -8,7 +8,7 @@
 from basaltlead.core.task_states import PLANNED, RUNNING, SENT
 from basaltlead.core.teams import TeamUsage
 
-TOKEN_BITS = 24  # attempts a shard leader can start under one fencing token: 16 million
+ATTEMPT_COUNTER_BITS = 24  # attempts a shard leader can start under one fencing token: 16 million
 
 
 class AttemptTable:
@@ -24,7 +24,7 @@
     def next_attempt_number(self) -> int:
         """The number of a new attempt, unique without a write: fencing tokens are."""
         self._started += 1
-        return (self._fencing_token << TOKEN_BITS) | self._started
+        return (self._fencing_token << ATTEMPT_COUNTER_BITS) | self._started
 
     def used(self, team: str) -> TeamUsage:
         """What a team's tasks take, those counted that only may be there."""
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -106,7 +106,7 @@
         self.draining = False  # taken to be faulty or slow
         self.terminating = False  # to be returned to the cloud
         self.preemption_at: int | None = None  # when the cloud takes it back
-        self.cordoned_until = 0
+        self.cordoned_until = 0  # nothing is started on it until then
         self.unreachable_since = 0  # since when our commands may not reach it; 0: no doubt
 
         # When it was heard, and answered.
--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -8,12 +8,13 @@
 from basaltlead.core.signals import Log
 from basaltlead.core.task_states import ExitReason
 
-TRIALS_OF_ITS_OWN = 2  # after so many a job that only fails is itself at fault
+# A job that failed in so many trials, and never succeeded, is itself considered faulty.
+TRIALS_UNTIL_JOB_IS_BLAMED = 2
 TRIALS_BEFORE_PAUSE = 3  # after so many a job that only fails waits between two trials
 MAX_PAUSE_S = 60
-MAX_LOOKUP_PAUSE_S = 30  # between two trials of a job that workers do not find
+MAX_LOOKUP_PAUSE_S = 30  # between two trials of a job that workers can't fetch
 CORDON_US = 4 * US  # for each job that failed on a machine
-# A machine that refused a task is passed over until its next heartbeats show what is on it.
+# A machine that refused a task is cordoned for long enough to show in heartbeats what is on it.
 FULL_CORDON_US = 2 * US
 IN_USE_CORDON_US = 1 * US
 PROVEN_JOBS_OF_FAULTY = 2  # a machine is faulty if so many jobs failed there that ran elsewhere,
@@ -78,7 +79,7 @@
         history = job_state.history
         history.record_trial(machine.name, now)
         history.record_failure()
-        if history.trials < TRIALS_OF_ITS_OWN or job_state.done_count:
+        if history.trials < TRIALS_UNTIL_JOB_IS_BLAMED or job_state.done_count:
             self._blame_machine(machine, job_state, now)
             return
         self.clear(job_state)
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -5,7 +5,7 @@
 from basaltlead.core.jobs import US
 from basaltlead.core.signals import Log, ShardSignals
 
-# Names of machines that are gone, or hired, are kept for as long as lists and late reports may
+# Names of machines that are returned, or rented, are kept for as long as lists and late reports may
 # show them. Three fleets of 6,000: some 2 MB.
 NAMES_KEPT = 18_000
 
--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -13,7 +13,7 @@
 
 
 class Terms(Struct, frozen=True):
-    """What operators may set."""
+    """The parameters of the market."""
 
     round_us: int
     refill_us: int  # how long refilling an empty budget takes
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -6,7 +6,7 @@
 from basaltlead.core import placement
 from basaltlead.core.candidate_machines import CandidateMachines
 from basaltlead.core.entities import Attempt, JobState, Machine
-from basaltlead.core.failures import TRIALS_OF_ITS_OWN
+from basaltlead.core.failures import TRIALS_UNTIL_JOB_IS_BLAMED
 from basaltlead.core.jobs import RANKS, Job
 from basaltlead.core.shard import Shard
 from basaltlead.core.task_states import BEFORE_FIRST_RUN
@@ -103,7 +103,7 @@
         guaranteed = fits_guarantee(self._shard, job_state)
         ordinary = not job.gang and job.rank < HIGH_RANK and not guaranteed
         # A service that only fails would stop others' work with each of its attempts.
-        if job.service and (ordinary or job_state.history.trials >= TRIALS_OF_ITS_OWN):
+        if job.service and (ordinary or job_state.history.trials >= TRIALS_UNTIL_JOB_IS_BLAMED):
             return lambda _: False
 
         def may_stop(other: JobState) -> bool:
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -20,12 +20,12 @@
 
 
 class Receipt(Enum):
-    """What a heartbeat is worth."""
+    """What a heartbeat proves, and so how it is answered."""
 
-    REFUSED = auto()  # it must not be answered: the answer would renew a lease
-    OUTDATED = auto()  # a late copy, for whose answer nobody waits any more
-    UNPROVEN = auto()  # it may be a copy, or the machine may not hear us
-    ACCEPTED = auto()
+    REFUSED = auto()  # not with 200: that would renew the worker's lease
+    OUTDATED = auto()  # 200 without commands: a late copy, nobody waits for its answer any more
+    UNPROVEN = auto()  # 200 with halts only: a copy, or from a machine that does not hear us
+    ACCEPTED = auto()  # 200 with commands
 
 
 REFUSED, OUTDATED, UNPROVEN, ACCEPTED = Receipt  # by name: see task_states on the cost of members
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -42,7 +42,7 @@
     ) -> None:
         self.fencing_token = fencing_token
         self.version = version  # of the grant: jobs accepted later were never started by others
-        self.took_at = now
+        self.acquired_at = now
         self.timing = timing
         self.teams = teams
         self._signals = ShardSignals()
@@ -226,7 +226,7 @@
             if m.answered_at < silent_before or m.preemption_at is not None or m.draining
         ]
         for machine in due:
-            since = max(machine.answered_at, self.took_at)
+            since = max(machine.answered_at, self.acquired_at)
             if machine.lost or now - since <= self.timing.lease_expiry_us:
                 self._drainer.drain(machine, now)
             elif machine.up or machine.name in self.unsynced:
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -59,7 +59,7 @@
         if commands is None:
             return None
         machine = self.shard.machines[heartbeat.machine]
-        if machine.heard_at == now:  # else it was a late copy
+        if machine.heard_at == now:  # else it was outdated or unproven
             shows_token = heartbeat.fencing_token == self.lease.fencing_token
             self._after_heartbeat(machine, shows_token, now)
         if self.shard.dirty:
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -19,7 +19,7 @@
 from basaltlead.shard.heartbeats import HeartbeatHandler
 from basaltlead.shard.lease import ShardLease
 from basaltlead.shard.loader import ShardLoader
-from basaltlead.shard.open_jobs import OpenJobs
+from basaltlead.shard.open_jobs_watch import OpenJobsWatch
 from basaltlead.shard.planning_loop import MarketRounds, PlanningLoop
 from basaltlead.shard.rebalancer import Rebalancer
 from basaltlead.shard.results import ResultWriter
@@ -33,7 +33,7 @@
 class ShardLeader:
     """Lives from the grant of a shard until it is lost; a new grant means a new ShardLeader."""
 
-    open_jobs_class = OpenJobs
+    open_jobs_watch_class = OpenJobsWatch
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self.heartbeats = HeartbeatHandler(context, self.dispatcher)
         self.results = ResultWriter(context)
         self.rebalancer = Rebalancer(context, market.terms.round_us)
-        self.open_jobs = self.open_jobs_class(
+        self.open_jobs = self.open_jobs_watch_class(
             context, market, self.results, self.rebalancer, is_cancelled
         )
         self.loader = ShardLoader(context, self.open_jobs, self.rebalancer, market)
@@ -129,7 +129,7 @@
             )
             return known > 1 and now - self.dispatcher.heard_at > patience
         first_patience = FIRST_HEARTBEAT_PATIENCE_US + heartbeat_interval_us
-        return len(self.shard.unsynced) > 1 and now - self.shard.took_at > first_patience
+        return len(self.shard.unsynced) > 1 and now - self.shard.acquired_at > first_patience
 
 
 def new_shard(settings: Settings, lease: ShardLease) -> Shard:
--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -10,7 +10,7 @@
 from basaltlead.runtime.clock import age_us, now_us
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
-from basaltlead.shard.open_jobs import OpenJobs
+from basaltlead.shard.open_jobs_watch import OpenJobsWatch
 from basaltlead.shard.rebalancer import Rebalancer
 from basaltlead.storage.records import (
     ASSIGNMENT,
@@ -30,7 +30,11 @@
     """Reads the records of a shard once, in an order that misses nothing."""
 
     def __init__(
-        self, context: ShardContext, open_jobs: OpenJobs, rebalancer: Rebalancer, market: Market
+        self,
+        context: ShardContext,
+        open_jobs: OpenJobsWatch,
+        rebalancer: Rebalancer,
+        market: Market,
     ) -> None:
         self.context = context
         self.open_jobs = open_jobs
@@ -88,7 +92,7 @@
             machine = Machine(name, machine_type, stored.zone, stored.spot, now)
             machine.address = stored.address
             machine.made_at = now - age_us(stored.at)
-            machine.answered_at = answered_at.get(name, shard.took_at)
+            machine.answered_at = answered_at.get(name, shard.acquired_at)
             machine.terminating = name in returning
             self.context.store.versions[row.key] = row.version
             shard.load_machine(machine)
--- a/basaltlead/shard/open_jobs.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -17,7 +17,7 @@
 from basaltlead.wire.store import Change, Row
 
 
-class OpenJobs:
+class OpenJobsWatch:
     """Follows the rows under `open/`: jobs, and results that any shard has recorded."""
 
     def __init__(
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -90,7 +90,7 @@
         open_jobs = [job for job in shard.job_states.values() if not job.closed]
         log.info(
             "market round: %d jobs, %.0f of %.0f CPUs in use, %.0f CPUs waiting, "
-            "%d machines ready, %d surplus",
+            "%d machines in sync, %d surplus",
             len(open_jobs),
             sum(used.cpus for used in shard.team_used.values()),
             sum(machine.machine_type.cpus for machine in machines),
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -10,12 +10,12 @@
 from basaltlead.config.settings import Settings
 from basaltlead.controller import Controller
 from basaltlead.shard.leader import ShardLeader
-from basaltlead.shard.open_jobs import OpenJobs
+from basaltlead.shard.open_jobs_watch import OpenJobsWatch
 from basaltlead.storage.result_rows import CHUNK_SHARDS, ResultLayout, split_open
 from tests.fakes import old_schemas
 
 
-class OldOpenJobs(OpenJobs):
+class OldOpenJobsWatch(OpenJobsWatch):
     """Takes a service for an array, and of a chunk row sees an empty list."""
 
     def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
@@ -32,7 +32,7 @@
 class OldShardLeader(ShardLeader):
     """Reads open jobs as the old version did."""
 
-    open_jobs_class = OldOpenJobs
+    open_jobs_watch_class = OldOpenJobsWatch
 
 
 class OldController(Controller):
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -464,7 +464,7 @@
         plan(story.shard, story.now)
         if job_state.live:
             break
-    waited = story.now - story.shard.took_at
+    waited = story.now - story.shard.acquired_at
 
     assert TIMING.lease_expiry_us < waited <= TIMING.lease_us + TIMING.lease_expiry_us + 2 * US
     assert job_state.live[0].machine.name == "m-0"
