--- a/basaltlead/cluster/cluster_watch.py
+++ b/basaltlead/cluster/cluster_watch.py
@@ -9,7 +9,6 @@
     PREFIX,
     Claim,
     ClusterView,
-    Counter,
 )
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
@@ -48,10 +47,6 @@
         """Take in a leader record that this process has written itself."""
         self.view.note_leader(claim, version)
 
-    def note_fencing_token(self, counter: Counter, version: int) -> None:
-        """Take in a count of fencing tokens that this process has written itself."""
-        self.view.note_fencing_token(counter, version)
-
     def _after_read(self, _sent_at: int, has_changes: bool) -> None:
         self.session.note_contact()
         if has_changes:
--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -139,7 +139,8 @@
         version = await self.membership.store.compare_and_swap(
             preconditions, [Put(FENCING_TOKEN, Counter(grant.fencing_token)), Put(key, grant)]
         )
-        self.membership.watch.note_fencing_token(Counter(grant.fencing_token), version)
+        # Into the view that the grant was decided on: a newer one may know a newer token.
+        cluster.note_fencing_token(Counter(grant.fencing_token), version)
         cluster.note_grant(key, grant, version)
         log.info(
             "%s granted to %s with fencing token %d",
--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -30,18 +30,18 @@
 class MachineGroup:
     """Machines that are alike for every job: of one type, in one zone, spot or not."""
 
-    __slots__ = ("machine_type", "machines", "spot", "with_room", "zone")
+    __slots__ = ("machines", "spot", "with_room", "zone")
 
     def __init__(self, first: Machine) -> None:
-        self.machine_type = first.machine_type
         self.zone = first.zone
         self.spot = first.spot
         self.machines: list[Machine] = []
         self.with_room: list[Machine] = []  # those of them on which any waiting task may fit
 
-    def suits(self, job: Job) -> bool:
-        """Whether a task of the job may be on such a machine, and fits on one that is empty."""
-        machine_type = self.machine_type
+    def suits(self, job: Job, example: Machine) -> bool:
+        """Whether a task of the job may be on such a machine, and fits on one that is empty. The
+        `example` stands for the others: the cloud may describe a type anew under its old name."""
+        machine_type = example.machine_type
         return allowed(job, machine_type.name, self.zone, self.spot) and bool(
             machine_type.holds(job)
         )
@@ -80,7 +80,7 @@
         """The machines that the job may use, whether or not they have room."""
         suited: list[Machine] = []
         for group in self._groups:
-            if group.suits(job_state.job):
+            if group.suits(job_state.job, group.machines[0]):
                 suited += group.machines
         return self._open_to(job_state, suited)
 
@@ -89,7 +89,7 @@
         when the plan began."""
         suited: list[Machine] = []
         for group in self._groups:
-            if group.with_room and group.suits(job_state.job):
+            if group.with_room and group.suits(job_state.job, group.with_room[0]):
                 suited += group.with_room
         return self._open_to(job_state, suited)
 
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from basaltlead.clients.workers import CommandAnswer
 from basaltlead.config.settings import Settings
 from basaltlead.core.commands import TaskCommand
 from basaltlead.core.entities import Attempt, Machine
@@ -91,7 +92,11 @@
     ) -> None:
         executed: bool | None = None  # None: nobody knows
         try:
-            executed = await self._send(machine, commands, starts)
+            executed, heartbeat = await self._send(machine, commands)
+            if self.lease.stepped_down or heartbeat.machine != machine.name:
+                executed = None
+            else:
+                self.shard.answer(heartbeat, now_us(), starts if executed else ())
         except RequestFailed as fault:
             log.debug("pushing commands to %s: %s", machine.name, fault)
             executed = None if fault.sent else False
@@ -104,19 +109,11 @@
                 self.shard.mark_unreachable(machine, now_us())
             self.context.wake.set()
 
-    async def _send(
-        self, machine: Machine, commands: list[TaskCommand], starts: list[Attempt]
-    ) -> bool | None:
-        """Send commands and take in the answer; whether they were executed, None if unknown."""
+    async def _send(self, machine: Machine, commands: list[TaskCommand]) -> CommandAnswer:
+        """Send commands; whether they were executed, and the machine's report after them."""
         worker_commands = [to_worker_command(command) for command in commands]
         request = DirectCommand(self.lease.fencing_token, machine.epoch, worker_commands)
-        executed, heartbeat = await self.workers.command(
-            machine.address, request, self._holds_valid_lease
-        )
-        if self.lease.stepped_down or heartbeat.machine != machine.name:
-            return None
-        self.shard.answer(heartbeat, now_us(), starts if executed else ())
-        return executed
+        return await self.workers.command(machine.address, request, self._holds_valid_lease)
 
     def record(self, machine: Machine) -> None:
         """Record a machine that has shown our fencing token.
--- a/basaltlead/shard/lease.py
+++ b/basaltlead/shard/lease.py
@@ -59,6 +59,10 @@
         self.end()
         self.membership.wake.set()
 
+    def cancellations_listed(self, requested_at: int) -> None:
+        """Note the first list of the open jobs: all cancellations confirmed before are known."""
+        self.cancellations_as_of = requested_at
+
     def cancellations_read(self, requested_at: int) -> None:
         """Note that all cancellations confirmed before `requested_at` are known."""
         self.cancellations_as_of = max(self.cancellations_as_of or requested_at, requested_at)
--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -43,7 +43,7 @@
         """Take in the first listing, which was requested at that time."""
         for row in rows:
             self.take_row(row.key, row.value, row.version, now_us())
-        self.context.lease.cancellations_read(requested_at)
+        self.context.lease.cancellations_listed(requested_at)
 
     def finish_loading(self) -> None:
         """From now on our own results are not taken in again, and no more rows are orphaned."""
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -88,6 +88,7 @@
         self._handing_over.add(ref)
         job_state.assign(changed.ranges_of(self.context.number))
         preconditions = [
+            *self.context.lease.preconditions(),  # once: a retry after a new session must fail
             Precondition(OPEN + ref, job_state.version),
             Precondition(ASSIGNMENT + ref, known.version),
         ]
@@ -128,10 +129,10 @@
     ) -> None:
         """Write the new assignment until it is certain whether it stands."""
         backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
-        key = ASSIGNMENT + ref
+        store, key = self.context.store.client, ASSIGNMENT + ref
         while not self.context.lease.stepped_down:
             try:
-                version = await self.context.store.commit([Put(key, changed)], preconditions)
+                version = await store.compare_and_swap(preconditions, [Put(key, changed)])
             except PreconditionFailed as conflict:
                 if key in conflict.failed or OPEN + ref in conflict.failed:
                     return  # the record is another one: the watch shows it
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -140,12 +140,13 @@
         read page by page may show rows of a job that is."""
         if self.context.membership.duties_granted:
             return  # the holder of the clean-up duty does it
-        not_open = [Precondition(OPEN + ref, 0)]
+        preconditions = [*self.context.lease.preconditions(), Precondition(OPEN + ref, 0)]
         for batch in self.context.store.limits.drops(keys):
-            await attempt_write(self._drop(batch, not_open))
+            await attempt_write(self._drop(batch, preconditions))
 
     async def _drop(self, keys: list[str], preconditions: list[Precondition]) -> None:
-        await self.context.store.commit(list(map(Drop, keys)), preconditions, low_priority=True)
+        drops = list(map(Drop, keys))
+        await self.context.store.client.compare_and_swap(preconditions, drops, low_priority=True)
 
     async def sweep_orphaned_rows(self, keys: list[str]) -> None:
         """Drop the rows that an earlier shard leader left behind when their jobs ended."""
--- a/basaltlead/storage/limits.py
+++ b/basaltlead/storage/limits.py
@@ -32,7 +32,8 @@
         if operations > self.operations:
             return f"{operations} operations, {self.operations} are allowed"
         if preconditions > self.preconditions:
-            return f"{preconditions} preconditions, {self.preconditions} are allowed"
+            # Users may read this text in an answer, so it keeps its wording.
+            return f"{preconditions} guards, {self.preconditions} are allowed"
         largest = max(value_sizes, default=0)
         if largest > self.value_bytes:
             return f"a value of {largest} bytes, {self.value_bytes} are allowed"
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -41,7 +41,7 @@
 
 def test_each_limit_is_exact_to_the_byte_and_to_the_operation() -> None:
     assert _excess(12, [200, 200, 200], TRANSACTION_BYTES) == ""
-    assert "preconditions" in _excess(13, [1], 100)
+    assert "guards" in _excess(13, [1], 100)
     assert "operations" in _excess(1, [1, 1, 1, 1], 100)
     assert "201 bytes" in _excess(1, [200, 201], 500)
     assert f"{TRANSACTION_BYTES + 1} bytes" in _excess(1, [1], TRANSACTION_BYTES + 1)
