--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -151,6 +151,15 @@
     assert {name: fault for name, fault in faults.items() if fault} == {}
 
 
+def test_terms_of_the_glossary_are_used_in_the_code() -> None:
+    terms = (ROOT / "docs" / "glossary.md").read_text().partition("\n## ")[0]
+    rows = re.findall(r"^\| ([^|]+) \| ([^|]*) \|", terms, re.MULTILINE)
+    names = {name for _, code in rows for name in re.findall(r"`([\w.]+)`", code)}
+
+    assert len(names) > 50
+    assert [name for name in names if not re.search(rf"\b{name}\b", CODE.text)] == []
+
+
 @pytest.mark.parametrize(
     ("name", "fault"),
     [
