--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -4,9 +4,11 @@
 """
 
 import argparse
+import gc
 import sys
 
 from basaltlead import __version__
+from basaltlead.operators import arguments
 
 SERVE = "serve"
 BAD_SETTINGS = 2  # the exit status, which is also that of a wrong command line
@@ -14,15 +16,13 @@
 
 def parser() -> argparse.ArgumentParser:
     """The parser of the command line: `serve` and the operators' commands."""
-    from basaltlead.operators import commands
-
     top = argparse.ArgumentParser(prog="basaltlead", description="A cluster scheduler.")
     top.add_argument("--version", action="version", version=f"basaltlead {__version__}")
     verbs = top.add_subparsers(dest="verb", required=True, metavar="VERB")
     serve = verbs.add_parser(SERVE, help="run one controller until it is killed")
     serve.add_argument("--operator", metavar="FILE", help="the operators' own settings (YAML)")
     serve.add_argument("--config", metavar="FILE", required=True, help="the platform's TOML file")
-    commands.add_to(verbs)
+    arguments.add_to(verbs)
     return top
 
 
@@ -46,8 +46,11 @@
     except SettingsError as fault:
         print(f"basaltlead: {fault}", file=sys.stderr)
         return BAD_SETTINGS
+    # What imports allocate stays: passes of the garbage collector would only prolong the start.
+    gc.disable()
     from basaltlead import controller
     from basaltlead.runtime import logs
 
+    gc.enable()
     logs.set_up()
     return controller.serve(settings)
--- a/basaltlead/core/bidding.py
+++ b/basaltlead/core/bidding.py
@@ -1,13 +1,12 @@
 """Budgets and the vertical bid rule of the paper (Scale-One-VM), with its clamps."""
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 DOUBLING_STEP = 3  # the paper's `limit`: from this step in one direction on, bids are doubled
 DOUBLING_GAP = 2  # or halved, and so they are from this relative gap on
 
 
-@dataclass
-class Budget:
+class Budget(Struct):
     """A team's credits: refilled at a constant rate, never above the full amount."""
 
     full: float
@@ -27,8 +26,7 @@
         return self.left / max(1.0, span_us / round_us)
 
 
-@dataclass
-class BidDirection:
+class BidDirection(Struct):
     """Which way a bid has been moving, and for how many rounds."""
 
     direction: int = 0
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -3,7 +3,7 @@
 import argparse
 import sys
 from datetime import UTC, datetime
-from enum import IntEnum, StrEnum
+from enum import IntEnum
 
 import msgspec
 
@@ -11,17 +11,11 @@
 from basaltlead.core.jobs import US
 from basaltlead.errors import SettingsError
 from basaltlead.operators import client
+from basaltlead.operators.arguments import Verb
 from basaltlead.runtime.clock import wall_us
 from basaltlead.wire.peers import DutiesAnswer, OpenIntent
 
 
-class Verb(StrEnum):
-    """The first argument of the command line."""
-
-    DUTIES = "duties"
-    AUDIT = "audit"
-
-
 class ExitStatus(IntEnum):
     """Exit statuses of the commands (docs/operations.md)."""
 
@@ -33,25 +27,6 @@
     NOT_WRITTEN = 6
 
 
-# argparse has no public name for the type of what `add_subparsers` returns.
-def add_to(verbs: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """Add the commands to the command line."""
-    duties = verbs.add_parser(Verb.DUTIES.value, help="who holds which duty, and what is open")
-    _add_common(duties)
-    duties.add_argument("--json", action="store_true", help="as JSON")
-    audit = verbs.add_parser(Verb.AUDIT.value, help="the recorded history of duties")
-    export = audit.add_subparsers(dest="part", required=True).add_parser(
-        "export", help="write the history as a Parquet file"
-    )
-    _add_common(export)
-    export.add_argument("--out", metavar="FILE", required=True, help="the file to write")
-
-
-def _add_common(command: argparse.ArgumentParser) -> None:
-    command.add_argument("--config", metavar="FILE", required=True, help="a controller's TOML file")
-    command.add_argument("--controller", metavar="NAME", help="ask this one instead")
-
-
 def run(options: argparse.Namespace) -> int:
     """Run the command of parsed arguments; its exit status. Errors are printed, not raised."""
     try:
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -3,7 +3,8 @@
 import asyncio
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from basaltlead.clients.cloud import Cloud
 from basaltlead.core import fleet_sizing
@@ -38,8 +39,7 @@
 USUAL_BOOT_MARGIN_US = 10 * US  # most machines are up after 1.5 boot times and that
 
 
-@dataclass(frozen=True)
-class ScalingEnvironment:
+class ScalingEnvironment(Struct, frozen=True):
     """What all shards of a controller share for scaling.
 
     `shard_of` returns the shard to which a machine belongs, or None if that is unknown.
--- a/basaltlead/shard/context.py
+++ b/basaltlead/shard/context.py
@@ -2,9 +2,10 @@
 
 import asyncio
 from collections.abc import Coroutine
-from dataclasses import dataclass, field
 from typing import Any
 
+from msgspec import Struct, field
+
 from basaltlead.clients.workers import Workers
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
@@ -19,8 +20,7 @@
 UNKNOWN_BOOT_US = 60 * US
 
 
-@dataclass
-class ScalingIntents:
+class ScalingIntents(Struct):
     """Recorded decisions about machines: `scale_outs` by request name, `scale_ins` by key."""
 
     scale_outs: dict[str, StoredScaleOut] = field(default_factory=dict)
@@ -32,8 +32,7 @@
         return {name for scale_in in self.scale_ins.values() for name in scale_in.names}
 
 
-@dataclass(frozen=True)
-class ShardContext:
+class ShardContext(Struct, frozen=True):
     """The lease to check, the store to write to, and the jobs and machines of one shard."""
 
     settings: Settings
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -2,8 +2,8 @@
 requests."""
 
 import asyncio
-import dataclasses
 
+import msgspec
 import pytest
 
 from basaltlead.clients.workers import Workers
@@ -149,7 +149,7 @@
     (live,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
     context = shard_leader.context
     own_connections = Workers(worker_sockets(context.settings))  # from the test's own host
-    context = dataclasses.replace(context, workers=own_connections)
+    context = msgspec.structs.replace(context, workers=own_connections)
     shard_leader.dispatcher = WorkerDispatcher(context)
     for number in range(2 * shard_leader.dispatcher.workers.most):
         silent = Machine(f"m-9{number:05d}", live.machine_type, "b", False, now_us())
