--- a/basaltlead/cluster/failover_deferrals.py
+++ b/basaltlead/cluster/failover_deferrals.py
@@ -53,7 +53,7 @@
         That includes those that an earlier incarnation of this process may have granted: they last
         a session lease at most, so a process waits that long (and a hundredth for the drift of
         clocks) after its start. A holder that was replaced by its own next incarnation has no use
-        for any.
+        for any (test_deferrals_are_kept_and_possibly_forgotten_ones_are_waited_out).
         """
         member = self.watch.view.members.get(held.name)
         if held.name == self.session.name or (
--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -86,7 +86,8 @@
             if now_us() - request.sent_at <= LONGEST_EXCHANGE_US:
                 answers.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
-        # Deferrals prolong a lease; they can't bring back one that another may have by now.
+        # Deferrals prolong a lease; they can't bring back one that another may have by now
+        # (test_deferrals_do_not_revive_an_ended_session_lease).
         if now_us() < self.session.valid_until and deferral.span_us > 0:
             answers.note_deferral(request.sent_at, deferral)
             self._extend_lease()
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -21,7 +21,9 @@
     """Keeps the session lease alive, and knows until when it is provably valid.
 
     `holds_valid_lease` is the one test that everything that depends on the lease must pass at the
-    moment it is done.
+    moment it is done
+    (test_session_validity_ends_before_the_session_lease_on_any_clock,
+    test_queued_command_is_not_sent_after_the_session_lease_has_ended).
     """
 
     def __init__(
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -2,9 +2,7 @@
 
 import asyncio
 import signal
-from collections.abc import Callable, Coroutine
 from functools import partial
-from typing import Any
 
 from basaltlead.api.routing import HeartbeatApi, Router
 from basaltlead.api.users import UserApi
@@ -49,7 +47,6 @@
 # process itself has open.
 RESERVED_SOCKETS = 80 + MIN_WORKER_SOCKETS
 MIN_INCOMING_CONNECTIONS = 50
-RESTART_PAUSE_S = 0.5  # before a loop that failed is started again
 SUPERVISION_INTERVAL_S = 0.3
 
 
@@ -94,7 +91,7 @@
             lambda: bool(self.registry.leaders),
         )
         self.server: Server | None = None
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.background = BackgroundTasks()
 
     def _new_peers(self) -> Peers:
         exchange = CancellationExchange(
@@ -135,37 +132,25 @@
         await self.server.start(self.settings.front)
         await self.peers.serve()
         log.info("%s listens on %s", self.settings.member, self.settings.front)
-        self._spawn(self.membership.session.keep, "session lease")
-        self._spawn(self.membership.watch.follow, "cluster watch")
-        self._spawn(self.election.run, "leader election")
-        self._spawn(self.machine_type_catalog.follow, "machine types")
-        self._spawn(self._supervise, "supervision")
-        self._spawn(self.peers.request_deferrals, "failover deferrals")
+        spawn = self.background.spawn_restarting
+        spawn(self.membership.session.keep, "session lease")
+        spawn(self.membership.watch.follow, "cluster watch")
+        spawn(self.election.run, "leader election")
+        spawn(self.machine_type_catalog.follow, "machine types")
+        spawn(self._supervise, "supervision")
+        spawn(self.peers.request_deferrals, "failover deferrals")
         if self.settings.operator.shards > 1:
-            self._spawn(self.shard_assigner.assign_jobs, "shard assignment")
+            spawn(self.shard_assigner.assign_jobs, "shard assignment")
             for prefix in (OPEN, ASSIGNMENT, MACHINE, SCALE_OUT):
-                self._spawn(partial(self.shard_assigner.follow, prefix), f"follow {prefix}")
+                spawn(partial(self.shard_assigner.follow, prefix), f"follow {prefix}")
         await asyncio.Event().wait()
 
     def every_task(self) -> list[asyncio.Task[None]]:
         """All tasks of this process: tests cancel them to simulate a crash."""
-        groups = [leader.context.tasks for leader in self.registry.leaders.values()]
+        groups = [self.background]
+        groups += [leader.context.tasks for leader in self.registry.leaders.values()]
         groups += [holder.background for holder in self.duties.holders.values()]
-        return [*self.tasks, *(task for group in groups for task in group.running)]
-
-    def _spawn(self, loop: Callable[[], Coroutine[Any, Any, None]], name: str) -> None:
-        """Run a loop that is started again, and logged, should it ever fail."""
-        task = asyncio.get_running_loop().create_task(self._run_forever(loop, name), name=name)
-        self.tasks.add(task)
-
-    @staticmethod
-    async def _run_forever(loop: Callable[[], Coroutine[Any, Any, None]], name: str) -> None:
-        while True:
-            try:
-                await loop()
-            except Exception:  # a controller without one of its loops is of no use
-                log.exception("loop %s failed, restarting it", name)
-            await asyncio.sleep(RESTART_PAUSE_S)
+        return [task for group in groups for task in group.running]
 
     # Grants
 
--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -51,7 +51,8 @@
 
     def stop(self, attempt: Attempt, grace_s: float) -> None:
         """Have it stopped, with so long to save a checkpoint. One that was never sent is gone at
-        once; of any other its task is started elsewhere only after a report shows that it ended."""
+        once; of any other its task is started elsewhere only after a report shows that it ended
+        (test_stopped_task_starts_elsewhere_only_after_it_has_ended)."""
         if attempt.stage == PLANNED and not attempt.start_in_flight:
             self.remove(attempt, attempt.machine.idle_since)
         elif attempt.stop_grace_s is None or grace_s < attempt.stop_grace_s:
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -2,7 +2,7 @@
 
 The list of a machine's tasks is trusted only from reports that show our fencing token: the worker
 then drops every command of an earlier shard leader, so its list is complete but for our own
-commands.
+commands (test_heartbeat_without_our_fencing_token_does_not_sync_the_machine).
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -54,7 +54,9 @@
         A report that does not show our fencing token may be a copy from long ago, or come from a
         machine that our answers don't reach. It is answered, so that a live machine can show it
         next time, but for one lease at most: after that the silence ends the machine's own lease,
-        and nothing waits for it any longer.
+        and nothing waits for it any longer
+        (test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever,
+        test_late_copy_of_an_old_heartbeat_is_ignored).
         """
         messages = machine.messages
         if heartbeat.fencing_token > self._fencing_token or heartbeat.epoch < messages.min_epoch:
@@ -156,7 +158,9 @@
     def _take_unlisted(self, attempt: Attempt, sequence: int, now: int) -> None:
         """A heartbeat does not list an attempt of ours."""
         if attempt.start_in_flight or attempt.start_unacknowledged or not attempt.may_be_on_machine:
-            return  # an unanswered pushed start binds its task to the machine
+            # An unanswered pushed start binds its task to the machine
+            # (test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it).
+            return
         if attempt.sent_sequence and attempt.sent_sequence >= sequence:
             return  # the answer that carried the start command came after this heartbeat
         if attempt.stage == SENT and attempt.stop_grace_s is None:
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -105,7 +105,7 @@
     def blocked(self, job_state: JobState, now: int) -> bool:
         """May none of its tasks be started now? Until every machine that might hold a task
         has shown our fencing token, only jobs that no earlier shard leader can have started are
-        free."""
+        free (test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines)."""
         return (
             job_state.closed
             or now < job_state.retry_at
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -61,7 +61,8 @@
 
     def preconditions(self) -> list[Precondition]:
         """The preconditions of each write of the holder: our member key and the duty's key are
-        unchanged. The store refuses late writes by them, whatever our clock says of the lease."""
+        unchanged. The store refuses late writes by them, whatever our clock says of the lease
+        (test_late_transaction_of_a_replaced_holder_is_refused)."""
         return [self.membership.precondition(), Precondition(self.duty.key, self.version)]
 
     def step_down(self) -> None:
--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -1,4 +1,9 @@
-"""Background tasks of one owner, which are cancelled together."""
+"""Background tasks: the one way to run and supervise what goes on beside requests.
+
+What a task is spawned as decides what its failure means: it is always logged, a loop of a process
+is started again, and a loop of a grant ends the grant, so that a fresh one starts from what is
+stored.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -9,10 +14,18 @@
 LOOP = "loop "  # the names of tasks whose failure is their owner's failure begin with this
 
 
+RESTART_PAUSE_S = 0.5  # before a loop that failed is started again
+
+
+def _ignore_failure() -> None:
+    """For owners whose tasks all start again."""
+
+
 class BackgroundTasks:
-    """The background tasks of a shard leader or the holder of a duty."""
+    """The background tasks of a process, a shard leader or the holder of a duty, which are
+    cancelled together."""
 
-    def __init__(self, failed: Callable[[], None]) -> None:
+    def __init__(self, failed: Callable[[], None] = _ignore_failure) -> None:
         """`failed` is called once a task whose name begins with `LOOP` ends with an exception."""
         self.running: set[asyncio.Task[None]] = set()
         self.failed = failed
@@ -24,6 +37,19 @@
         task.add_done_callback(self._ended)
         return task
 
+    def spawn_restarting(self, loop: Callable[[], Coroutine[Any, Any, None]], name: str) -> None:
+        """Run a loop that is logged, and started again, should it ever fail or return."""
+        self.spawn(self._run_forever(loop, name), name)
+
+    @staticmethod
+    async def _run_forever(loop: Callable[[], Coroutine[Any, Any, None]], name: str) -> None:
+        while True:
+            try:
+                await loop()
+            except Exception:  # a process without one of its loops is of no use
+                log.exception("loop %s failed, restarting it", name)
+            await asyncio.sleep(RESTART_PAUSE_S)
+
     def _ended(self, task: "asyncio.Task[None]") -> None:
         self.running.discard(task)
         if not task.cancelled() and task.exception() is not None:
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -120,7 +120,8 @@
 
         A machine must stand in the key-value store before its first task, so that the next shard
         leader knows where tasks may be. A late heartbeat must not bring back a machine that is
-        gone: hence only one that has shown the token.
+        gone: hence only one that has shown the token
+        (test_no_task_starts_on_a_machine_that_is_not_recorded).
         """
         if machine.name not in self._recording:
             self._recording.add(machine.name)
--- a/basaltlead/shard/lease.py
+++ b/basaltlead/shard/lease.py
@@ -24,14 +24,16 @@
         self.stepped_down = False  # for good: a new grant means a new lease
         # The time up to which all confirmed cancellations are known. None until the open jobs have
         # been listed once: what was cancelled since the previous leader's last read may still run
-        # at its workers, for an unknown time already, so no worker's lease may be renewed before.
+        # at its workers, for an unknown time already, so no worker's lease may be renewed before
+        # (test_shard_leader_that_could_not_load_its_shard_renews_no_worker_lease).
         self.cancellations_as_of: int | None = None
 
     @property
     def holds_valid_lease(self) -> bool:
         """Are the session lease, the grant and the view of the cancellations provably valid now?
 
-        The bound on the age of the cancellation view is derived at `Settings.staleness_us`.
+        The bound on the age of the cancellation view is derived at `Settings.staleness_us`
+        (test_shard_leader_stops_when_cancellations_can_not_be_confirmed_any_more).
         """
         return (
             self.membership.holds_valid_lease
@@ -71,7 +73,7 @@
         """Note that every other controller listed what it confirmed between these two times.
 
         Together that is as good as a read at `until`, provided that the last read reaches to
-        `since`.
+        `since` (test_confirmations_of_all_controllers_bridge_a_long_outage).
         """
         if self.cancellations_as_of is not None and since <= self.cancellations_as_of:
             self.cancellations_as_of = max(self.cancellations_as_of, until)
--- a/basaltlead/shard/store.py
+++ b/basaltlead/shard/store.py
@@ -48,7 +48,8 @@
 
         Each depends on the last version that is known of it: a write that went unanswered may be
         carried out after a newer one, and would undo that. If it was carried out before, the
-        conflict tells its version, and the next attempt succeeds.
+        conflict tells its version, and the next attempt succeeds
+        (test_late_write_of_results_does_not_undo_a_newer_one).
         """
         known = [Precondition(key, self.versions.get(key, 0)) for key in rows]
         puts = [Put(key, value) for key, value in rows.items()]
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,7 @@
 """Names of code in the documents exist: files, packages, classes, members, constants, tests.
 
-Checked are names in backticks. Protocol names count as known where `wire/` uses them, and keys of
-records where `storage/` does.
+Checked are names in backticks, and the tests that the code names as proof of a safety argument.
+Protocol names count as known where `wire/` uses them, and keys of records where `storage/` does.
 """
 
 import ast
@@ -192,3 +192,21 @@
     ]
 
     assert long == []
+
+
+def test_tests_that_the_code_names_exist() -> None:
+    functions = {
+        node.name
+        for path in (ROOT / "tests").rglob("test_*.py")
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
+    }
+
+    named = {
+        name
+        for path in (ROOT / "basaltlead").rglob("*.py")
+        for name in re.findall(r"\btest_\w{12,}", path.read_text())
+    }
+
+    assert len(named) >= 10
+    assert named - functions == set()
