--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -69,7 +69,7 @@
         self.paused: set[str] = set()
         self.pauses = 0
 
-    def boot(self, name: str) -> None:
+    def start_controller(self, name: str) -> None:
         self.loop.create_task(self._launch(name))
 
     async def _launch(self, name: str) -> None:
