--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -245,7 +245,7 @@
             for known, orphan in self.orphaned_attempts.items()
         )
 
-    def keep_image(self, image: str, size_gb: float) -> None:
+    def cache_image(self, image: str, size_gb: float) -> None:
         """Note an image as the most recently used, as the worker's cache does."""
         self.images.pop(image, None)
         self.images[image] = size_gb
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -49,7 +49,7 @@
             self._end(attempt, reported, now)
             return
         if stage in IMAGE_PRESENT and attempt.stage not in IMAGE_PRESENT:
-            attempt.machine.keep_image(attempt.job_state.job.image, attempt.job_state.job.image_gb)
+            attempt.machine.cache_image(attempt.job_state.job.image, attempt.job_state.job.image_gb)
         if stage == RUNNING and not attempt.running_since:
             self._begin_run(attempt, now)
         attempt.stage = stage
