--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -157,7 +157,7 @@
     for attempt in sorted(waiting, key=lambda attempt: -attempt.job_state.job.rank):
         if attempt.stage == SENT:
             startable.append(attempt)
-        elif room.fits(attempt.job_state.job) and not machine.busy_with(attempt.key):
+        elif room.fits(attempt.job_state.job) and not machine.has_other_attempt(attempt.key):
             room.take(attempt.job_state.job)
             startable.append(attempt)
     return startable
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -237,7 +237,7 @@
         """Does it list as many tasks as its report may hold?"""
         return len(self.attempts) + len(self.orphaned_attempts) >= MAX_TASKS_PER_MACHINE
 
-    def busy_with(self, key: TaskKey) -> bool:
+    def has_other_attempt(self, key: TaskKey) -> bool:
         """Is another attempt of the task still there? One that has ended does not count, not even
         one whose start command may arrive again: the worker knows its number while it lists it."""
         return any(
