--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -186,7 +186,7 @@
         self.up = True
         self.usage.begin(now)
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Its lease has expired, and with it its agent epoch."""
         self.lost = True
         self.synced = False
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -83,7 +83,7 @@
 
     # Whether they are heard
 
-    def lose(self, machine: Machine, now: int) -> None:
+    def mark_lost(self, machine: Machine, now: int) -> None:
         """Its lease has expired, so it has killed all its tasks (see `WorkerLease`). Reports of
         that agent epoch that were held up on their way prove nothing any more."""
         self._log(
@@ -91,7 +91,7 @@
             f"fencing token {self._fencing_token}, epoch {machine.epoch}, "
             f"{machine.lease.describe(now)}): {_named(list(machine.attempts))}"
         )
-        machine.lose()
+        machine.mark_lost()
         self.mark_unreachable(machine, now)
         self._empty(machine, now)
 
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -231,5 +231,5 @@
             if machine.lost or not machine.lease.has_expired(now, self.timing):
                 self._drainer.drain(machine, now)
             elif machine.up or machine.name in self.unsynced:
-                self._fleet.lose(machine, now)
+                self._fleet.mark_lost(machine, now)
         self._stragglers.check(self.job_states, now)
