--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -284,7 +284,7 @@
 
         # Attempts.
         self.queue = TaskQueue(job.tasks)
-        self.queue_done = 0  # tasks of the queue that are done
+        self.queue_done_count = 0  # tasks of the queue that are done
         self.live: dict[int, Attempt] = {}
         self.live_open = 0  # of these, tasks that are not done
         self.history = FailureHistory()
@@ -319,7 +319,7 @@
         self.done[index >> 3] |= bit
         self.done_count += 1
         self.live_open -= index in self.live
-        self.queue_done += self.queue.holds(index)
+        self.queue_done_count += self.queue.holds(index)
         return True
 
     def finish(self, index: int) -> None:
@@ -343,7 +343,7 @@
     def assign(self, ranges: list[TaskRange]) -> None:
         """From now on these tasks are this shard's to start."""
         self.queue.assign(ranges)
-        self.queue_done = sum(
+        self.queue_done_count = sum(
             1 for low, high in ranges for index in range(low, high) if self.is_done(index)
         )
 
@@ -363,12 +363,12 @@
     @property
     def remaining(self) -> int:
         """Tasks of this shard that are not done."""
-        return self.queue.size - self.queue_done
+        return self.queue.size - self.queue_done_count
 
     @property
     def waiting(self) -> int:
         """Tasks of this shard that are neither done nor bound to a machine."""
-        return self.queue.size - self.queue_done - self.live_open
+        return self.queue.size - self.queue_done_count - self.live_open
 
     # Attempts
 
