--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -286,7 +286,7 @@
         self.queue = TaskQueue(job.tasks)
         self.queue_done_count = 0  # tasks of the queue that are done
         self.live: dict[int, Attempt] = {}
-        self.live_open = 0  # of these, tasks that are not done
+        self.live_unfinished_count = 0  # of these, tasks that are not done
         self.history = FailureHistory()
         self.retry_at = 0  # nothing is started until then
 
@@ -318,7 +318,7 @@
             return False
         self.done[index >> 3] |= bit
         self.done_count += 1
-        self.live_open -= index in self.live
+        self.live_unfinished_count -= index in self.live
         self.queue_done_count += self.queue.holds(index)
         return True
 
@@ -368,20 +368,20 @@
     @property
     def waiting(self) -> int:
         """Tasks of this shard that are neither done nor bound to a machine."""
-        return self.queue.size - self.queue_done_count - self.live_open
+        return self.queue.size - self.queue_done_count - self.live_unfinished_count
 
     # Attempts
 
     def bind(self, attempt: Attempt) -> None:
         """The task is bound to a machine."""
         self.live[attempt.index] = attempt
-        self.live_open += not self.is_done(attempt.index)
+        self.live_unfinished_count += not self.is_done(attempt.index)
 
     def unbind(self, index: int) -> bool:
         """The task is bound no more; False if it was not bound."""
         if self.live.pop(index, None) is None:
             return False
-        self.live_open -= not self.is_done(index)
+        self.live_unfinished_count -= not self.is_done(index)
         return True
 
     @property
