--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -59,7 +59,7 @@
             del self.gone[next(iter(self.gone))]
         if machine is not None:
             self._log_return(machine, now)
-            self._empty(machine, now)
+            self._remove_attempts(machine, now)
 
     def _log_return(self, machine: Machine, now: int) -> None:
         age_s = max(1, now - machine.made_at) / US
@@ -72,7 +72,7 @@
             f"{usage.wasted_s:.0f} s wasted, {usage.fetching_s:.0f} s of fetches"
         )
 
-    def _empty(self, machine: Machine, now: int) -> None:
+    def _remove_attempts(self, machine: Machine, now: int) -> None:
         """All that was on it is provably gone."""
         for attempt in list(machine.attempts.values()):
             self._attempts.remove(attempt, now)
@@ -93,7 +93,7 @@
         )
         machine.mark_lost()
         self.mark_unreachable(machine, now)
-        self._empty(machine, now)
+        self._remove_attempts(machine, now)
 
     def begin_epoch(self, machine: Machine, epoch: int, now: int) -> None:
         """Its agent is heard in a new epoch: what ran in the one before was killed when that
