--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -89,7 +89,7 @@
         self._log(
             f"machine {machine.name} lost (was {machine.state(now).name.lower()}, "
             f"fencing token {self._fencing_token}, epoch {machine.epoch}, "
-            f"{machine.lease.describe(now)}): {_named(list(machine.attempts))}"
+            f"{machine.lease.describe(now)}): {_describe_tasks(list(machine.attempts))}"
         )
         machine.mark_lost()
         self.mark_unreachable(machine, now)
@@ -106,7 +106,8 @@
             ]
             self._log(
                 f"machine {machine.name} in epoch {epoch} (fencing token {self._fencing_token}, "
-                f"{machine.lease.describe(now)}): {_named([attempt.key for attempt in over])}"
+                f"{machine.lease.describe(now)}): "
+                f"{_describe_tasks([attempt.key for attempt in over])}"
             )
             for attempt in over:
                 self._attempts.remove(attempt, now)
@@ -147,7 +148,7 @@
         machine.preemption_at = now + int(max(0.0, notice_s) * US)
 
 
-def _named(keys: Sequence[TaskKey]) -> str:
+def _describe_tasks(keys: Sequence[TaskKey]) -> str:
     """How many tasks are taken for gone, and the first of them."""
     if not keys:
         return "no tasks gone"
