--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -8,7 +8,7 @@
 from basaltlead.core.signals import Log, ShardSignals
 from basaltlead.core.task_keys import TaskKey
 
-TASKS_NAMED = 5  # of those that were on a lost machine, in its log line
+MAX_LOGGED_TASKS = 5  # of those that were on a lost machine, in its log line
 # Names of machines that are returned, or rented, are kept for as long as lists and late reports may
 # show them. Three fleets of 6,000: some 2 MB.
 NAMES_KEPT = 18_000
@@ -152,6 +152,6 @@
     """How many tasks are taken for gone, and the first of them."""
     if not keys:
         return "no tasks gone"
-    names = ", ".join(f"{key.ref}/{key.task_index}" for key in sorted(keys)[:TASKS_NAMED])
-    more = ", ..." if len(keys) > TASKS_NAMED else ""
+    names = ", ".join(f"{key.ref}/{key.task_index}" for key in sorted(keys)[:MAX_LOGGED_TASKS])
+    more = ", ..." if len(keys) > MAX_LOGGED_TASKS else ""
     return f"{len(keys)} tasks gone: {names}{more}"
