--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -11,7 +11,7 @@
 MAX_LOGGED_TASKS = 5  # of those that were on a lost machine, in its log line
 # Names of machines that are returned, or rented, are kept for as long as lists and late reports may
 # show them. Three fleets of 6,000: some 2 MB.
-NAMES_KEPT = 18_000
+MAX_RETAINED_NAMES = 18_000
 
 
 class Fleet:
@@ -55,7 +55,7 @@
         """It is deleted: everything on it is gone."""
         machine = self.machines.pop(name, None)
         self.gone[name] = None
-        while len(self.gone) > NAMES_KEPT:
+        while len(self.gone) > MAX_RETAINED_NAMES:
             del self.gone[next(iter(self.gone))]
         if machine is not None:
             self._log_return(machine, now)
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -10,7 +10,7 @@
 
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.cluster_view import LEADER
-from basaltlead.core.fleet import NAMES_KEPT
+from basaltlead.core.fleet import MAX_RETAINED_NAMES
 from basaltlead.core.jobs import STANDING_US, Job
 from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import ServiceError
@@ -126,7 +126,7 @@
     def _note_rented(self, scale_out: StoredScaleOut) -> None:
         for machine in scale_out.names or ():
             self._rented_machines[machine] = scale_out.shard
-        while len(self._rented_machines) > NAMES_KEPT:
+        while len(self._rented_machines) > MAX_RETAINED_NAMES:
             del self._rented_machines[next(iter(self._rented_machines))]
 
     def _drop(self, prefix: str, key: str) -> None:
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -11,7 +11,7 @@
 from basaltlead.core.draining import Drainer
 from basaltlead.core.entities import Machine
 from basaltlead.core.failures import FailurePolicy
-from basaltlead.core.fleet import NAMES_KEPT
+from basaltlead.core.fleet import MAX_RETAINED_NAMES
 from basaltlead.core.fleet_sizing import Demand
 from basaltlead.core.jobs import RANKS, US, Resources, Shape
 from basaltlead.core.offers import Offer
@@ -216,4 +216,4 @@
     for number in range(MACHINES):
         story.shard.drop_machine(_name(number), story.now)
 
-    assert len(story.shard.gone) == MACHINES < NAMES_KEPT
+    assert len(story.shard.gone) == MACHINES < MAX_RETAINED_NAMES
