--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -184,7 +184,7 @@
         """It has shown our fencing token, and so all that is on it."""
         self.synced = True
         self.up = True
-        self.usage.begin(now)
+        self.usage.mark_up(now)
 
     def mark_lost(self) -> None:
         """Its lease has expired, and with it its agent epoch."""
--- a/basaltlead/core/machine_usage.py
+++ b/basaltlead/core/machine_usage.py
@@ -12,7 +12,7 @@
         self.wasted_s = 0.0  # by tasks that must begin anew
         self.fetching_s = 0.0  # by tasks between the decision to start them and their first run
 
-    def begin(self, now: int) -> None:
+    def mark_up(self, now: int) -> None:
         """It has shown all that is on it, so that it can take tasks."""
         self.up_at = self.up_at or now
 
