--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -174,7 +174,7 @@
         """Its agent is heard in a new epoch: what is on it must be shown anew."""
         if self.lost:
             self.back_at = now
-        self.messages.begin(epoch, now)
+        self.messages.begin_epoch(epoch, now)
         self.lease.begin_epoch(now)
         self.lost = False
         self.synced = False
--- a/basaltlead/core/message_order.py
+++ b/basaltlead/core/message_order.py
@@ -18,7 +18,7 @@
         # Since when heartbeats were answered that do not show our fencing token; 0: they show it.
         self.unsynced_since = 0
 
-    def begin(self, epoch: int, now: int) -> None:
+    def begin_epoch(self, epoch: int, now: int) -> None:
         """A new epoch begins."""
         self.epoch = epoch
         self.epoch_started_at = now
