--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -190,7 +190,7 @@
         """Its lease has expired, and with it its agent epoch."""
         self.lost = True
         self.synced = False
-        self.messages.end()
+        self.messages.end_epoch()
         self.images.clear()
 
     # Room
--- a/basaltlead/core/message_order.py
+++ b/basaltlead/core/message_order.py
@@ -25,7 +25,7 @@
         self.min_epoch = max(self.min_epoch, epoch)
         self.sequence = self.heartbeat_sequence = 0
 
-    def end(self) -> None:
+    def end_epoch(self) -> None:
         """The epoch is over; reports of it that were held up on their way prove nothing any more.
         Before the first one there is none to end."""
         self.min_epoch = self.epoch + 1 if self.epoch else 0
