--- a/basaltlead/core/message_order.py
+++ b/basaltlead/core/message_order.py
@@ -31,6 +31,6 @@
         self.min_epoch = self.epoch + 1 if self.epoch else 0
         self.unsynced_since = 0
 
-    def take_list(self, sequence: int) -> None:
+    def record_list(self, sequence: int) -> None:
         """The list of tasks of this message was taken in."""
         self.sequence = max(self.sequence, sequence)
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -99,7 +99,7 @@
             if attempt.attempt_key not in listed:
                 self._take_unlisted(attempt, heartbeat.sequence, now)
         self._finish_list(machine, listed, is_newest, now)
-        messages.take_list(heartbeat.sequence)
+        messages.record_list(heartbeat.sequence)
 
     def receive_answer(
         self, machine: Machine, answer: WorkerReport, now: int, pushed_starts: Iterable[Attempt]
@@ -122,7 +122,7 @@
             return
         listed = self._take_tasks(machine, answer.tasks, True, now)
         self._finish_list(machine, listed, True, now)
-        messages.take_list(answer.sequence)
+        messages.record_list(answer.sequence)
 
     def _take_tasks(
         self, machine: Machine, tasks: Sequence[ReportedTask], is_newest: bool, now: int
