--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -19,7 +19,7 @@
 from basaltlead.core.timing import Timing
 
 
-class Receipt(Enum):
+class HeartbeatOutcome(Enum):
     """What a heartbeat proves, and so how it is answered."""
 
     REFUSED = auto()  # not with 200: that would renew the worker's lease
@@ -28,7 +28,9 @@
     ACCEPTED = auto()  # 200 with commands
 
 
-REFUSED, OUTDATED, UNPROVEN, ACCEPTED = Receipt  # by name: see task_states on the cost of members
+REFUSED, OUTDATED, UNPROVEN, ACCEPTED = (
+    HeartbeatOutcome  # by name: see task_states on the cost of members
+)
 
 
 class HeartbeatReconciler:
@@ -48,7 +50,7 @@
         self._attempts = attempts
         self._task_reports = task_reports
 
-    def receive(self, machine: Machine, heartbeat: WorkerReport, now: int) -> Receipt:
+    def receive(self, machine: Machine, heartbeat: WorkerReport, now: int) -> HeartbeatOutcome:
         """Take in a heartbeat, as far as it proves anything.
 
         A report that does not show our fencing token may be a copy from long ago, or come from a
