--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -81,10 +81,10 @@
         notice_s = heartbeat.preemption_notice_s
         self._fleet.update_preemption_notice(machine, notice_s, is_newest, now)
         if shows_token:
-            self._take_in(machine, heartbeat, is_newest, now)
+            self._apply_heartbeat(machine, heartbeat, is_newest, now)
         return ACCEPTED
 
-    def _take_in(
+    def _apply_heartbeat(
         self, machine: Machine, heartbeat: WorkerReport, is_newest: bool, now: int
     ) -> None:
         """Take in a heartbeat that shows our fencing token."""
