--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -96,7 +96,7 @@
         if now - doubted_at > self._timing.lease_expiry_us:
             # Had it not heard us, its lease, and with it its agent epoch, would have ended.
             self._fleet.confirm_reachable(machine)
-        listed = self._take_tasks(machine, heartbeat.tasks, is_newest, now)
+        listed = self._apply_tasks(machine, heartbeat.tasks, is_newest, now)
         for attempt in list(machine.attempts.values()):
             if attempt.attempt_key not in listed:
                 self._take_unlisted(attempt, heartbeat.sequence, now)
@@ -122,11 +122,11 @@
         self._fleet.confirm_reachable(machine)
         if answer.sequence <= messages.sequence or answer.fencing_token != self._fencing_token:
             return
-        listed = self._take_tasks(machine, answer.tasks, True, now)
+        listed = self._apply_tasks(machine, answer.tasks, True, now)
         self._finish_list(machine, listed, True, now)
         messages.record_list(answer.sequence)
 
-    def _take_tasks(
+    def _apply_tasks(
         self, machine: Machine, tasks: Sequence[ReportedTask], is_newest: bool, now: int
     ) -> set[PlainAttemptKey]:
         """Take in the listed tasks, if the list is the newest; the keys of their attempts."""
