--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -99,7 +99,7 @@
         listed = self._apply_tasks(machine, heartbeat.tasks, is_newest, now)
         for attempt in list(machine.attempts.values()):
             if attempt.attempt_key not in listed:
-                self._take_unlisted(attempt, heartbeat.sequence, now)
+                self._handle_unlisted(attempt, heartbeat.sequence, now)
         self._finish_list(machine, listed, is_newest, now)
         messages.record_list(heartbeat.sequence)
 
@@ -157,7 +157,7 @@
         if not machine.synced:
             self._fleet.confirm_synced(machine, now)
 
-    def _take_unlisted(self, attempt: Attempt, sequence: int, now: int) -> None:
+    def _handle_unlisted(self, attempt: Attempt, sequence: int, now: int) -> None:
         """A heartbeat does not list an attempt of ours."""
         if attempt.start_in_flight or attempt.start_unacknowledged or not attempt.may_be_on_machine:
             # An unanswered pushed start binds its task to the machine
