--- a/basaltlead/core/draining.py
+++ b/basaltlead/core/draining.py
@@ -13,7 +13,7 @@
     def __init__(self, attempts: AttemptTable, timing: Timing) -> None:
         self._attempts = attempts
         # A command that is sent so long before the end is executed in time.
-        self._last_moment_us = 2 * timing.heartbeat_interval_us + US
+        self._stop_lead_us = 2 * timing.heartbeat_interval_us + US
 
     def drain(self, machine: Machine, now: int) -> None:
         """Stop what is to stop by now, saving what can be saved."""
@@ -31,10 +31,10 @@
         if attempt.stage in BEFORE_FIRST_RUN and attempt.stage != SENT:
             self._attempts.stop(attempt, 0.0)
         elif job.service:  # a plan moves it once there is a place for it, or it goes now
-            if left_us is not None and left_us <= self._last_moment_us:
+            if left_us is not None and left_us <= self._stop_lead_us:
                 self._attempts.stop(attempt, 0.0)
         elif job.checkpoint_interval_us > 0 and attempt.stage == RUNNING:
-            need_us = int(job.checkpoint_duration_s * US) + self._last_moment_us
+            need_us = int(job.checkpoint_duration_s * US) + self._stop_lead_us
             if left_us is None or left_us <= need_us:
                 self._attempts.stop_gracefully(attempt)
         elif machine.draining and (machine.failed_jobs or machine.straggler_jobs):
