--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -14,8 +14,8 @@
 from basaltlead.core.task_keys import AttemptKey, PlainAttemptKey
 from basaltlead.core.task_states import (
     ENDED,
-    ENDS_GANG,
     EXECUTING,
+    GANG_ENDING_REASONS,
     IMAGE_PRESENT,
     RUNNING,
     SENT,
@@ -86,7 +86,7 @@
             return
         if not is_blameless or reason != ExitReason.ERROR:
             self._failures.record_exit(machine, job_state, reason, now)
-        if job.gang and reason in ENDS_GANG:
+        if job.gang and reason in GANG_ENDING_REASONS:
             self._attempts.stop_all(job_state)
 
     def _complete(self, attempt: Attempt, now: int) -> None:
--- a/basaltlead/core/task_states.py
+++ b/basaltlead/core/task_states.py
@@ -70,7 +70,7 @@
 # It runs, or ran and saves what it has done.
 EXECUTING = (RUNNING, SAVING)
 # The end of one task with one of these ends its gang's attempt: the others are cleared away.
-ENDS_GANG = frozenset(
+GANG_ENDING_REASONS = frozenset(
     {
         ExitReason.PEERS,
         ExitReason.INCOMPLETE,
