--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -13,7 +13,7 @@
 TRIALS_BEFORE_PAUSE = 3  # after so many a job that only fails waits between two trials
 MAX_PAUSE_S = 60
 MAX_LOOKUP_PAUSE_S = 30  # between two trials of a job that workers can't fetch
-CORDON_US = 4 * US  # for each job that failed on a machine
+CORDON_PER_FAILED_JOB_US = 4 * US  # for each job that failed on a machine
 # A machine that refused a task is cordoned for long enough to show in heartbeats what is on it.
 FULL_CORDON_US = 2 * US
 IN_USE_CORDON_US = 1 * US
@@ -92,7 +92,7 @@
         """Start nothing on it for a while, and drain it if it is faulty beyond doubt: jobs that ran
         elsewhere speak against it, of others it takes more."""
         machine.failed_jobs.add(job_state.job.ref)
-        machine.cordoned_until = now + CORDON_US * len(machine.failed_jobs)
+        machine.cordoned_until = now + CORDON_PER_FAILED_JOB_US * len(machine.failed_jobs)
         others = (self._jobs.by_ref.get(ref) for ref in machine.failed_jobs)
         proven = sum(1 for other in others if other is None or other.proven)
         if proven >= PROVEN_JOBS_OF_FAULTY or len(machine.failed_jobs) >= JOBS_OF_FAULTY:
