--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -11,7 +11,7 @@
 # A job that failed in so many trials, and never succeeded, is itself considered faulty.
 TRIALS_UNTIL_JOB_IS_BLAMED = 2
 TRIALS_BEFORE_PAUSE = 3  # after so many a job that only fails waits between two trials
-MAX_PAUSE_S = 60
+MAX_RETRY_PAUSE_S = 60
 MAX_LOOKUP_PAUSE_S = 30  # between two trials of a job that workers can't fetch
 CORDON_PER_FAILED_JOB_US = 4 * US  # for each job that failed on a machine
 # A machine that refused a task is cordoned for long enough to show in heartbeats what is on it.
@@ -23,7 +23,7 @@
 
 def retry_pause_us(trials: int) -> int:
     """How long a job that failed so often waits: doubled each time, a minute at most."""
-    return min(MAX_PAUSE_S, 1 << min(trials, 6)) * US
+    return min(MAX_RETRY_PAUSE_S, 1 << min(trials, 6)) * US
 
 
 class FailurePolicy:
