--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -20,7 +20,7 @@
 FAULTY_MACHINE_PROVEN_JOBS = (
     2  # a machine is faulty if so many jobs failed there that ran elsewhere,
 )
-JOBS_OF_FAULTY = 4  # or so many of any
+FAULTY_MACHINE_JOBS = 4  # or so many of any
 
 
 def retry_pause_us(trials: int) -> int:
@@ -97,7 +97,7 @@
         machine.cordoned_until = now + CORDON_PER_FAILED_JOB_US * len(machine.failed_jobs)
         others = (self._jobs.by_ref.get(ref) for ref in machine.failed_jobs)
         proven = sum(1 for other in others if other is None or other.proven)
-        if proven >= FAULTY_MACHINE_PROVEN_JOBS or len(machine.failed_jobs) >= JOBS_OF_FAULTY:
+        if proven >= FAULTY_MACHINE_PROVEN_JOBS or len(machine.failed_jobs) >= FAULTY_MACHINE_JOBS:
             machine.draining = True
             self._log(
                 f"machine {machine.name} is faulty: {sorted(machine.failed_jobs)} failed on it"
