--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -13,7 +13,7 @@
 SLOW_FACTOR = 6  # a machine is slow if a task takes that many times what others took
 SLOW_MARGIN_US = 30 * US  # and so much longer
 MAX_STOPPED = 4  # tasks of one job that are taken off slow machines
-SLOW_JOBS_OF_FAULTY = 2  # a machine on which tasks of so many jobs were slow is drained
+FAULTY_MACHINE_SLOW_JOBS = 2  # a machine on which tasks of so many jobs were slow is drained
 # For how long a job keeps off a machine that was slow for it. It may be the only one that fits,
 # and no job is to wait for 90 s while there is room for it.
 STRAGGLER_KEEP_OFF_US = 60 * US
@@ -62,7 +62,7 @@
             f"machine {machine.name} is slow: "
             f"{job_state.job.ref}/{attempt.index} is stopped there as a straggler"
         )
-        if len(machine.straggler_jobs) >= SLOW_JOBS_OF_FAULTY:
+        if len(machine.straggler_jobs) >= FAULTY_MACHINE_SLOW_JOBS:
             machine.draining = True
         self._attempts.stop_gracefully(attempt)
 
