--- a/basaltlead/core/failure_history.py
+++ b/basaltlead/core/failure_history.py
@@ -2,7 +2,7 @@
 
 from basaltlead.core.jobs import US
 
-FAILED_KEEP_OFF_US = 30 * US  # for how long a job keeps off a machine on which it failed
+FAILED_AVOIDANCE_US = 30 * US  # for how long a job keeps off a machine on which it failed
 
 
 class FailureHistory:
@@ -31,4 +31,4 @@
         before."""
         if now >= self.failed_on.get(machine, 0):
             self.trials += 1
-        self.failed_on[machine] = now + FAILED_KEEP_OFF_US
+        self.failed_on[machine] = now + FAILED_AVOIDANCE_US
