--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -16,7 +16,7 @@
 FAULTY_MACHINE_SLOW_JOBS = 2  # a machine on which tasks of so many jobs were slow is drained
 # For how long a job keeps off a machine that was slow for it. It may be the only one that fits,
 # and no job is to wait for 90 s while there is room for it.
-STRAGGLER_KEEP_OFF_US = 60 * US
+STRAGGLER_AVOIDANCE_US = 60 * US
 
 
 class StragglerDetector:
@@ -56,7 +56,7 @@
 
     def _stop(self, attempt: Attempt, now: int) -> None:
         machine, job_state = attempt.machine, attempt.job_state
-        job_state.history.record_straggler(machine.name, now + STRAGGLER_KEEP_OFF_US)
+        job_state.history.record_straggler(machine.name, now + STRAGGLER_AVOIDANCE_US)
         machine.straggler_jobs.add(job_state.job.ref)
         self._log(
             f"machine {machine.name} is slow: "
