--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -336,7 +336,7 @@
     @property
     def proven(self) -> bool:
         """Has it shown that it can run?"""
-        return bool(self.done_count) or self.history.lasted
+        return bool(self.done_count) or self.history.replica_ran_long
 
     # The tasks of this shard
 
--- a/basaltlead/core/failure_history.py
+++ b/basaltlead/core/failure_history.py
@@ -13,7 +13,7 @@
         # Failures on other machines, or on the same one after a while: these tell whether the job
         # itself is at fault, while several tasks may fail at once on one faulty machine.
         self.trials = 0
-        self.lasted = False  # a replica of it has run for long
+        self.replica_ran_long = False  # a replica of it has run for long
         self.stragglers_stopped = 0  # how often a task was taken off a machine for being slow
         self.failed_on: dict[str, int] = {}  # machines to keep it off, until when
 
--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -59,7 +59,7 @@
         history = job_state.history
         ran_us = now - attempt.running_since if attempt.running_since else 0
         if ran_us >= LASTING_US:
-            history.lasted = True
+            history.replica_ran_long = True
             history.trials = 0
             return True
         if reason == ExitReason.DONE:
