--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -11,7 +11,9 @@
 from basaltlead.core.offers import Offer, unit_price
 
 SILENT_COUNT = 3  # machines that must be silent before their zone is taken to be
-PAUSE_US = 45 * US  # for how long nothing is rented there after the last of them was returned
+RENTAL_PAUSE_US = (
+    45 * US
+)  # for how long nothing is rented there after the last of them was returned
 
 
 class SilentZones:
@@ -33,7 +35,7 @@
             elif len(machines) >= SILENT_COUNT:
                 if zone not in self._paused_until:
                     fallen.append(zone)
-                self._paused_until[zone] = now + PAUSE_US
+                self._paused_until[zone] = now + RENTAL_PAUSE_US
         return fallen
 
     def admitted(
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -4,7 +4,7 @@
 
 from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.offers import Offer
-from basaltlead.core.silent_zones import PAUSE_US, SilentZones
+from basaltlead.core.silent_zones import RENTAL_PAUSE_US, SilentZones
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, simulated
 
@@ -28,16 +28,16 @@
     assert zones.admitted(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
     assert zones.update(SILENT, 0) == ["b"]
     assert zones.update(SILENT, US) == []  # it is known by now
-    assert zones.admitted(OFFERS, MACHINE_TYPES, [], PAUSE_US) == IN_A
-    after = US + PAUSE_US
+    assert zones.admitted(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == IN_A
+    after = US + RENTAL_PAUSE_US
     trial = Offer("cheap", "b", True)
     assert zones.admitted(OFFERS, MACHINE_TYPES, ["a"], after) == IN_A | {trial: 1}
     assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after) == IN_A  # it has not been heard yet
     assert zones.update({"a": [True]}, after) == []  # all machines there were returned
-    assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after + PAUSE_US) == IN_A
-    zones.update({"a": [True], "b": [True]}, after + PAUSE_US)
+    assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == IN_A
+    zones.update({"a": [True], "b": [True]}, after + RENTAL_PAUSE_US)
 
-    assert zones.admitted(OFFERS, MACHINE_TYPES, [], after + PAUSE_US) == OFFERS
+    assert zones.admitted(OFFERS, MACHINE_TYPES, [], after + RENTAL_PAUSE_US) == OFFERS
 
 
 def test_no_zone_is_silent_when_all_machines_are() -> None:
