--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -10,7 +10,7 @@
 from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.offers import Offer, unit_price
 
-SILENT_COUNT = 3  # machines that must be silent before their zone is taken to be
+MIN_SILENT_MACHINES = 3  # machines that must be silent before their zone is taken to be
 RENTAL_PAUSE_US = (
     45 * US
 )  # for how long nothing is rented there after the last of them was returned
@@ -32,7 +32,7 @@
         for zone, machines in heard.items():
             if any(machines):
                 self._paused_until.pop(zone, None)
-            elif len(machines) >= SILENT_COUNT:
+            elif len(machines) >= MIN_SILENT_MACHINES:
                 if zone not in self._paused_until:
                     fallen.append(zone)
                 self._paused_until[zone] = now + RENTAL_PAUSE_US
--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -2,7 +2,7 @@
 
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
-from basaltlead.core.silent_zones import SILENT_COUNT
+from basaltlead.core.silent_zones import MIN_SILENT_MACHINES
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.context import ShardContext
 
@@ -35,7 +35,7 @@
         """
         machines = self.context.shard.machines.values()
         heard_at = [m.heard_at for m in machines if m.up and m.heard_at]
-        silent = len(heard_at) >= SILENT_COUNT and not self.any_heard(now)
+        silent = len(heard_at) >= MIN_SILENT_MACHINES and not self.any_heard(now)
         return silent and now - max(heard_at) < LOST_LEASES * self.context.shard.timing.lease_us
 
     def recently_heard(self, machine: Machine, now: int) -> bool:
