--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -38,7 +38,7 @@
                 self._paused_until[zone] = now + RENTAL_PAUSE_US
         return fallen
 
-    def admitted(
+    def rentable_offers(
         self,
         offers: Mapping[Offer, int | None],
         machine_types: Mapping[str, MachineType],
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -163,7 +163,7 @@
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
         awaited_zones = {m.zone for m in expected if not m.heard_at and _may_come_up(m, now)}
-        return self.silent_zones.admitted(offers, machine_types, awaited_zones, now)
+        return self.silent_zones.rentable_offers(offers, machine_types, awaited_zones, now)
 
 
 def _may_come_up(machine: Machine, now: int) -> bool:
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -25,19 +25,20 @@
 def test_silent_zone_gets_one_trial_machine_after_a_pause_until_it_is_heard() -> None:
     zones = SilentZones()
 
-    assert zones.admitted(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
     assert zones.update(SILENT, 0) == ["b"]
     assert zones.update(SILENT, US) == []  # it is known by now
-    assert zones.admitted(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == IN_A
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == IN_A
     after = US + RENTAL_PAUSE_US
     trial = Offer("cheap", "b", True)
-    assert zones.admitted(OFFERS, MACHINE_TYPES, ["a"], after) == IN_A | {trial: 1}
-    assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after) == IN_A  # it has not been heard yet
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["a"], after) == IN_A | {trial: 1}
+    # it has not been heard yet
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after) == IN_A
     assert zones.update({"a": [True]}, after) == []  # all machines there were returned
-    assert zones.admitted(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == IN_A
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == IN_A
     zones.update({"a": [True], "b": [True]}, after + RENTAL_PAUSE_US)
 
-    assert zones.admitted(OFFERS, MACHINE_TYPES, [], after + RENTAL_PAUSE_US) == OFFERS
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], after + RENTAL_PAUSE_US) == OFFERS
 
 
 def test_no_zone_is_silent_when_all_machines_are() -> None:
@@ -45,7 +46,7 @@
 
     assert zones.update({"a": [False] * 5, "b": [False] * 5}, 0) == []
     assert zones.update({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by rng
-    assert zones.admitted(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
 
 
 @simulated
