--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -98,7 +98,7 @@
         self._jobs.discard_if_over(job_state)
         self._signals.dirty = True
 
-    def stored(self, job_state: JobState, indices: Iterable[int]) -> None:
+    def confirm_stored(self, job_state: JobState, indices: Iterable[int]) -> None:
         """These results are in the key-value store: their workers may forget them."""
         self._jobs.confirm_stored(job_state, indices)
 
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -87,7 +87,7 @@
         for row in self.context.layout.unstored(job_state, self.context.number):
             still_open = Precondition(OPEN + ref, job_state.version)
             await self.context.store.put({row.key: row.value}, [still_open])
-            self.context.shard.stored(job_state, row.tasks)
+            self.context.shard.confirm_stored(job_state, row.tasks)
         self._stored_running[ref] = running
 
     async def _finish(self, job_state: JobState) -> None:
@@ -111,7 +111,7 @@
                 self.close(job_state)
                 return
             raise
-        self.context.shard.stored(job_state, indices)
+        self.context.shard.confirm_stored(job_state, indices)
         duration_s = (now_us() - job_state.submitted_at) / US
         log.info("job %s done after %.1f s", ref, duration_s)
         for key in rows:
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -19,7 +19,7 @@
     assert story.heartbeat("m-0", task_status(attempt, "running")) == []
     assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not stored yet
     assert job_state.complete
-    story.shard.stored(job_state, [0])
+    story.shard.confirm_stored(job_state, [0])
 
     assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == [
         ("forget", "req-000001/0")
@@ -606,7 +606,7 @@
     story.shard.acknowledge_starts(pushed_starts, None)
     assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
     assert not story.shard.settled(machine)  # its list is the only record of the result
-    story.shard.stored(job_state, [0])
+    story.shard.confirm_stored(job_state, [0])
 
     assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not forgotten
     assert story.shard.settled(machine)
