--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -160,7 +160,7 @@
         """A command went unanswered: nothing new is given to it until it is proven to hear us."""
         self._fleet.mark_unreachable(machine, now)
 
-    def settled(self, machine: Machine) -> bool:
+    def is_settled(self, machine: Machine) -> bool:
         """Would nothing be lost if the machine were returned?"""
         return self._commands.is_settled(machine)
 
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -96,7 +96,7 @@
             return TerminationReason.LOST
         if self._unreachable_for_long(machine, now):
             return TerminationReason.UNREACHABLE
-        if not self.context.shard.settled(machine):
+        if not self.context.shard.is_settled(machine):
             return None
         if machine.draining:
             return TerminationReason.FAULTY
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -602,14 +602,14 @@
     attempt = story.attempt(job_state)
 
     _, pushed_starts = story.shard.take_push_commands(machine)
-    assert not story.shard.settled(machine)
+    assert not story.shard.is_settled(machine)
     story.shard.acknowledge_starts(pushed_starts, None)
     assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
-    assert not story.shard.settled(machine)  # its list is the only record of the result
+    assert not story.shard.is_settled(machine)  # its list is the only record of the result
     story.shard.confirm_stored(job_state, [0])
 
     assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not forgotten
-    assert story.shard.settled(machine)
+    assert story.shard.is_settled(machine)
 
 
 def test_machine_with_a_running_task_of_a_closed_job_is_not_settled() -> None:
@@ -619,7 +619,7 @@
     belongs_to_other_shard = TaskStatus("req-000009/0", 3, "running")
 
     assert story.heartbeat("m-0", belongs_to_other_shard) == [("halt", "req-000009/0")]
-    assert not story.shard.settled(machine)
+    assert not story.shard.is_settled(machine)
 
 
 def test_job_with_objective_reclaims_its_share_from_checkpointed_work_without() -> None:
