--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -102,7 +102,7 @@
         """These results are in the key-value store: their workers may forget them."""
         self._jobs.confirm_stored(job_state, indices)
 
-    def blocked(self, job_state: JobState, now: int) -> bool:
+    def is_blocked(self, job_state: JobState, now: int) -> bool:
         """May none of its tasks be started now? Until every machine that might hold a task
         has shown our fencing token, only jobs that no earlier shard leader can have started are
         free (test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines)."""
--- a/basaltlead/core/start_order.py
+++ b/basaltlead/core/start_order.py
@@ -26,7 +26,7 @@
     ready = [
         job_state
         for job_state in shard.job_states.values()
-        if not shard.blocked(job_state, now) and job_state.waiting > 0
+        if not shard.is_blocked(job_state, now) and job_state.waiting > 0
     ]
     return sorted(
         ready,
