--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -60,7 +60,7 @@
                 attempt.machine.unbook(attempt)
             attempt.stop_grace_s = grace_s
             self._signals.urgent[attempt.machine.name] = None
-        self._signals.dirty = True
+        self._signals.plan_needed = True
 
     def stop_all(self, job_state: JobState) -> None:
         """Have all attempts of a job stopped at once."""
@@ -95,7 +95,7 @@
         if not job_state.closed and not job_state.is_done(attempt.index):
             job_state.queue.put_back(attempt.index)
         self._jobs.discard_if_over(job_state)
-        self._signals.dirty = True
+        self._signals.plan_needed = True
 
     def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
         """Pushed starts were executed, were not, or (None) nobody knows."""
@@ -106,4 +106,4 @@
                 attempt.start_unacknowledged = True
             elif not executed and attempt.stage == SENT:
                 self.plan_again(attempt)
-                self._signals.dirty = True
+                self._signals.plan_needed = True
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -79,7 +79,7 @@
         machine.orphaned_attempts.clear()
         self.unsynced.discard(machine.name)
         self._signals.urgent.pop(machine.name, None)
-        self._signals.dirty = True
+        self._signals.plan_needed = True
 
     # Whether they are heard
 
@@ -120,7 +120,7 @@
         """It has shown our fencing token, and so all that is on it."""
         machine.confirm_synced(now)
         self.unsynced.discard(machine.name)
-        self._signals.dirty = True
+        self._signals.plan_needed = True
 
     def mark_unreachable(self, machine: Machine, now: int) -> None:
         """A command went unanswered, or its lease expired although we answered: until something
@@ -131,7 +131,7 @@
         """Something proves that our commands reach it."""
         if machine.unreachable_since:
             machine.unreachable_since = 0
-            self._signals.dirty = True
+            self._signals.plan_needed = True
 
     def update_preemption_notice(
         self, machine: Machine, notice_s: float | None, is_newest: bool, now: int
@@ -144,7 +144,7 @@
             return
         if machine.preemption_at is None:
             self._log(f"machine {machine.name} has a preemption notice: {notice_s:.1f} s left")
-            self._signals.dirty = True
+            self._signals.plan_needed = True
         machine.preemption_at = now + int(max(0.0, notice_s) * US)
 
 
--- a/basaltlead/core/open_jobs.py
+++ b/basaltlead/core/open_jobs.py
@@ -19,7 +19,7 @@
         job_state = self.by_ref.get(job.ref)
         if job_state is None:
             job_state = self.by_ref[job.ref] = JobState(job, version, now, age_us)
-            self._signals.dirty = True
+            self._signals.plan_needed = True
         return job_state
 
     def discard_if_over(self, job_state: JobState) -> None:
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -68,17 +68,17 @@
         self.ratio = self._run_times.ratio
 
     @property
-    def dirty(self) -> bool:
+    def plan_needed(self) -> bool:
         """May a plan bind tasks that the last one could not?"""
-        return self._signals.dirty
+        return self._signals.plan_needed
 
     def request_plan(self) -> None:
         """Have the next pass of the planning loop make a plan."""
-        self._signals.dirty = True
+        self._signals.plan_needed = True
 
     def begin_plan(self) -> None:
         """A plan begins: what changes from now on is for the next one."""
-        self._signals.dirty = False
+        self._signals.plan_needed = False
 
     # Jobs
 
@@ -96,7 +96,7 @@
             self._failures.clear(job_state)  # it never showed that it can run
         self._attempts.stop_all(job_state)
         self._jobs.discard_if_over(job_state)
-        self._signals.dirty = True
+        self._signals.plan_needed = True
 
     def confirm_stored(self, job_state: JobState, indices: Iterable[int]) -> None:
         """These results are in the key-value store: their workers may forget them."""
--- a/basaltlead/core/signals.py
+++ b/basaltlead/core/signals.py
@@ -9,7 +9,7 @@
     """Set where the shard changes, read and cleared by the planning and the pushing of commands."""
 
     def __init__(self) -> None:
-        self.dirty = True  # a plan may bind tasks that the last one could not
+        self.plan_needed = True  # a plan may bind tasks that the last one could not
         # Machines that may have commands which need not wait for a heartbeat, in the order in
         # which they came up.
         self.urgent: dict[str, None] = {}
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -72,7 +72,7 @@
         if machine.heard_at == now:  # else it was outdated or unproven
             shows_token = heartbeat.fencing_token == self.lease.fencing_token
             self._after_heartbeat(machine, shows_token, now)
-        if self.shard.dirty:
+        if self.shard.plan_needed:
             self.context.wake.set()
         return self._renewal(commands)
 
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -39,7 +39,7 @@
                 advanced_at = now
                 shard.advance(now)
             if lease.holds_valid_lease:
-                if shard.dirty or now - planned_at > PLAN_INTERVAL_US:
+                if shard.plan_needed or now - planned_at > PLAN_INTERVAL_US:
                     planned_at = now
                     plan(shard, now)
                 self.dispatcher.push_all(now)
