--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -38,7 +38,7 @@
         job_state.bind(attempt)
         machine.attempts[attempt.key] = attempt
         machine.book(attempt)
-        self._signals.urgent[machine.name] = None
+        self._signals.push_queue[machine.name] = None
         team = self.team_used.setdefault(job_state.job.team, TeamUsage())
         team.cpus += job_state.job.cpus
         team.gpus += job_state.job.gpus
@@ -47,7 +47,7 @@
     def plan_again(self, attempt: Attempt) -> None:
         """Its start command is provably not executed: it goes out again."""
         attempt.stage = PLANNED
-        self._signals.urgent[attempt.machine.name] = None
+        self._signals.push_queue[attempt.machine.name] = None
 
     def stop(self, attempt: Attempt, grace_s: float) -> None:
         """Have it stopped, with so long to save a checkpoint. One that was never sent is gone at
@@ -59,7 +59,7 @@
             if attempt.stop_grace_s is None:
                 attempt.machine.unbook(attempt)
             attempt.stop_grace_s = grace_s
-            self._signals.urgent[attempt.machine.name] = None
+            self._signals.push_queue[attempt.machine.name] = None
         self._signals.plan_needed = True
 
     def stop_all(self, job_state: JobState) -> None:
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -78,7 +78,7 @@
             self._attempts.remove(attempt, now)
         machine.orphaned_attempts.clear()
         self.unsynced.discard(machine.name)
-        self._signals.urgent.pop(machine.name, None)
+        self._signals.push_queue.pop(machine.name, None)
         self._signals.plan_needed = True
 
     # Whether they are heard
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -63,7 +63,7 @@
         self.machines = self._fleet.machines
         self.unsynced = self._fleet.unsynced
         self.gone = self._fleet.gone
-        self.urgent = self._signals.urgent
+        self.push_queue = self._signals.push_queue
         self.team_used = self._attempts.team_used
         self.ratio = self._run_times.ratio
 
--- a/basaltlead/core/signals.py
+++ b/basaltlead/core/signals.py
@@ -12,4 +12,4 @@
         self.plan_needed = True  # a plan may bind tasks that the last one could not
         # Machines that may have commands which need not wait for a heartbeat, in the order in
         # which they came up.
-        self.urgent: dict[str, None] = {}
+        self.push_queue: dict[str, None] = {}
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -88,16 +88,16 @@
     def push_all(self, now: int) -> None:
         """Push what can't wait for the next heartbeat."""
         shard = self.shard
-        for name in list(shard.urgent):
+        for name in list(shard.push_queue):
             machine = shard.machines.get(name)
             if machine is None:
-                del shard.urgent[name]
+                del shard.push_queue[name]
                 continue
             if name in self._pushing or now < machine.push_backoff_until:
                 continue
             commands, starts = shard.take_push_commands(machine)
             if not shard.has_pending_commands(machine):
-                del shard.urgent[name]
+                del shard.push_queue[name]
             if commands:
                 self._pushing.add(machine.name)
                 log_commands(shard, machine, commands, pushed=True, now=now)
