--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -114,7 +114,7 @@
         self.messages = MessageOrder()
         self.heard_at = 0
         self.lease = WorkerLease(now)
-        self.back_at = 0  # when it was last heard again after it had been lost
+        self.recovered_at = 0  # when it was last heard again after it had been lost
         self.push_backoff_until = 0  # no commands are pushed until then
 
         # What is on it.
@@ -173,7 +173,7 @@
     def begin_epoch(self, epoch: int, now: int) -> None:
         """Its agent is heard in a new epoch: what is on it must be shown anew."""
         if self.lost:
-            self.back_at = now
+            self.recovered_at = now
         self.messages.begin_epoch(epoch, now)
         self.lease.begin_epoch(now)
         self.lost = False
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -109,7 +109,7 @@
         return self.idle_retention is not None and self.idle_retention.keeps(machine)
 
     def _unreachable_for_long(self, machine: Machine, now: int) -> bool:
-        since = max(machine.unreachable_since, machine.back_at)
+        since = max(machine.unreachable_since, machine.recovered_at)
         patience = UNREACHABLE_LEASES * self.context.shard.timing.lease_expiry_us
         return bool(machine.unreachable_since) and now - since > patience
 
