--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -96,7 +96,7 @@
         self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
-        self.made_at = now
+        self.created_at = now
         self.address = ""
 
         # The facts that `state` is computed from.
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -62,7 +62,7 @@
             self._remove_attempts(machine, now)
 
     def _log_return(self, machine: Machine, now: int) -> None:
-        age_s = max(1, now - machine.made_at) / US
+        age_s = max(1, now - machine.created_at) / US
         up_s = (now - machine.usage.up_at) / US if machine.usage.up_at else 0.0
         spot = ", spot" if machine.spot else ""
         usage = machine.usage
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -169,4 +169,4 @@
 def _may_come_up(machine: Machine, now: int) -> bool:
     """Is the machine within the time that most need to come up?"""
     usual_us = machine.machine_type.boot_us * 3 // 2 + USUAL_BOOT_MARGIN_US
-    return now - machine.made_at < usual_us
+    return now - machine.created_at < usual_us
--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -84,7 +84,7 @@
     def _add(self, listed: RentedMachine, now: int) -> Machine:
         machine_type = self.context.machine_type(listed.type)
         machine = Machine(listed.name, machine_type, listed.zone, listed.spot, now)
-        machine.made_at = now - int(listed.age_s * US)
+        machine.created_at = now - int(listed.age_s * US)
         self.context.shard.add_machine(machine)
         log.info("machine %s added: unexpected in the cloud's list (%s)", listed.name, listed.stage)
         return machine
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -93,7 +93,7 @@
             if name in self.context.shard.gone:
                 continue
             machine = Machine(name, machine_type, stored.zone, stored.spot, now)
-            machine.made_at = now - age_us(stored.at)
+            machine.created_at = now - age_us(stored.at)
             machine.terminating = name in returning
             self.context.shard.add_machine(machine)
 
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -43,7 +43,7 @@
     reported to this one so far: a new shard leader must not return those.
     """
     patience = int(machine.machine_type.boot_us * PROVISIONING_BOOTS) + PROVISIONING_MARGIN_US
-    return not machine.up and not machine.recorded and now - machine.made_at > patience
+    return not machine.up and not machine.recorded and now - machine.created_at > patience
 
 
 def replacement_cost_us(machine: Machine) -> float:
@@ -119,5 +119,5 @@
             machine.up
             and machine.synced
             and now - machine.idle_since > idle_share * replacement_cost_us(machine)
-            and now - machine.made_at > MIN_BILLED_US - BILLING_MARGIN_US
+            and now - machine.created_at > MIN_BILLED_US - BILLING_MARGIN_US
         )
--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -95,7 +95,7 @@
             name = row.key[len(MACHINE) :]
             machine = Machine(name, machine_type, stored.zone, stored.spot, now)
             machine.address = stored.address
-            machine.made_at = now - age_us(stored.at)
+            machine.created_at = now - age_us(stored.at)
             machine.terminating = name in returning
             self.context.store.versions[row.key] = row.version
             shard.load_machine(machine, answered_at.get(name))
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -250,7 +250,8 @@
     assert abs(due_at / 1e6 - asked - 100.0) <= 2 * off + 1
     for machine in shard_leader.shard.machines.values():
         created_at = deployment.cloud.machines[machine.name].created_at
-        assert abs(machine.made_at / 1e6 - created_at) < 15.0  # of use only to judge its first boot
+        # of use only to judge its first boot
+        assert abs(machine.created_at / 1e6 - created_at) < 15.0
     await deployment.wait_until_done("req-000001")
     assert shard_leader.shard.ratio == {}  # nobody here saw the whole run of a task
     await deployment.submit(deployment.job(2, Pieces=3, RunS=20.0, GuessS=20.0))
