--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -112,7 +112,7 @@
 
         # When it was heard, and answered.
         self.messages = MessageOrder()
-        self.heard_at = 0
+        self.last_heartbeat_at = 0
         self.lease = WorkerLease(now)
         self.recovered_at = 0  # when it was last heard again after it had been lost
         self.push_backoff_until = 0  # no commands are pushed until then
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -76,7 +76,7 @@
             self._fleet.begin_epoch(machine, heartbeat.epoch, now)
         messages.heartbeat_sequence = heartbeat.sequence
         is_newest = heartbeat.sequence > messages.sequence
-        machine.heard_at = now
+        machine.last_heartbeat_at = now
         machine.address = heartbeat.address
         notice_s = heartbeat.preemption_notice_s
         self._fleet.update_preemption_notice(machine, notice_s, is_newest, now)
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -162,7 +162,9 @@
         offers = self.offer_book.offers(machine_types.values(), requests.held(), now)
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
-        awaited_zones = {m.zone for m in expected if not m.heard_at and _may_come_up(m, now)}
+        awaited_zones = {
+            m.zone for m in expected if not m.last_heartbeat_at and _may_come_up(m, now)
+        }
         return self.silent_zones.rentable_offers(offers, machine_types, awaited_zones, now)
 
 
--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -34,7 +34,7 @@
         either. False again once it has lasted for `LOST_LEASES`.
         """
         machines = self.context.shard.machines.values()
-        heard_at = [m.heard_at for m in machines if m.up and m.heard_at]
+        heard_at = [m.last_heartbeat_at for m in machines if m.up and m.last_heartbeat_at]
         silent = len(heard_at) >= MIN_SILENT_MACHINES and not self.any_heard(now)
         return silent and now - max(heard_at) < LOST_LEASES * self.context.shard.timing.lease_us
 
@@ -42,7 +42,7 @@
         """Has the machine sent a heartbeat lately? A few missing ones do not matter."""
         interval = self.context.shard.timing.heartbeat_interval_us
         recent = max(MIN_RECENT_US, RECENT_HEARTBEATS * interval)
-        return bool(machine.heard_at) and now - machine.heard_at < recent
+        return bool(machine.last_heartbeat_at) and now - machine.last_heartbeat_at < recent
 
     def any_heard(self, now: int) -> bool:
         """Has any machine sent a heartbeat lately?"""
@@ -52,7 +52,7 @@
         """By zone, for each machine that was ever heard, whether it still is."""
         heard: dict[str, list[bool]] = {}
         for machine in self.context.shard.machines.values():
-            if machine.up and machine.heard_at:
+            if machine.up and machine.last_heartbeat_at:
                 still_heard = not machine.lost and self.recently_heard(machine, now)
                 heard.setdefault(machine.zone, []).append(still_heard)
         return heard
@@ -71,5 +71,5 @@
         return_us = timing.heartbeat_interval_us * 5 // 4 + ANSWER_US + nodes * NEXT_CONTROLLER_US
         lost = [m for m in self.context.shard.machines.values() if m.lost]
         return now - self.all_silent_at > return_us or all(
-            now - m.heard_at > LOST_LEASES * timing.lease_us for m in lost
+            now - m.last_heartbeat_at > LOST_LEASES * timing.lease_us for m in lost
         )
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -69,7 +69,7 @@
             return None
         machine = self.shard.machines[heartbeat.machine]
         log_commands(self.shard, machine, commands, pushed=False, now=now)
-        if machine.heard_at == now:  # else it was outdated or unproven
+        if machine.last_heartbeat_at == now:  # else it was outdated or unproven
             shows_token = heartbeat.fencing_token == self.lease.fencing_token
             self._after_heartbeat(machine, shows_token, now)
         if self.shard.plan_needed:
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -489,7 +489,7 @@
     assert lost.lost
     assert not lost.up
     assert not lost.attempts
-    assert not lost.heard_at
+    assert not lost.last_heartbeat_at
     story.heartbeat("m-9", epoch=4, tick=1)  # it shows our fencing token: it lives
 
     assert not lost.lost
