--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -24,7 +24,9 @@
         # Machines that may hold tasks of an earlier shard leader, and have not shown our fencing
         # token.
         self.unsynced: set[str] = set()
-        self.gone: dict[str, None] = {}  # names of machines that are deleted, the oldest first
+        self.deleted_machines: dict[
+            str, None
+        ] = {}  # names of machines that are deleted, the oldest first
         self._fencing_token = fencing_token
         self._attempts = attempts
         self._signals = signals
@@ -54,9 +56,9 @@
     def drop(self, name: str, now: int) -> None:
         """It is deleted: everything on it is gone."""
         machine = self.machines.pop(name, None)
-        self.gone[name] = None
-        while len(self.gone) > MAX_RETAINED_NAMES:
-            del self.gone[next(iter(self.gone))]
+        self.deleted_machines[name] = None
+        while len(self.deleted_machines) > MAX_RETAINED_NAMES:
+            del self.deleted_machines[next(iter(self.deleted_machines))]
         if machine is not None:
             self._log_return(machine, now)
             self._remove_attempts(machine, now)
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -62,7 +62,7 @@
         self.job_states = self._jobs.by_ref
         self.machines = self._fleet.machines
         self.unsynced = self._fleet.unsynced
-        self.gone = self._fleet.gone
+        self.deleted_machines = self._fleet.deleted_machines
         self.push_queue = self._signals.push_queue
         self.team_used = self._attempts.team_used
         self.ratio = self._run_times.ratio
--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -61,7 +61,7 @@
     def _compare(self, rented: list[RentedMachine], now: int) -> None:
         shard = self.context.shard
         for listed in rented:
-            if listed.name in shard.gone:
+            if listed.name in shard.deleted_machines:
                 continue
             machine = shard.machines.get(listed.name)
             if machine is None:
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -90,7 +90,7 @@
         returning = self.context.intents.returning
         machine_type = self.context.machine_type(stored.type_name)
         for name in names:
-            if name in self.context.shard.gone:
+            if name in self.context.shard.deleted_machines:
                 continue
             machine = Machine(name, machine_type, stored.zone, stored.spot, now)
             machine.created_at = now - age_us(stored.at)
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -49,7 +49,7 @@
         Tasks are started on recorded machines only, so it holds none that is wanted. That it exists
         is certain only once it shows our fencing token.
         """
-        if heartbeat.machine in self.shard.gone:
+        if heartbeat.machine in self.shard.deleted_machines:
             return None
         if heartbeat.fencing_token < self.lease.fencing_token:
             return self._renewal(self.shard.halt_orphans(heartbeat))
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -216,4 +216,4 @@
     for number in range(MACHINES):
         story.shard.drop_machine(_name(number), story.now)
 
-    assert len(story.shard.gone) == MACHINES < MAX_RETAINED_NAMES
+    assert len(story.shard.deleted_machines) == MACHINES < MAX_RETAINED_NAMES
