--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -278,7 +278,7 @@
 
         # Results, as bits by task, and those of them that this shard recorded.
         self.done = bytearray((job.tasks + 7) // 8)
-        self.own = bytearray(len(self.done))
+        self.own_done = bytearray(len(self.done))
         self.done_count = 0
         self.unstored: set[int] = set()  # of our own, those not in the key-value store so far
 
@@ -307,13 +307,13 @@
         """Has the task completed?"""
         return bool(self.done[index >> 3] >> (index & 7) & 1)
 
-    def note(self, index: int, own: bool) -> bool:
+    def note(self, index: int, is_own: bool) -> bool:
         """Take in a result, ours or one that another shard recorded; True if it is new."""
         if index >= self.job.tasks:
             return False
         bit = 1 << (index & 7)
-        if own:
-            self.own[index >> 3] |= bit
+        if is_own:
+            self.own_done[index >> 3] |= bit
         if self.is_done(index):
             return False
         self.done[index >> 3] |= bit
@@ -324,7 +324,7 @@
 
     def finish(self, index: int) -> None:
         """Take in that a task has completed on a machine of this shard."""
-        if self.note(index, own=True):
+        if self.note(index, is_own=True):
             self.finished_recent += 1
             self.unstored.add(index)
 
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -111,13 +111,13 @@
 
     def _chunk_row(self, job_state: JobState, number: int) -> ProgressChunk:
         first = number * self.chunk
-        bits = bytes(job_state.own[first // 8 : (first + self.chunk) // 8])
+        bits = bytes(job_state.own_done[first // 8 : (first + self.chunk) // 8])
         return ProgressChunk(b"", count_bits(bits), shown_running(job_state, number), first, bits)
 
 
 def stretch_row(job_state: JobState, number: int) -> Progress:
     """The stretch row with this number: what this shard has recorded of these tasks."""
-    done = bytes(job_state.own[number * STRETCH // 8 : (number + 1) * STRETCH // 8])
+    done = bytes(job_state.own_done[number * STRETCH // 8 : (number + 1) * STRETCH // 8])
     return Progress(done, count_bits(done), shown_running(job_state, number))
 
 
