--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -307,7 +307,7 @@
         """Has the task completed?"""
         return bool(self.done[index >> 3] >> (index & 7) & 1)
 
-    def note(self, index: int, is_own: bool) -> bool:
+    def record_result(self, index: int, is_own: bool) -> bool:
         """Take in a result, ours or one that another shard recorded; True if it is new."""
         if index >= self.job.tasks:
             return False
@@ -324,7 +324,7 @@
 
     def finish(self, index: int) -> None:
         """Take in that a task has completed on a machine of this shard."""
-        if self.note(index, is_own=True):
+        if self.record_result(index, is_own=True):
             self.finished_recent += 1
             self.unstored.add(index)
 
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -161,7 +161,7 @@
         if byte:
             for bit in range(8):
                 if byte >> bit & 1:
-                    job_state.note(first + offset * 8 + bit, own)
+                    job_state.record_result(first + offset * 8 + bit, own)
 
 
 class RowPlace(NamedTuple):
