--- a/basaltlead/cluster/cluster_watch.py
+++ b/basaltlead/cluster/cluster_watch.py
@@ -7,8 +7,8 @@
 from basaltlead.cluster.session_lease import SessionLeaseKeeper
 from basaltlead.core.cluster_view import (
     PREFIX,
-    Claim,
     ClusterView,
+    MemberRecord,
 )
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
@@ -39,11 +39,11 @@
         watch = KeyWatch(self.store, PREFIX, self.hold_ms)
         await watch.run(self._load, self._apply, self._after_read)
 
-    def note_member(self, claim: Claim, version: int) -> None:
+    def note_member(self, claim: MemberRecord, version: int) -> None:
         """Take in a member record that this process has written itself."""
         self.view.note_member(claim, version)
 
-    def note_leader(self, claim: Claim, version: int) -> None:
+    def note_leader(self, claim: MemberRecord, version: int) -> None:
         """Take in a leader record that this process has written itself."""
         self.view.note_leader(claim, version)
 
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -10,9 +10,9 @@
 from basaltlead.config.settings import Settings
 from basaltlead.core.cluster_view import (
     LEADER,
-    Claim,
     ClusterView,
     Grant,
+    MemberRecord,
     Versioned,
     grant_label,
     shard_key,
@@ -133,7 +133,7 @@
         self.wake.set()
         self.on_change()
 
-    def _joined(self, claim: Claim, version: int) -> None:
+    def _joined(self, claim: MemberRecord, version: int) -> None:
         self.watch.note_member(claim, version)
         self.notify()
 
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from basaltlead.clients.backoff import Backoff
-from basaltlead.core.cluster_view import Claim, member_key, session_validity_end
+from basaltlead.core.cluster_view import MemberRecord, member_key, session_validity_end
 from basaltlead.errors import ServiceError, SessionLeaseExpired
 from basaltlead.runtime.clock import chance, now_us
 from basaltlead.runtime.logs import log
@@ -32,7 +32,7 @@
         store: KeyValueStore,
         ttl_us: int,
         record_version: int,
-        on_joined: Callable[[Claim, int], None],
+        on_joined: Callable[[MemberRecord, int], None],
         on_left: Callable[[], None],
     ) -> None:
         """`on_joined` gets the member record and its version once there is a new lease, `on_left`
@@ -72,9 +72,9 @@
         user is of no use."""
         return now_us() - self.contact_at > self.ttl_us
 
-    def claim(self) -> Claim:
+    def claim(self) -> MemberRecord:
         """What our member key and, when we lead, the leader's key contain."""
-        return Claim(self.name, self.incarnation, self.record_version)
+        return MemberRecord(self.name, self.incarnation, self.record_version)
 
     def precondition(self) -> Precondition:
         """The condition of every write of this process: our member key is still the one that we
@@ -123,7 +123,7 @@
         lease = await self.store.create_lease(self.ttl_us)
         old = await self.store.get(member_key(self.name))
         incarnation = f"{chance.getrandbits(INCARNATION_BITS):012x}"
-        claim = Claim(self.name, incarnation, self.record_version)
+        claim = MemberRecord(self.name, incarnation, self.record_version)
         # On condition of what the key held, so that a late copy of this very request from an
         # earlier incarnation can't overwrite the record of a later one.
         version = await self.store.compare_and_swap(
--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -66,7 +66,7 @@
     return key.rpartition("/")[0]
 
 
-class Claim(Struct, rename={"incarnation": "life"}):  # as it is stored
+class MemberRecord(Struct, rename={"incarnation": "life"}):  # as it is stored
     """The value of the leader's key and of member keys."""
 
     name: str
@@ -111,17 +111,17 @@
     """What is known of the keys under `PREFIX`: their values and versions."""
 
     def __init__(self) -> None:
-        self.members: dict[str, Versioned[Claim]] = {}  # by name
-        self.leader: Versioned[Claim] | None = None
+        self.members: dict[str, Versioned[MemberRecord]] = {}  # by name
+        self.leader: Versioned[MemberRecord] | None = None
         self.grants: dict[str, Versioned[Grant]] = {}  # by the keys of shards and duties
         self.fencing_token: Versioned[Counter] | None = None
         self.loads: dict[int, Load] = {}  # by shard
 
-    def note_member(self, claim: Claim, version: int) -> None:
+    def note_member(self, claim: MemberRecord, version: int) -> None:
         """Note the record of a member."""
         self.members[claim.name] = Versioned(claim, version)
 
-    def note_leader(self, claim: Claim, version: int) -> None:
+    def note_leader(self, claim: MemberRecord, version: int) -> None:
         """Note who leads."""
         self.leader = Versioned(claim, version)
 
@@ -145,13 +145,13 @@
         Raises `msgspec.DecodeError` or `ValueError` for a key or a value that can't be read.
         """
         if key == LEADER:
-            self.note_leader(msgspec.json.decode(raw, type=Claim), version)
+            self.note_leader(msgspec.json.decode(raw, type=MemberRecord), version)
         elif key == FENCING_TOKEN:
             self.note_fencing_token(msgspec.json.decode(raw, type=Counter), version)
         elif key.startswith(MEMBER_PREFIX):
             name = key.removeprefix(MEMBER_PREFIX)
             if self.member_version(name) <= version:
-                self.members[name] = Versioned(msgspec.json.decode(raw, type=Claim), version)
+                self.members[name] = Versioned(msgspec.json.decode(raw, type=MemberRecord), version)
         elif key.startswith(LOAD_PREFIX):
             shard = int(key.removeprefix(LOAD_PREFIX))
             self.loads[shard] = msgspec.json.decode(raw, type=Load)
--- a/tests/test_failover_order.py
+++ b/tests/test_failover_order.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from basaltlead.core.cluster_view import Claim, ClusterView, Grant, Versioned, shard_key
+from basaltlead.core.cluster_view import ClusterView, Grant, MemberRecord, Versioned, shard_key
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
 
@@ -12,7 +12,7 @@
 def _cluster(last_owner: str, *names: str) -> ClusterView:
     cluster = ClusterView()
     cluster.grants[shard_key(0)] = Versioned(Grant(last_owner, "gone", 1), 1)
-    cluster.members = {name: Versioned(Claim(name, "here"), 2) for name in names}
+    cluster.members = {name: Versioned(MemberRecord(name, "here"), 2) for name in names}
     return cluster
 
 
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -5,7 +5,13 @@
 import pytest
 
 from basaltlead.core.cancellations import Cancellations
-from basaltlead.core.cluster_view import Claim, Grant, Versioned, session_validity_end, shard_key
+from basaltlead.core.cluster_view import (
+    Grant,
+    MemberRecord,
+    Versioned,
+    session_validity_end,
+    shard_key,
+)
 from basaltlead.errors import PreconditionFailed
 from basaltlead.wire.peers import DeferralRequest
 from tests.fakes import Deployment
@@ -134,7 +140,7 @@
     assert member.deferrals.may_replace(gone)
     deployment.store.down = True
     await asyncio.sleep(member.ttl_us / 2e6)
-    member.cluster.members["node-x"] = Versioned(Claim("node-x", "incarnation"), 1)
+    member.cluster.members["node-x"] = Versioned(MemberRecord("node-x", "incarnation"), 1)
     assert member.deferrals.defer_failover("node-x", "incarnation", member.ttl_us) > 0
     del member.cluster.members["node-x"]  # its session lease has ended
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 
 from basaltlead.cluster import versions
 from basaltlead.cluster.peer_link import decoder
-from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant, Versioned
+from basaltlead.core.cluster_view import ClusterView, Counter, Grant, MemberRecord, Versioned
 from basaltlead.core.jobs import Shape
 from basaltlead.core.market import TeamRecord
 from basaltlead.storage.records import Final, StoredJob, StoredMachine, StoredScaleOut, job_of
@@ -31,8 +31,8 @@
 TYPES: dict[str, Any] = {
     "c/baton": Counter,
     "c/block": Grant,
-    "c/leader": Claim,
-    "c/member": Claim,
+    "c/leader": MemberRecord,
+    "c/member": MemberRecord,
     "hire": StoredScaleOut,
     "mach": StoredMachine,
     "open": StoredJob,
@@ -58,13 +58,13 @@
         machine_type = _record_type(key)
         read = msgspec.json.decode(msgspec.json.encode(value), type=TYPES[machine_type])
         machine_types.add(machine_type)
-        if isinstance(read, Claim):
+        if isinstance(read, MemberRecord):
             assert read.version == 0
         if isinstance(read, StoredJob):
             assert read.sent.ref == key.removeprefix("open/")
             shapes = {"batch": Shape.ARRAY, "group": Shape.GANG, "service": Shape.SERVICE}
             assert job_of(read.sent).shape is shapes[value["job"]["Shape"]]
-        elif not isinstance(read, Claim):
+        elif not isinstance(read, MemberRecord):
             assert msgspec.to_builtins(read) == value
     assert machine_types == set(TYPES)
 
@@ -150,7 +150,7 @@
 def _cluster(**versions: int) -> ClusterView:
     cluster = ClusterView()
     for name, version in versions.items():
-        cluster.members[name] = Versioned(Claim(name, "ab", version), 5)
+        cluster.members[name] = Versioned(MemberRecord(name, "ab", version), 5)
     return cluster
 
 
--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from basaltlead.core.cluster_view import Claim, Grant
+from basaltlead.core.cluster_view import Grant, MemberRecord
 from basaltlead.storage.records import StoredMachine, StoredScaleOut
 from basaltlead.storage.result_rows import Progress
 from basaltlead.wire.peers import CancellationNotice, DeferralRequest, FailoverDeferral
@@ -11,7 +11,7 @@
 from basaltlead.wire.workers import DirectCommand, HeartbeatResponse, WorkerCommand
 
 SPELLINGS: list[tuple[msgspec.Struct, str]] = [
-    (Claim("n-0", "ab", 1), '{"name":"n-0","life":"ab","version":1}'),
+    (MemberRecord("n-0", "ab", 1), '{"name":"n-0","life":"ab","version":1}'),
     (Grant("n-0", "ab", 7), '{"name":"n-0","life":"ab","baton":7,"avoid":""}'),
     (Progress(b"\x01", 1), '{"done":"AQ==","count":1,"running":0}'),
     (
@@ -49,7 +49,8 @@
 
 
 def test_member_without_a_version_is_of_the_first() -> None:
-    assert msgspec.json.decode('{"name":"n-0","life":"ab"}', type=Claim) == Claim("n-0", "ab", 0)
+    record = msgspec.json.decode('{"name":"n-0","life":"ab"}', type=MemberRecord)
+    assert record == MemberRecord("n-0", "ab", 0)
 
 
 def test_transactions_keep_their_spelling() -> None:
