--- a/basaltlead/core/task_states.py
+++ b/basaltlead/core/task_states.py
@@ -1,44 +1,44 @@
-"""The states of a task, why an attempt ended, and the commands for a task.
+"""Task states, exit reasons of attempts, and command verbs, as the worker protocol defines them.
 
-The values are the words of the worker protocol. A worker may report a word that is not listed here,
-for example one of a later version, so reported words are kept as the plain strings that they are
-and only compared with members: a `StrEnum` member equals its string. An unknown state is one of a
-task that may be on its machine; an unknown exit reason blames neither the job nor the machine.
+A worker may report a value that is not listed here, for example one of a later version. Reported
+values therefore stay plain strings and are only compared with members: a `StrEnum` member equals
+its string. A task in an unknown state may be on its machine; an unknown exit reason counts against
+neither the job nor the machine.
 
-In Python 3.11 reading a member from its class takes several times as long as comparing two strings.
-States are compared for each task of each heartbeat, so modules import the members by name.
+In Python 3.11 looking up a member on its class takes several times as long as comparing two
+strings. States are compared for each task of each heartbeat, so modules import the members by name.
 """
 
 from enum import StrEnum
 
 
 class TaskState(StrEnum):
-    """What is known of a task on its machine.
+    """The state of a task on its machine.
 
-    PLANNED and SENT are the controller's own: bound to a machine; its start command was sent, and
-    no heartbeat has listed it so far. The others are as the worker reports them.
+    Two states are internal to the controller. PLANNED: the task is bound to a machine. SENT: its
+    start command was sent, and no heartbeat has listed it yet. The others are reported by workers.
     """
 
     PLANNED = "planned"
     SENT = "sent"
-    FETCHING = "fetching"  # its image is on the way
-    GATHERING = "gathering"  # a gang's task waits until all of the gang are ready
+    FETCHING = "fetching"  # its image is being fetched
+    GATHERING = "gathering"  # waits until all tasks of its gang are ready
     RUNNING = "running"
-    SAVING = "saving"  # it was asked to stop and saves a checkpoint
+    SAVING = "saving"  # was told to stop and is saving a checkpoint
     ENDED = "ended"
 
 
 class ExitReason(StrEnum):
-    """Why a worker says that an attempt ended."""
+    """Why an attempt ended, as reported by its worker."""
 
     DONE = "done"  # it returned without an error
     STOPPED = "stopped"  # by a command
     PEERS = "peers"  # another task of its gang ended
     INCOMPLETE = "incomplete"  # its gang was not complete in time
     ERROR = "error"
-    FULL = "full"  # the machine had no room for it
+    FULL = "full"  # the machine had too little free capacity
     IN_USE = "in_use"  # another attempt of the task was still on the machine
-    NO_SUCH = "no_such"  # the worker does not find the job
+    NO_SUCH = "no_such"  # the worker did not find the job
 
 
 class CommandVerb(StrEnum):
@@ -61,15 +61,15 @@
 HALT = CommandVerb.HALT
 FORGET = CommandVerb.FORGET
 
-# No heartbeat has listed the attempt so far.
+# No heartbeat has listed the attempt yet.
 BEFORE_FIRST_REPORT = (PLANNED, SENT)
-# Nothing is lost if the attempt is stopped.
+# Stopping the attempt loses no work.
 BEFORE_FIRST_RUN = (PLANNED, SENT, FETCHING, GATHERING)
-# Its image has arrived on the machine.
+# The image is on the machine.
 IMAGE_PRESENT = (RUNNING, SAVING, GATHERING)
-# It runs, or ran and saves what it has done.
+# The task is running, or saving its progress after it ran.
 EXECUTING = (RUNNING, SAVING)
-# The end of one task with one of these ends its gang's attempt: the others are cleared away.
+# If one task of a gang ends for one of these reasons, the other tasks are stopped.
 GANG_ENDING_REASONS = frozenset(
     {
         ExitReason.PEERS,
