--- a/basaltlead/core/task_keys.py
+++ b/basaltlead/core/task_keys.py
@@ -1,21 +1,21 @@
-"""The keys by which tasks and attempts are known.
+"""Keys that identify tasks and attempts.
 
-A key equals the plain tuple of its fields, which is made several times as fast. So where keys are
-only looked up, for each task of each heartbeat, they are plain tuples.
+A key equals the plain tuple of its fields, and the tuple is created several times as fast. Lookups
+that happen for each task of each heartbeat therefore use plain tuples.
 """
 
 from typing import NamedTuple
 
 
 class TaskKey(NamedTuple):
-    """One task of a job."""
+    """Identifies one task of a job."""
 
     ref: str  # of the job
     task_index: int
 
 
 class AttemptKey(NamedTuple):
-    """One attempt of a task."""
+    """Identifies one attempt of a task."""
 
     ref: str  # of the job
     task_index: int
@@ -26,6 +26,6 @@
 
 
 def parse_task(task: str) -> tuple[str, int]:
-    """The job and the index of a task as the worker protocol names it: "<job>/<index>"."""
+    """Return job and index of a task from its name in the worker protocol, "<job>/<index>"."""
     ref, _, index = task.rpartition("/")
     return ref, int(index)
