--- a/basaltlead/core/worker_lease.py
+++ b/basaltlead/core/worker_lease.py
@@ -1,24 +1,24 @@
-"""When the lease of a machine's worker has provably expired.
-
-A worker kills its tasks, and begins its next agent epoch, once the last answered heartbeat of its
-epoch was *sent* more than a lease ago or, if none was answered, once the epoch *began* more than a
-lease ago. Pushed commands and probes renew nothing. A shard leader sees neither moment, only later
-ones that bound them:
-
-- A former shard leader may have answered until the grant: its session lease had ended by then, and
-  what it started is in an epoch that had begun by then.
-- An epoch had begun when the first message of it arrived, be it a heartbeat or the answer to a
-  pushed command.
-- A heartbeat had been sent when it was answered.
-
-So the epoch that is known is over, and all that was started in it is killed, a lease after the
-*latest* of these moments, and `Timing.lease_expiry_us` adds the drift of both clocks and the
-resolution of timers. Nothing of ours can be in the epoch that follows: commands name the epoch that
-they are for, and one that is not known gets none.
-
-A moment that belongs to an earlier epoch says nothing about the present one. To count from the
-grant alone once started tasks a second time while they were running, on machines that had begun
-another epoch meanwhile (test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch).
+"""Determines when the lease of a machine's worker has provably expired.
+
+A worker kills its tasks and begins its next agent epoch when one lease duration has passed since it
+*sent* the last answered heartbeat of its epoch or, if none was answered, since the epoch *began*.
+Pushed commands and probes do not renew the lease. A shard leader observes neither of these times,
+only later ones that bound them:
+
+- A former shard leader may have answered until the shard was granted to us: its session lease had
+  ended by then, and whatever it started is in an epoch that had begun by then.
+- An epoch has begun when its first message arrives, either a heartbeat or the answer to a pushed
+  command.
+- A heartbeat has been sent when it is answered.
+
+One lease duration after the *latest* of these times the known epoch is therefore over, and
+everything started in it is killed; `Timing.lease_expiry_us` adds the drift of both clocks and the
+resolution of timers. The following epoch cannot contain tasks of ours: commands name the epoch that
+they are for, and no command is sent for an epoch that is not known.
+
+A time from an earlier epoch says nothing about the current one. Counting from the grant alone
+started tasks a second time while they were still running, on machines that had begun another epoch
+since (test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch).
 """
 
 from enum import StrEnum
@@ -28,7 +28,7 @@
 
 
 class LeaseStart(StrEnum):
-    """What a span without renewal is counted from; the values appear in the log."""
+    """The event from which the lease is counted; the values appear in the log."""
 
     REGISTERED = "its registration"
     GRANTED = "the grant"
@@ -36,44 +36,49 @@
     ANSWERED = "its last answered heartbeat"
 
 
-REGISTERED, GRANTED, EPOCH_BEGAN, ANSWERED = LeaseStart  # by name: see task_states on the cost
+# Module constants, since looking up a member on its class is slow: see task_states.
+REGISTERED, GRANTED, EPOCH_BEGAN, ANSWERED = LeaseStart
 
 
 class WorkerLease:
-    """The latest moment from which a worker may count its lease, as its shard leader knows it."""
+    """The latest time from which a worker may count its lease, as known to its shard leader.
+
+    All times are microseconds.
+    """
 
     __slots__ = ("answered_at", "counted_from", "started_by")
 
     def __init__(self, now: int) -> None:
-        """The machine becomes known to this shard leader."""
+        """Start counting when the machine becomes known to this shard leader."""
         self.counted_from = now
         self.started_by = REGISTERED
-        # When a heartbeat was last answered, by us or at best by a former shard leader. An epoch
-        # that only a pushed command has shown does not count here: nothing renews its lease.
+        # The latest time at which we, or a former shard leader, may have answered a heartbeat. An
+        # epoch known only from the answer to a pushed command does not count: that answer does not
+        # renew the lease.
         self.answered_at = now
 
     def grant(self, at: int, answered_at: int | None = None) -> None:
-        """A former shard leader's machine: the shard was granted to us, and we may have answered
-        the machine since."""
+        """Count from the time `at` at which the shard was granted to us, for a machine of a former
+        shard leader, or from `answered_at` if we have answered it since."""
         self.counted_from = self.answered_at = at
         self.started_by = GRANTED
-        if answered_at is not None:  # we answer nobody before the grant
+        if answered_at is not None:  # never before the grant
             self.answer(answered_at)
 
     def begin_epoch(self, now: int) -> None:
-        """The first message of a new epoch has arrived."""
-        self.counted_from = now  # the latest: calls come in the order of time
+        """Record that the first message of a new epoch has arrived."""
+        self.counted_from = now  # calls come in order of time, so this is the latest
         self.started_by = EPOCH_BEGAN
 
     def answer(self, now: int) -> None:
-        """A heartbeat is answered."""
+        """Record that a heartbeat is answered."""
         self.counted_from = self.answered_at = now
         self.started_by = ANSWERED
 
     def has_expired(self, now: int, timing: Timing) -> bool:
-        """Has the worker provably killed all that was started in the epoch that is known?"""
+        """Whether the worker has provably killed everything started in the known epoch."""
         return now - self.counted_from > timing.lease_expiry_us
 
     def describe(self, now: int) -> str:
-        """How long ago it was renewed, and by what, for the log."""
+        """How long ago the lease was renewed, and by what event, for the log."""
         return f"{(now - self.counted_from) / US:.1f} s since {self.started_by}"
