--- a/basaltlead/core/message_order.py
+++ b/basaltlead/core/message_order.py
@@ -1,36 +1,36 @@
-"""Which of a machine's messages is the newest."""
+"""Ordering of the messages of a machine."""
 
 
 class MessageOrder:
-    """The agent epoch of a machine and the sequence numbers of what was received in it.
+    """The agent epoch of a machine and the highest sequence numbers received in it.
 
-    Messages may be copies from long ago, and answers to pushed commands overtake heartbeats. A
-    message of an epoch before `min_epoch` proves nothing: that epoch is over, and what ran in it
-    was killed.
+    Messages may be delayed copies, and answers to pushed commands may overtake heartbeats. A
+    message of an epoch before `min_epoch` is obsolete: that epoch is over, and everything that ran
+    in it was killed. Times are microseconds.
     """
 
     def __init__(self) -> None:
-        self.epoch = 0  # 0: none was heard so far
+        self.epoch = 0  # 0: no message so far
         self.epoch_started_at = 0
         self.min_epoch = 0
-        self.sequence = 0  # of the newest message whose list of tasks was taken in
+        self.sequence = 0  # of the newest message whose list of tasks was applied
         self.heartbeat_sequence = 0  # of the newest heartbeat
-        # Since when heartbeats were answered that do not show our fencing token; 0: they show it.
+        # Since when we have answered heartbeats that do not carry our fencing token; 0: they do.
         self.unsynced_since = 0
 
     def begin_epoch(self, epoch: int, now: int) -> None:
-        """A new epoch begins."""
+        """Begin a new epoch, with no message received in it yet."""
         self.epoch = epoch
         self.epoch_started_at = now
         self.min_epoch = max(self.min_epoch, epoch)
         self.sequence = self.heartbeat_sequence = 0
 
     def end_epoch(self) -> None:
-        """The epoch is over; reports of it that were held up on their way prove nothing any more.
-        Before the first one there is none to end."""
+        """End the epoch: delayed reports of it are obsolete. Has no effect before the first
+        epoch."""
         self.min_epoch = self.epoch + 1 if self.epoch else 0
         self.unsynced_since = 0
 
     def record_list(self, sequence: int) -> None:
-        """The list of tasks of this message was taken in."""
+        """Record that the list of tasks of the message with this sequence number was applied."""
         self.sequence = max(self.sequence, sequence)
