--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -1,4 +1,4 @@
-"""What changes while a shard is led: attempts, machines and jobs. Times are microseconds.
+"""The mutable state of a shard: attempts, machines and jobs. Times are microseconds.
 
 The three refer to each other: an attempt binds a task of a job to a machine, and both list it.
 """
@@ -13,12 +13,13 @@
 from basaltlead.core.task_states import PLANNED, RUNNING
 from basaltlead.core.worker_lease import WorkerLease
 
-# A worker's report must fit into 64 KiB, and so must the tasks that it lists.
+# A worker's report, with the tasks that it lists, must fit into 64 KiB.
 MAX_TASKS_PER_MACHINE = 400
 
 
 class Attempt:
-    """One start of one task on one machine, from the decision until it is provably gone."""
+    """One execution of a task on a machine, from the decision to start it until it has provably
+    left the machine."""
 
     __slots__ = (
         "adopted",
@@ -46,48 +47,48 @@
         self.index = index
         self.machine = machine
         self.attempt_number = attempt_number
-        # Looked up for each heartbeat, so they are made once.
+        # Created once, since they are looked up for each heartbeat.
         self.key = TaskKey(job_state.job.ref, index)
         self.attempt_key = AttemptKey(job_state.job.ref, index, attempt_number)
-        # A TaskState, or the word that the worker reports if this version does not know it.
+        # A TaskState, or the reported value if this version does not know it.
         self.stage: str = PLANNED
-        # Not None: it is to stop, and may take so many seconds to save a checkpoint.
+        # Not None: it is to stop, with this many seconds to save a checkpoint.
         self.stop_grace_s: float | None = None
-        self.pushed_grace_s: float | None = None  # the grace of the halt that was pushed
-        # Heartbeats up to this one say nothing about it: the answer to this one carried the start
-        # command, or this one is the worker's answer to a pushed start.
+        self.pushed_grace_s: float | None = None  # the grace period of the halt that was pushed
+        # Messages up to this sequence number say nothing about the attempt: the answer to this
+        # heartbeat carried the start command, or this is the worker's answer to a pushed start.
         self.sent_sequence = 0
-        self.start_in_flight = False  # a start was pushed and is not answered so far
+        self.start_in_flight = False  # a start was pushed and is not answered yet
         # A pushed start was never answered: a copy of it may still arrive at the worker.
         self.start_unacknowledged = False
         self.created_at = now
-        self.running_since = 0  # 0: no report said that it runs
-        # It was running when this shard leader first heard of it: since when is not known, and its
-        # run time says nothing about that of others.
+        self.running_since = 0  # 0: no report has shown it running
+        # It was already running when this shard leader learned of it. Its start time is unknown,
+        # so its run time must not be used to estimate that of other tasks.
         self.adopted = False
-        self.bid = 0.0  # what is booked for it on its machine
+        self.bid = 0.0  # the bid that is booked for it on its machine
 
     @property
     def may_be_on_machine(self) -> bool:
-        """Was a start command sent, so that it may be on its machine?"""
+        """Whether a start command was sent, so that it may be on its machine."""
         return self.stage != PLANNED
 
 
 class OrphanedAttempt:
-    """An attempt that is over, or that nobody wants, still listed by its worker."""
+    """An attempt that has ended or is no longer wanted, and that its worker still lists."""
 
     __slots__ = ("ended", "forgettable", "start_unacknowledged")
 
     def __init__(self, ended: bool, forgettable: bool, start_unacknowledged: bool = False) -> None:
         self.ended = ended
-        self.forgettable = forgettable  # its end means nothing that must be stored first
-        # A start command may still arrive. The worker must go on listing the attempt: it refuses
-        # a start of an attempt that it knows, and would execute one that it has forgotten.
+        self.forgettable = forgettable  # it has no result that must be stored first
+        # A start command may still arrive. The worker must keep the attempt in its list: it rejects
+        # a start of a listed attempt, but would execute one of an attempt that it has forgotten.
         self.start_unacknowledged = start_unacknowledged
 
 
 class Machine:
-    """A rented machine as its shard leader sees it."""
+    """A rented machine, from the point of view of its shard leader."""
 
     def __init__(
         self, name: str, machine_type: MachineType, zone: str, spot: bool, now: int
@@ -99,41 +100,41 @@
         self.created_at = now
         self.address = ""
 
-        # The facts that `state` is computed from.
-        self.up = False  # it has been heard
-        self.synced = False  # has shown our fencing token in this agent epoch
-        self.recorded = False  # stands in the key-value store: tasks may be started
+        # The flags and times from which `state` is computed.
+        self.up = False  # a message of it has arrived
+        self.synced = False  # a message with our fencing token has arrived in this agent epoch
+        self.recorded = False  # recorded in the key-value store, so tasks may be started
         self.lost = False  # its lease has expired without an answer of ours
-        self.draining = False  # taken to be faulty or slow
+        self.draining = False  # considered faulty or slow
         self.terminating = False  # to be returned to the cloud
         self.preemption_at: int | None = None  # when the cloud takes it back
         self.cordoned_until = 0  # nothing is started on it until then
         self.unreachable_since = 0  # since when our commands may not reach it; 0: no doubt
 
-        # When it was heard, and answered.
+        # Messages.
         self.messages = MessageOrder()
         self.last_heartbeat_at = 0
         self.lease = WorkerLease(now)
-        self.recovered_at = 0  # when it was last heard again after it had been lost
+        self.recovered_at = 0  # when it last reported again after it had been lost
         self.push_backoff_until = 0  # no commands are pushed until then
 
-        # What is on it.
+        # Contents.
         self.attempts: dict[TaskKey, Attempt] = {}
         self.orphaned_attempts: dict[AttemptKey, OrphanedAttempt] = {}
         self.images: dict[str, float] = {}  # sizes in GB; the most recently used last
         self.idle_since = now
-        self.needed = True  # the fleet needs it: one it does not need is left to empty
-        self.free = Resources.of(machine_type)  # what the attempts that stay leave; see book
-        self.booked = 0.0  # the sum of the bids of those
+        self.needed = True  # False: the fleet does not need it, and it is left to run empty
+        self.free = Resources.of(machine_type)  # capacity not taken by attempts that are to stay
+        self.booked = 0.0  # the sum of the bids of those attempts
 
         self.usage = MachineUsage()
         self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
-        self.straggler_jobs: set[str] = set()  # jobs of which a task took far too long here
+        self.straggler_jobs: set[str] = set()  # jobs with a straggling task here
 
     # State
 
     def state(self, now: int) -> MachineState:
-        """Whether it takes tasks, and if not, why: see `MachineState` for the transitions."""
+        """Whether tasks can be started on it, and if not, why: see `MachineState`."""
         if self.usable(now):
             return MachineState.READY
         if self.terminating:
@@ -147,8 +148,8 @@
         return MachineState.CORDONED
 
     def usable(self, now: int) -> bool:
-        """May a task be started there, that is, is it READY? Asked of each machine in each plan,
-        so it is one expression."""
+        """Whether tasks can be started on it, that is, whether it is READY. Called for each machine
+        in each plan, hence a single expression."""
         return (
             self.synced
             and self.recorded
@@ -162,16 +163,16 @@
 
     @property
     def is_draining(self) -> bool:
-        """Is work to be moved off it?"""
+        """Whether its tasks are to be moved to other machines."""
         return self.draining or self.preemption_at is not None
 
     @property
     def epoch(self) -> int:
-        """The agent epoch in which it was last heard; 0: it was never heard."""
+        """The latest known agent epoch; 0 before the first message."""
         return self.messages.epoch
 
     def begin_epoch(self, epoch: int, now: int) -> None:
-        """Its agent is heard in a new epoch: what is on it must be shown anew."""
+        """Record the first message of a new agent epoch: the list of its tasks is not known yet."""
         if self.lost:
             self.recovered_at = now
         self.messages.begin_epoch(epoch, now)
@@ -181,34 +182,34 @@
         self.up = True
 
     def confirm_synced(self, now: int) -> None:
-        """It has shown our fencing token, and so all that is on it."""
+        """Record a report with our fencing token, whose list of tasks is complete."""
         self.synced = True
         self.up = True
         self.usage.mark_up(now)
 
     def mark_lost(self) -> None:
-        """Its lease has expired, and with it its agent epoch."""
+        """Record that its lease has expired and its agent epoch is over."""
         self.lost = True
         self.synced = False
         self.messages.end_epoch()
         self.images.clear()
 
-    # Room
+    # Capacity
 
     def book(self, attempt: Attempt) -> None:
-        """Take the attempt's room. What is free and booked is kept up to date with each attempt,
-        since each plan asks for it."""
+        """Reserve capacity for an attempt. `free` and `booked` are updated incrementally, since
+        each plan reads them."""
         attempt.bid = attempt.job_state.bid
         self.free.take(attempt.job_state.job)
         self.booked += attempt.bid
 
     def unbook(self, attempt: Attempt) -> None:
-        """Give the room of an attempt back that is to stop, or gone."""
+        """Release the capacity of an attempt that is to stop or has been removed."""
         self.free.take(attempt.job_state.job, -1)
         self.booked -= attempt.bid
 
     def rebook(self) -> None:
-        """Book anew, after bids have moved. Also takes out what rounding has left behind."""
+        """Recompute the bookings after bids have changed. Also removes rounding errors."""
         self.free = Resources.of(self.machine_type)
         self.booked = 0.0
         for attempt in self.attempts.values():
@@ -216,7 +217,8 @@
                 self.book(attempt)
 
     def room(self) -> Resources:
-        """What all attempts that may be there leave free, also those that are to stop."""
+        """The capacity not taken by any attempt that may be there, including those that are to
+        stop."""
         room = Resources.of(self.machine_type)
         for attempt in self.attempts.values():
             if attempt.may_be_on_machine:
@@ -224,7 +226,7 @@
         return room
 
     def share(self, job: Job) -> float:
-        """The part of the machine that a task takes."""
+        """The fraction of the machine that a task of the job takes."""
         machine_type = self.machine_type
         return max(
             job.cpus / machine_type.cpus if machine_type.cpus else 0.0,
@@ -234,26 +236,27 @@
 
     @property
     def is_full(self) -> bool:
-        """Does it list as many tasks as its report may hold?"""
+        """Whether it lists as many tasks as its report can hold."""
         return len(self.attempts) + len(self.orphaned_attempts) >= MAX_TASKS_PER_MACHINE
 
     def has_other_attempt(self, key: TaskKey) -> bool:
-        """Is another attempt of the task still there? One that has ended does not count, not even
-        one whose start command may arrive again: the worker knows its number while it lists it."""
+        """Whether an orphaned attempt of the task may still run there. One that has ended does not
+        count, even if its start command may arrive again: the worker rejects a start of an attempt
+        that it still lists."""
         return any(
             known[:2] == key and not orphan.ended
             for known, orphan in self.orphaned_attempts.items()
         )
 
     def cache_image(self, image: str, size_gb: float) -> None:
-        """Note an image as the most recently used, as the worker's cache does."""
+        """Mark an image as the most recently used, and evict images as the worker's cache does."""
         self.images.pop(image, None)
         self.images[image] = size_gb
         while sum(self.images.values()) > self.machine_type.cache_gb and len(self.images) > 1:
             del self.images[next(iter(self.images))]
 
     def add_usage(self, attempt: Attempt, now: int) -> None:
-        """Count the time of an attempt that is gone."""
+        """Add the run time of a removed attempt to the usage figures."""
         if not attempt.running_since:
             return
         job_state = attempt.job_state
@@ -267,48 +270,48 @@
 
 
 class JobState:
-    """An open job as its shard leader sees it."""
+    """An open job, from the point of view of its shard leader."""
 
     def __init__(self, job: Job, version: int, now: int, age_us: int) -> None:
         self.job = job
         self.version = version  # of its record in the key-value store
         self.submitted_at = now - age_us
         self.started_at = 0  # when its first task ran
-        self.closed = False  # cancelled or over: nothing may start
+        self.closed = False  # cancelled or completed: nothing may start
 
-        # Results, as bits by task, and those of them that this shard recorded.
+        # Results: a bit per completed task, and the same for those that this shard recorded.
         self.done = bytearray((job.tasks + 7) // 8)
         self.own_done = bytearray(len(self.done))
         self.done_count = 0
-        self.unstored: set[int] = set()  # of our own, those not in the key-value store so far
+        self.unstored: set[int] = set()  # own results that are not in the key-value store yet
 
         # Attempts.
         self.queue = TaskQueue(job.tasks)
         self.queue_done_count = 0  # tasks of the queue that are done
         self.live: dict[int, Attempt] = {}
-        self.live_unfinished_count = 0  # of these, tasks that are not done
+        self.live_unfinished_count = 0  # live tasks that are not done
         self.history = FailureHistory()
         self.retry_at = 0  # nothing is started until then
 
         # The market.
         self.bid = 0.0
-        self.slots: int | None = None  # what the auction gave it; None before its first round
-        self.need: int | None = None  # what must run now for it to be done in time
-        # Has it a deadline or an objective of its class, even if it is late by now? Arrays only.
+        self.slots: int | None = None  # allotted by the auction; None before its first round
+        self.need: int | None = None  # how many tasks must run now to meet its objective
+        # Whether it has a deadline or an objective of its class, even if missed. Arrays only.
         self.has_objective = True
         self.finished_recent = 0  # tasks that completed since the last round
-        self.ran_us = 0  # run time of its tasks that completed, and how many those were
+        self.ran_us = 0  # total run time of the completed tasks counted in ran_count
         self.ran_count = 0
-        self.rate = 0.0  # measured, in tasks a second; of a service, how many replicas run
+        self.rate = 0.0  # measured tasks per second; of a service, the number of running replicas
 
     # Results
 
     def is_done(self, index: int) -> bool:
-        """Has the task completed?"""
+        """Whether the task has completed."""
         return bool(self.done[index >> 3] >> (index & 7) & 1)
 
     def record_result(self, index: int, is_own: bool) -> bool:
-        """Take in a result, ours or one that another shard recorded; True if it is new."""
+        """Record a result, `is_own` if of this shard and not of another; True if it is new."""
         if index >= self.job.tasks:
             return False
         bit = 1 << (index & 7)
@@ -323,62 +326,62 @@
         return True
 
     def finish(self, index: int) -> None:
-        """Take in that a task has completed on a machine of this shard."""
+        """Record that a task has completed on a machine of this shard."""
         if self.record_result(index, is_own=True):
             self.finished_recent += 1
             self.unstored.add(index)
 
     @property
     def complete(self) -> bool:
-        """Have all tasks completed?"""
+        """Whether all tasks have completed."""
         return self.done_count >= self.job.tasks
 
     @property
     def proven(self) -> bool:
-        """Has it shown that it can run?"""
+        """Whether it is known to be able to run: a task completed, or a replica ran for long."""
         return bool(self.done_count) or self.history.replica_ran_long
 
     # The tasks of this shard
 
     def assign(self, ranges: list[TaskRange]) -> None:
-        """From now on these tasks are this shard's to start."""
+        """Replace the ranges of tasks that this shard starts."""
         self.queue.assign(ranges)
         self.queue_done_count = sum(
             1 for low, high in ranges for index in range(low, high) if self.is_done(index)
         )
 
     def rewind(self) -> None:
-        """Pass all tasks anew when the next ones are started."""
+        """Consider all tasks again, from the first one, when the next ones are started."""
         self.queue.rewind()
 
     def next_index(self) -> int | None:
-        """Take the task to start next; None if there is none."""
+        """Remove and return the task to start next; None if there is none."""
         return self.queue.next(self.live, self.is_done)
 
     def spare_tail(self) -> TaskRange | None:
-        """Tasks that another shard may start instead: the later half of the last range, if none
-        of it was ever started here."""
+        """Tasks that another shard may start instead: the second half of the last range, if none
+        of them was ever started here."""
         return self.queue.untouched_tail((*self.live, *self.unstored))
 
     @property
     def remaining(self) -> int:
-        """Tasks of this shard that are not done."""
+        """The number of tasks of this shard that are not done."""
         return self.queue.size - self.queue_done_count
 
     @property
     def waiting(self) -> int:
-        """Tasks of this shard that are neither done nor bound to a machine."""
+        """The number of tasks of this shard that are neither done nor bound to a machine."""
         return self.queue.size - self.queue_done_count - self.live_unfinished_count
 
     # Attempts
 
     def bind(self, attempt: Attempt) -> None:
-        """The task is bound to a machine."""
+        """Add the attempt that binds a task to a machine."""
         self.live[attempt.index] = attempt
         self.live_unfinished_count += not self.is_done(attempt.index)
 
     def unbind(self, index: int) -> bool:
-        """The task is bound no more; False if it was not bound."""
+        """Remove the live attempt of a task; False if it has none."""
         if self.live.pop(index, None) is None:
             return False
         self.live_unfinished_count -= not self.is_done(index)
@@ -386,5 +389,5 @@
 
     @property
     def running(self) -> int:
-        """How many of its tasks run."""
+        """The number of tasks that are running."""
         return sum(1 for attempt in self.live.values() if attempt.stage == RUNNING)
