--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -1,8 +1,8 @@
-"""Which reports of a machine are believed, and what they say of it.
+"""Decides which reports of a machine are trusted, and applies them to its attempts.
 
-The list of a machine's tasks is trusted only from reports that show our fencing token: the worker
-then drops every command of an earlier shard leader, so its list is complete but for our own
-commands (test_heartbeat_without_our_fencing_token_does_not_sync_the_machine).
+The list of a machine's tasks is trusted only if the report carries our fencing token: the worker
+then rejects every command of an earlier shard leader, so only our own commands can still change the
+list (test_heartbeat_without_our_fencing_token_does_not_sync_the_machine).
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -20,17 +20,16 @@
 
 
 class HeartbeatOutcome(Enum):
-    """What a heartbeat proves, and so how it is answered."""
+    """How a heartbeat was classified, which determines its HTTP response."""
 
-    REFUSED = auto()  # not with 200: that would renew the worker's lease
-    OUTDATED = auto()  # 200 without commands: a late copy, nobody waits for its answer any more
-    UNPROVEN = auto()  # 200 with halts only: a copy, or from a machine that does not hear us
+    REFUSED = auto()  # not 200, which would renew the worker's lease
+    OUTDATED = auto()  # 200 without commands: a late copy, whose sender no longer waits
+    UNPROVEN = auto()  # 200 with halts only: a copy, or from a machine that our answers don't reach
     ACCEPTED = auto()  # 200 with commands
 
 
-REFUSED, OUTDATED, UNPROVEN, ACCEPTED = (
-    HeartbeatOutcome  # by name: see task_states on the cost of members
-)
+# Module constants, since looking up a member on its class is slow: see task_states.
+REFUSED, OUTDATED, UNPROVEN, ACCEPTED = HeartbeatOutcome
 
 
 class HeartbeatReconciler:
@@ -51,12 +50,12 @@
         self._task_reports = task_reports
 
     def receive(self, machine: Machine, heartbeat: WorkerReport, now: int) -> HeartbeatOutcome:
-        """Take in a heartbeat, as far as it proves anything.
+        """Apply a heartbeat as far as it can be trusted, and return its classification.
 
-        A report that does not show our fencing token may be a copy from long ago, or come from a
-        machine that our answers don't reach. It is answered, so that a live machine can show it
-        next time, but for one lease at most: after that the silence ends the machine's own lease,
-        and nothing waits for it any longer
+        A report without our fencing token may be an old copy, or come from a machine that our
+        answers don't reach. Such reports are answered, so that a live machine can send the token
+        with its next one, but for one lease duration at most: without answers the machine's own
+        lease then expires, and jobs need not wait for the machine any longer
         (test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever,
         test_late_copy_of_an_old_heartbeat_is_ignored).
         """
@@ -70,7 +69,7 @@
             messages.unsynced_since = messages.unsynced_since or now
             if now - messages.unsynced_since > self._timing.lease_us:
                 return REFUSED
-            if machine.lost:  # only what shows our fencing token proves that it is back
+            if machine.lost:  # only a report with our fencing token proves that it is alive
                 return UNPROVEN
         if heartbeat.epoch > messages.epoch:
             self._fleet.begin_epoch(machine, heartbeat.epoch, now)
@@ -87,14 +86,14 @@
     def _apply_heartbeat(
         self, machine: Machine, heartbeat: WorkerReport, is_newest: bool, now: int
     ) -> None:
-        """Take in a heartbeat that shows our fencing token."""
+        """Apply a heartbeat that carries our fencing token."""
         messages = machine.messages
-        if messages.unsynced_since:  # it did not show it before
+        if messages.unsynced_since:  # earlier ones did not carry it, so an answer has arrived
             messages.unsynced_since = 0
             self._fleet.confirm_reachable(machine)
         doubted_at = max(messages.epoch_started_at, machine.unreachable_since)
         if now - doubted_at > self._timing.lease_expiry_us:
-            # Had it not heard us, its lease, and with it its agent epoch, would have ended.
+            # Without our answers its lease would have expired and its agent epoch ended.
             self._fleet.confirm_reachable(machine)
         listed = self._apply_tasks(machine, heartbeat.tasks, is_newest, now)
         for attempt in list(machine.attempts.values()):
@@ -106,9 +105,9 @@
     def receive_answer(
         self, machine: Machine, answer: WorkerReport, now: int, pushed_starts: Iterable[Attempt]
     ) -> None:
-        """Take in the answer to pushed commands. `pushed_starts` are the starts that it proves to
-        be executed. An attempt that it does not list is not ended by that: only heartbeats, whose
-        answers carry start commands, tell in their order what is not there."""
+        """Apply the answer to pushed commands. `pushed_starts` are the starts that it proves to be
+        executed. An attempt that it does not list is kept: only heartbeats, whose answers carry
+        start commands, are ordered relative to those commands and so prove that it is not there."""
         messages = machine.messages
         if answer.epoch == messages.epoch:
             for attempt in pushed_starts:
@@ -129,7 +128,7 @@
     def _apply_tasks(
         self, machine: Machine, tasks: Sequence[ReportedTask], is_newest: bool, now: int
     ) -> set[PlainAttemptKey]:
-        """Take in the listed tasks, if the list is the newest; the keys of their attempts."""
+        """Apply the listed tasks if the list is the newest; return the keys of their attempts."""
         attempts: Mapping[Any, Attempt] = machine.attempts  # looked up by plain tuples
         listed: set[PlainAttemptKey] = set()
         for reported in tasks:
@@ -150,7 +149,7 @@
     def _finish_list(
         self, machine: Machine, listed: set[PlainAttemptKey], is_newest: bool, now: int
     ) -> None:
-        """A list that shows our fencing token was taken in."""
+        """Complete the processing of a task list that came with our fencing token."""
         if is_newest:
             for key in [key for key in machine.orphaned_attempts if key not in listed]:
                 del machine.orphaned_attempts[key]
@@ -158,14 +157,14 @@
             self._fleet.confirm_synced(machine, now)
 
     def _handle_unlisted(self, attempt: Attempt, sequence: int, now: int) -> None:
-        """A heartbeat does not list an attempt of ours."""
+        """Handle an attempt of ours that a heartbeat does not list."""
         if attempt.start_in_flight or attempt.start_unacknowledged or not attempt.may_be_on_machine:
-            # An unanswered pushed start binds its task to the machine
+            # A pushed start without an answer keeps its task bound to the machine
             # (test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it).
             return
         if attempt.sent_sequence and attempt.sent_sequence >= sequence:
-            return  # the answer that carried the start command came after this heartbeat
+            return  # the start command was sent with or after the answer to this heartbeat
         if attempt.stage == SENT and attempt.stop_grace_s is None:
-            self._attempts.plan_again(attempt)  # the answer was lost
+            self._attempts.plan_again(attempt)  # the answer with the start command was lost
         else:
             self._attempts.remove(attempt, now)
