--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -1,4 +1,4 @@
-"""What the report of a single task means for its attempt, its job and its machine."""
+"""Applies reports of single tasks to their attempts, jobs and machines."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 class TaskReports:
-    """Takes in the tasks of the newest report of a machine, one by one."""
+    """Applies the tasks in the newest report of a machine, one by one."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         self._run_times = run_times
         self._log = log
 
-    # Attempts of ours
+    # Our own attempts
 
     def progress(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
-        """Take in what is reported of an attempt of ours."""
+        """Apply the report of an attempt of ours."""
         stage = reported.stage
         if stage == ENDED:
             self._end(attempt, reported, now)
@@ -68,7 +68,7 @@
             )
 
     def _end(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
-        """It has ended. Its worker lists it until a command lets it forget it."""
+        """Handle the end of an attempt. Its worker lists it until it is told to forget it."""
         machine, job_state = attempt.machine, attempt.job_state
         job = job_state.job
         reason = reported.why or ExitReason.ERROR
@@ -90,8 +90,8 @@
             self._attempts.stop_all(job_state)
 
     def _complete(self, attempt: Attempt, now: int) -> None:
-        """Take in a result, and what its run time teaches: that of a gang once, since the result of
-        its first task is that of all."""
+        """Record a result and its run time. A gang's run time is recorded once, since its first
+        result stands for all its tasks."""
         job_state = attempt.job_state
         attempt.machine.failed_jobs.clear()
         is_known = attempt.running_since and not attempt.adopted
@@ -104,7 +104,7 @@
     def reconcile_unknown(
         self, machine: Machine, plain_key: PlainAttemptKey, reported: ReportedTask, now: int
     ) -> None:
-        """Take in a listed attempt that we did not start, or no longer want."""
+        """Handle a listed attempt that we did not start or no longer want."""
         ref, index, _ = plain_key
         job_state = self._jobs.by_ref.get(ref)
         has_ended = reported.stage == ENDED
@@ -134,7 +134,7 @@
         reported: ReportedTask,
         now: int,
     ) -> None:
-        """An attempt of an earlier shard leader goes on under its number."""
+        """Take over an attempt of an earlier shard leader under its attempt number."""
         attempt = self._attempts.start(job_state, key.task_index, machine, key.attempt_number, now)
         attempt.stage = SENT
         attempt.adopted = reported.stage in EXECUTING
@@ -142,9 +142,9 @@
 
 
 def _is_wanted(job_state: JobState, index: int, machine: Machine) -> bool:
-    """May the task go on with an attempt of an earlier shard leader? Only until the machine is
-    synced: from then on all that runs there was started by us, and an attempt that we do not know
-    is one that was removed here."""
+    """Whether an attempt of an earlier shard leader may continue. Only until the machine is synced:
+    from then on everything that runs there was started by us, and an attempt that we do not know
+    is one that we have removed."""
     return (
         index not in job_state.live
         and not job_state.is_done(index)
@@ -154,6 +154,6 @@
 
 
 def _finish(job_state: JobState, index: int) -> None:
-    """Record a result. A gang's tasks complete together: the result of one is that of all."""
+    """Record a result. A gang's tasks complete together, so the result of one stands for all."""
     for done in range(job_state.job.tasks) if job_state.job.gang else (index,):
         job_state.finish(done)
