--- a/basaltlead/core/reports.py
+++ b/basaltlead/core/reports.py
@@ -1,4 +1,4 @@
-"""What the reconciliation needs of a worker's report, however it came."""
+"""The interfaces of worker reports that reconciliation depends on."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -9,12 +9,12 @@
 
     task: str  # "<job>/<index>"
     attempt_number: int
-    stage: str  # a TaskState, or a word that this version does not know
-    why: str | None  # of an ended task: an ExitReason, or a word that is not known
+    stage: str  # a TaskState, or a value that this version does not know
+    why: str | None  # of an ended task: an ExitReason, or a value that this version does not know
 
 
 class WorkerReport(Protocol):
-    """A heartbeat, or the answer to pushed commands, which has the same content."""
+    """A heartbeat, or an answer to pushed commands, which has the same content."""
 
     machine: str
     address: str
@@ -25,4 +25,4 @@
 
     @property
     def tasks(self) -> Sequence[ReportedTask]:
-        """All attempts on the machine, and those that ended and were not forgotten so far."""
+        """All attempts on the machine, including ended ones that are not forgotten yet."""
