--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -1,4 +1,4 @@
-"""The attempts of a shard, from the decision to start them until they are provably gone."""
+"""The attempts of a shard, from the decision to start them until they have provably ended."""
 
 from collections.abc import Iterable
 
@@ -8,11 +8,11 @@
 from basaltlead.core.task_states import PLANNED, RUNNING, SENT
 from basaltlead.core.teams import TeamUsage
 
-ATTEMPT_COUNTER_BITS = 24  # attempts a shard leader can start under one fencing token: 16 million
+ATTEMPT_COUNTER_BITS = 24  # allows 16 million attempts under one fencing token
 
 
 class AttemptTable:
-    """Binds tasks to machines, and keeps account of what their teams use."""
+    """Binds tasks to machines, and tracks the resources that teams use."""
 
     def __init__(self, fencing_token: int, jobs: OpenJobs, signals: ShardSignals) -> None:
         self.team_used: dict[str, TeamUsage] = {}
@@ -22,18 +22,19 @@
         self._signals = signals
 
     def next_attempt_number(self) -> int:
-        """The number of a new attempt, unique without a write: fencing tokens are."""
+        """The number of a new attempt. It is unique without a write to the store, since it contains
+        the fencing token."""
         self._started += 1
         return (self._fencing_token << ATTEMPT_COUNTER_BITS) | self._started
 
     def used(self, team: str) -> TeamUsage:
-        """What a team's tasks take, those counted that only may be there."""
+        """What a team's tasks use, including those that only may be on their machines."""
         return self.team_used.get(team) or TeamUsage()
 
     def start(
         self, job_state: JobState, index: int, machine: Machine, attempt_number: int, now: int
     ) -> Attempt:
-        """Bind a task to a machine; its start command goes out once there is room for it."""
+        """Bind a task to a machine; its start command is sent once there is capacity for it."""
         attempt = Attempt(job_state, index, machine, attempt_number, now)
         job_state.bind(attempt)
         machine.attempts[attempt.key] = attempt
@@ -45,14 +46,14 @@
         return attempt
 
     def plan_again(self, attempt: Attempt) -> None:
-        """Its start command is provably not executed: it goes out again."""
+        """Have the start command sent again, after it has provably not been executed."""
         attempt.stage = PLANNED
         self._signals.push_queue[attempt.machine.name] = None
 
     def stop(self, attempt: Attempt, grace_s: float) -> None:
-        """Have it stopped, with so long to save a checkpoint. One that was never sent is gone at
-        once; of any other its task is started elsewhere only after a report shows that it ended
-        (test_stopped_task_starts_elsewhere_only_after_it_has_ended)."""
+        """Stop an attempt, with `grace_s` to save a checkpoint. If its start was never sent, it is
+        removed at once; otherwise its task is started elsewhere only after a report shows that the
+        attempt has ended (test_stopped_task_starts_elsewhere_only_after_it_has_ended)."""
         if attempt.stage == PLANNED and not attempt.start_in_flight:
             self.remove(attempt, attempt.machine.idle_since)
         elif attempt.stop_grace_s is None or grace_s < attempt.stop_grace_s:
@@ -63,12 +64,13 @@
         self._signals.plan_needed = True
 
     def stop_all(self, job_state: JobState) -> None:
-        """Have all attempts of a job stopped at once."""
+        """Stop all attempts of a job without a grace period."""
         for attempt in list(job_state.live.values()):
             self.stop(attempt, 0.0)
 
     def stop_gracefully(self, attempt: Attempt) -> None:
-        """Stop it so that its progress is saved if that can be; a gang's tasks go together."""
+        """Stop an attempt, with time to save its progress if it can; a gang is stopped as a
+        whole."""
         job = attempt.job_state.job
         together = list(attempt.job_state.live.values()) if job.gang else [attempt]
         may_save = job.checkpoint_interval_us > 0 and all(
@@ -78,7 +80,7 @@
             self.stop(member, job.checkpoint_duration_s if may_save else 0.0)
 
     def remove(self, attempt: Attempt, now: int) -> None:
-        """It is provably not on its machine, or not any more."""
+        """Remove an attempt that is provably not, or no longer, on its machine."""
         job_state = attempt.job_state
         machine = attempt.machine
         if not job_state.unbind(attempt.index):
@@ -98,7 +100,7 @@
         self._signals.plan_needed = True
 
     def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
-        """Pushed starts were executed, were not, or (None) nobody knows."""
+        """Record whether pushed starts were executed; None if that is unknown."""
         for attempt in pushed_starts:
             attempt.start_in_flight = False
             if executed is None:
