--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -1,4 +1,4 @@
-"""Which commands a machine is sent, given what it last reported."""
+"""Generates the commands for a machine from the state that it last reported."""
 
 from msgspec import Struct
 
@@ -18,7 +18,7 @@
     CommandVerb,
 )
 
-MAX_COMMANDS = 250  # in one message: keeps a line far below 64 KiB
+MAX_COMMANDS = 250  # in one message, which keeps a line well below 64 KiB
 
 
 class TaskCommand(Struct):
@@ -28,11 +28,11 @@
     ref: str
     index: int
     attempt_number: int
-    grace_s: float | None = None  # of a halt: how long the task may take to save a checkpoint
+    grace_s: float | None = None  # for halts: the time that the task has to save a checkpoint
 
 
 class CommandGenerator:
-    """Makes the commands of the answers to heartbeats, and those that are pushed."""
+    """Generates the commands that answer heartbeats and those that are pushed."""
 
     def __init__(self, jobs: OpenJobs) -> None:
         self._jobs = jobs
@@ -40,8 +40,8 @@
     # Answers to heartbeats
 
     def for_heartbeat(self, machine: Machine, sequence: int) -> list[TaskCommand]:
-        """The commands for the answer to the heartbeat with this sequence number. The same are
-        made again until the machine's reports show that they were executed."""
+        """The commands for the answer to the heartbeat with this sequence number. A command is
+        repeated until the machine's reports show that it was executed."""
         if not machine.synced or machine.terminating:
             return []
         commands = [*self._orphan_commands(machine), *_stop_commands(machine)]
@@ -52,7 +52,7 @@
         return commands[:MAX_COMMANDS]
 
     def _orphan_commands(self, machine: Machine) -> list[TaskCommand]:
-        """Halts for attempts that nobody wants; those that are over are forgotten."""
+        """HALT for orphaned attempts, and FORGET for those that have ended."""
         commands: list[TaskCommand] = []
         for key, orphan in machine.orphaned_attempts.items():
             if not orphan.ended:
@@ -60,13 +60,14 @@
             elif not orphan.start_unacknowledged and self._is_forgettable(key, orphan):
                 commands.append(TaskCommand(FORGET, *key))
             if len(commands) >= MAX_COMMANDS:
-                break  # the others go with the next answer
+                break  # the rest is sent with the next answer
         return commands
 
     def halt_orphans(self, heartbeat: WorkerReport) -> list[TaskCommand]:
-        """Halts for tasks of jobs that are over, on a machine that has not shown our fencing token.
-        The answer renews its lease, and it may be the last one that it gets: a command that
-        waited for the next would come too late for a cancellation from long before us."""
+        """Halts for tasks of closed jobs, on a machine that has not sent our fencing token.
+
+        The answer renews its lease and may be the last that it receives, so a halt for a job that
+        was cancelled long before our grant must not wait for the next one."""
         commands: list[TaskCommand] = []
         for reported in heartbeat.tasks:
             ref, index = parse_task(reported.task)
@@ -77,8 +78,9 @@
     # Commands that are pushed
 
     def take_push_commands(self, machine: Machine) -> tuple[list[TaskCommand], list[Attempt]]:
-        """Commands worth sending at once, and the starts among them. A start that is pushed is in
-        no heartbeat's answer, and binds its task to its machine until it is acknowledged."""
+        """The commands to push now, and the starts among them. A pushed start is in no answer to a
+        heartbeat while it is in flight, and keeps its task bound to the machine until it is
+        acknowledged."""
         if not machine.synced or machine.terminating or machine.lost or not machine.address:
             return [], []
         commands: list[TaskCommand] = []
@@ -101,21 +103,22 @@
     # Returning machines
 
     def is_settled(self, machine: Machine) -> bool:
-        """Would nothing be lost if the machine were returned? An attempt whose number must not be
-        forgotten stays listed for as long as its agent epoch lasts: it is no reason to go on
-        paying for the machine."""
+        """Whether the machine can be returned without losing work or results. An ended attempt
+        whose start may still arrive stays listed until its agent epoch ends, but is no reason to
+        keep paying for the machine."""
         return not machine.attempts and all(
             orphan.ended and self._is_forgettable(key, orphan)
             for key, orphan in machine.orphaned_attempts.items()
         )
 
     def _is_forgettable(self, key: AttemptKey, orphan: OrphanedAttempt) -> bool:
-        """Is nothing lost with the worker's record of an ended attempt?"""
+        """Whether the worker can drop its record of an ended attempt without losing a result."""
         return orphan.forgettable or self._jobs.is_result_stored(key.ref, key.task_index)
 
 
 def has_pending_commands(machine: Machine) -> bool:
-    """Has it commands that were not sent so far? Some wait for room, or for an answer."""
+    """Whether some commands for the machine have not been sent. They may be waiting for free
+    capacity or for an answer."""
     return any(
         attempt.pushed_grace_s != attempt.stop_grace_s
         if attempt.stop_grace_s is not None
@@ -125,8 +128,8 @@
 
 
 def _stop_commands(machine: Machine) -> list[TaskCommand]:
-    """Halts for attempts that are to stop. A start that was never acknowledged goes out once more
-    before its halt, so that a copy that comes later starts nothing."""
+    """Halts for attempts that are to stop. A start that was never acknowledged is sent again before
+    its halt, so that a copy that arrives later starts nothing."""
     commands: list[TaskCommand] = []
     for attempt in machine.attempts.values():
         if attempt.stop_grace_s is None:
@@ -141,8 +144,8 @@
 
 
 def _startable(machine: Machine) -> list[Attempt]:
-    """Attempts whose start may go out now: there is room in addition to all that may be
-    on the machine, the highest rank first."""
+    """Attempts whose start may be sent now, highest rank first: they fit in addition to everything
+    that may be on the machine."""
     waiting = [
         attempt
         for attempt in machine.attempts.values()
