--- a/basaltlead/core/cancellations.py
+++ b/basaltlead/core/cancellations.py
@@ -1,19 +1,21 @@
-"""Which cancellations a controller knows to be confirmed.
+"""The confirmed cancellations that a controller knows of.
 
-A shard leader may start nothing of a job whose cancellation was confirmed to its user by any
-controller. Controllers therefore tell each other what they have confirmed since a given time.
+Once any controller has confirmed a cancellation to its user, a shard leader must not start tasks of
+that job. Controllers therefore tell each other what they have confirmed since a given time.
 """
 
 MAX_KNOWN = 4000
 
 
 class Cancellations:
-    """The jobs known to be cancelled, the newest of them. Dropping the oldest shortens the time for
-    which the list is known to be complete."""
+    """The most recent `most` jobs known to be cancelled. Times are microseconds.
+
+    Dropping the oldest shortens the period for which the list is complete.
+    """
 
     def __init__(self, now: int, most: int = MAX_KNOWN) -> None:
         self.most = most
-        # All that this incarnation has confirmed at this time or later is listed.
+        # Everything that this incarnation has confirmed at this time or later is listed.
         self.complete_since = now
         self._known: dict[str, int] = {}  # when each job was first known to be cancelled
 
@@ -21,8 +23,8 @@
         return ref in self._known
 
     def add(self, ref: str, now: int) -> bool:
-        """Note a cancellation; True if it was not known. Must be called before the user gets the
-        confirmation: the list for other controllers must hold all that users saw confirmed."""
+        """Record a cancellation; True if it was not known. Must be called before the user gets the
+        confirmation, since other controllers must see every cancellation confirmed to a user."""
         if ref in self._known:
             return False
         self._known[ref] = now
@@ -32,8 +34,8 @@
         return True
 
     def since(self, at: int) -> list[str] | None:
-        """All that were confirmed here at this time or later, and maybe more; None if the list is
-        not complete for so long."""
+        """All jobs recorded here at this time or later; a superset of those confirmed since then.
+        None if the list does not reach back that far."""
         if at < self.complete_since:
             return None
         refs: list[str] = []
