--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -1,4 +1,4 @@
-"""When a job, and when a machine, is taken to be the cause of failed attempts."""
+"""Decides whether failed attempts are attributed to the job or to the machine."""
 
 from collections.abc import Mapping
 
@@ -8,28 +8,28 @@
 from basaltlead.core.signals import Log
 from basaltlead.core.task_states import ExitReason
 
-# A job that failed in so many trials, and never succeeded, is itself considered faulty.
+# A job that failed in this many trials and never succeeded is itself considered faulty.
 TRIALS_UNTIL_JOB_IS_BLAMED = 2
-TRIALS_BEFORE_PAUSE = 3  # after so many a job that only fails waits between two trials
+TRIALS_BEFORE_PAUSE = 3  # from then on a job that never succeeded waits between trials
 MAX_RETRY_PAUSE_S = 60
-MAX_LOOKUP_PAUSE_S = 30  # between two trials of a job that workers can't fetch
-CORDON_PER_FAILED_JOB_US = 4 * US  # for each job that failed on a machine
-# A machine that refused a task is cordoned for long enough to show in heartbeats what is on it.
+MAX_LOOKUP_PAUSE_S = 30  # between attempts of a job that workers do not find
+CORDON_PER_FAILED_JOB_US = 4 * US
+# A machine that refused a task is cordoned for long enough to list its tasks in a heartbeat.
 FULL_CORDON_US = 2 * US
 IN_USE_CORDON_US = 1 * US
-FAULTY_MACHINE_PROVEN_JOBS = (
-    2  # a machine is faulty if so many jobs failed there that ran elsewhere,
-)
-FAULTY_MACHINE_JOBS = 4  # or so many of any
+# A machine is faulty if this many jobs failed there that are known to run elsewhere, or this many
+# of any.
+FAULTY_MACHINE_PROVEN_JOBS = 2
+FAULTY_MACHINE_JOBS = 4
 
 
 def retry_pause_us(trials: int) -> int:
-    """How long a job that failed so often waits: doubled each time, a minute at most."""
+    """The pause after this many failed trials: doubled each time, up to `MAX_RETRY_PAUSE_S`."""
     return min(MAX_RETRY_PAUSE_S, 1 << min(trials, 6)) * US
 
 
 class FailurePolicy:
-    """Decides what a failed attempt means for its job and for its machine."""
+    """Applies the consequences of a failed attempt to its job and its machine."""
 
     def __init__(self, jobs: OpenJobs, machines: Mapping[str, Machine], log: Log) -> None:
         self._jobs = jobs
@@ -37,7 +37,7 @@
         self._log = log
 
     def record_exit(self, machine: Machine, job_state: JobState, reason: str, now: int) -> None:
-        """An attempt ended without a result, and its job is still wanted."""
+        """Record that an attempt of an open job ended without a result."""
         match reason:
             case ExitReason.ERROR:
                 self._record_error(machine, job_state, now)
@@ -46,15 +46,15 @@
             case ExitReason.IN_USE:
                 machine.cordoned_until = now + IN_USE_CORDON_US
             case ExitReason.NO_SUCH:
-                # The user may still be uploading the job; if not, asking often helps nobody.
+                # The user may still be uploading the job; if not, frequent retries are useless.
                 job_state.history.record_failure()
                 pause_s = min(MAX_LOOKUP_PAUSE_S, 1 << min(job_state.history.failures, 5))
                 job_state.retry_at = now + pause_s * US
 
     def record_replica_end(self, attempt: Attempt, reason: str, now: int) -> bool:
-        """A replica ended; True if it had run for long: then it is simply started anew, and neither
-        its machine nor its job is blamed. One that ends by itself soon after its start, again and
-        again, is started at growing intervals, as one that fails is."""
+        """Record the end of a replica. True if it had run for long: it is then started again, and
+        its end counts against neither its machine nor its job. A replica that repeatedly ends by
+        itself soon after its start is restarted at growing intervals, like one that fails."""
         job_state = attempt.job_state
         history = job_state.history
         ran_us = now - attempt.running_since if attempt.running_since else 0
@@ -69,15 +69,16 @@
         return False
 
     def clear(self, job_state: JobState) -> None:
-        """The machines on which a job failed are not to blame for that."""
+        """Withdraw the failures of a job from the machines on which it failed."""
         for name in job_state.history.failed_on:
             if name in self._machines:
                 self._machines[name].failed_jobs.discard(job_state.job.ref)
 
     def _record_error(self, machine: Machine, job_state: JobState, now: int) -> None:
-        """Mostly the machine is faulty. But a job that has only ever failed, and on another machine
-        too or again on this one after a while, is more likely at fault itself: no machine is
-        to blame for it, and after a third time it waits for longer and longer."""
+        """Attribute an error to the machine, unless the job is more likely faulty: it has never
+        succeeded, and failed on another machine too, or again on this one after a while. Then the
+        error counts against no machine, and from the third trial on the job waits increasingly
+        long."""
         history = job_state.history
         history.record_trial(machine.name, now)
         history.record_failure()
@@ -86,13 +87,13 @@
             return
         self.clear(job_state)
         if history.trials >= TRIALS_BEFORE_PAUSE:
-            # A service's replicas fail together: only its trials tell how often it was tried.
+            # A service's replicas fail together, so its failures overstate how often it was tried.
             tried = history.trials if job_state.job.service else history.failures
             job_state.retry_at = now + retry_pause_us(tried)
 
     def _blame_machine(self, machine: Machine, job_state: JobState, now: int) -> None:
-        """Start nothing on it for a while, and drain it if it is faulty beyond doubt: jobs that ran
-        elsewhere speak against it, of others it takes more."""
+        """Cordon the machine for a while, and drain it once enough jobs have failed there: fewer
+        are needed of jobs that are known to run elsewhere."""
         machine.failed_jobs.add(job_state.job.ref)
         machine.cordoned_until = now + CORDON_PER_FAILED_JOB_US * len(machine.failed_jobs)
         others = (self._jobs.by_ref.get(ref) for ref in machine.failed_jobs)
