--- a/basaltlead/core/failure_history.py
+++ b/basaltlead/core/failure_history.py
@@ -1,34 +1,34 @@
-"""How often a job failed, and where."""
+"""The failures of a job."""
 
 from basaltlead.core.jobs import US
 
-FAILED_AVOIDANCE_US = 30 * US  # for how long a job keeps off a machine on which it failed
+FAILED_AVOIDANCE_US = 30 * US  # how long a job avoids a machine on which it failed
 
 
 class FailureHistory:
-    """What the failed attempts of one job say about the job and its machines."""
+    """How often, and on which machines, attempts of a job failed. Times are microseconds."""
 
     def __init__(self) -> None:
         self.failures = 0
-        # Failures on other machines, or on the same one after a while: these tell whether the job
-        # itself is at fault, while several tasks may fail at once on one faulty machine.
+        # Failures on different machines, or on the same one after a while. Only these indicate a
+        # faulty job: on a faulty machine several tasks may fail at the same time.
         self.trials = 0
-        self.replica_ran_long = False  # a replica of it has run for long
-        self.stragglers_stopped = 0  # how often a task was taken off a machine for being slow
-        self.failed_on: dict[str, int] = {}  # machines to keep it off, until when
+        self.replica_ran_long = False  # so the job is known to be able to run
+        self.stragglers_stopped = 0  # how often a task was stopped for being slow
+        self.failed_on: dict[str, int] = {}  # machines that the job avoids, and until when
 
     def record_failure(self) -> None:
-        """An attempt failed."""
+        """Record that an attempt failed."""
         self.failures += 1
 
     def record_straggler(self, machine: str, until: int) -> None:
-        """A task was taken off this machine for being slow: the job keeps off it until then."""
+        """Record a task stopped on this machine for being slow; the job avoids it until then."""
         self.stragglers_stopped += 1
         self.failed_on[machine] = until
 
     def record_trial(self, machine: str, now: int) -> None:
-        """An attempt failed on this machine; it is one more trial unless the job failed there just
-        before."""
+        """Record a failed attempt on this machine. It counts as a trial unless the job failed there
+        within the last `FAILED_AVOIDANCE_US`."""
         if now >= self.failed_on.get(machine, 0):
             self.trials += 1
         self.failed_on[machine] = now + FAILED_AVOIDANCE_US
