--- a/basaltlead/core/machine_usage.py
+++ b/basaltlead/core/machine_usage.py
@@ -1,28 +1,28 @@
-"""What the time of a machine was used for."""
+"""Usage accounting of a machine."""
 
 
 class MachineUsage:
-    """Sums over a machine's life, in seconds times the part of the machine used."""
+    """Totals since the machine was rented, in seconds times the fraction of the machine used."""
 
     __slots__ = ("fetching_s", "up_at", "useful_s", "wasted_s")
 
     def __init__(self) -> None:
-        self.up_at = 0  # when it first showed all that is on it; 0: never so far
+        self.up_at = 0  # when it was first synced, in microseconds; 0: not yet
         self.useful_s = 0.0  # by tasks that completed, or whose progress is saved
-        self.wasted_s = 0.0  # by tasks that must begin anew
-        self.fetching_s = 0.0  # by tasks between the decision to start them and their first run
+        self.wasted_s = 0.0  # by tasks that must start again from the beginning
+        self.fetching_s = 0.0  # by tasks from the decision to start them until they run
 
     def mark_up(self, now: int) -> None:
-        """It has shown all that is on it, so that it can take tasks."""
+        """Record that the machine is synced, so that it can take tasks."""
         self.up_at = self.up_at or now
 
     def add_run(self, seconds: float, is_useful: bool) -> None:
-        """A task that ran for so long is gone."""
+        """Add the run time of a task that has left the machine."""
         if is_useful:
             self.useful_s += seconds
         else:
             self.wasted_s += seconds
 
     def add_fetch(self, seconds: float) -> None:
-        """A task began to run after so long."""
+        """Add the time that a task took to start running."""
         self.fetching_s += seconds
