--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -1,8 +1,8 @@
-"""Zones none of whose machines is heard: cut off, so that what boots there can't reach us either.
+"""Zones from which no machine reports: machines rented there could not reach us either.
 
-For a while nothing is rented in such a zone, then one machine at a time, until one from there is
-heard. If renting went on as usual after the while, a cut of two minutes would cost dozens of
-machines that are paid for and never heard.
+Renting in such a zone is paused, and then limited to one machine at a time until one from there
+reports. If renting resumed as usual after the pause, a network partition of two minutes would cost
+dozens of machines that are paid for and never report.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,22 +10,23 @@
 from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.offers import Offer, unit_price
 
-MIN_SILENT_MACHINES = 3  # machines that must be silent before their zone is taken to be
-RENTAL_PAUSE_US = (
-    45 * US
-)  # for how long nothing is rented there after the last of them was returned
+MIN_SILENT_MACHINES = 3  # a zone with fewer silent machines is not considered silent
+# How long nothing is rented in a silent zone after the last of its silent machines was returned.
+RENTAL_PAUSE_US = 45 * US
 
 
 class SilentZones:
-    """Which zones are silent, and what may be rented there."""
+    """Tracks which zones are silent, and what may be rented there. Times are microseconds."""
 
     def __init__(self) -> None:
         self._paused_until: dict[str, int] = {}  # by silent zone
 
     def update(self, heard: Mapping[str, list[bool]], now: int) -> list[str]:
-        """Take in, for each zone, which of its machines that were ever heard still are, and return
-        the zones that have just fallen silent. If no machine at all is heard, nothing changes: it
-        is more likely that we are cut off."""
+        """Update the silent zones, and return those that have just become silent.
+
+        `heard` tells, by zone, for each machine that has ever reported whether it still does. If
+        none in any zone does, nothing changes: more likely it is we who are cut off.
+        """
         if not any(map(any, heard.values())):
             return []
         fallen: list[str] = []
@@ -45,9 +46,9 @@
         awaited_zones: Iterable[str],
         now: int,
     ) -> dict[Offer, int | None]:
-        """Which of the offers may be rented, and how many of each (None: no limit is known). In a
-        silent zone that is, after the pause, one machine of the cheapest offer as a trial, unless
-        one from there is awaited already."""
+        """The offers that may be rented, and how many machines of each (None: no known limit). In a
+        silent zone this is, after the pause, a single machine of the cheapest offer as a trial,
+        unless one from there is already awaited."""
         awaited = set(awaited_zones)
         admitted: dict[Offer, int | None] = {}
         trials: dict[str, Offer] = {}
