--- a/basaltlead/core/draining.py
+++ b/basaltlead/core/draining.py
@@ -1,4 +1,4 @@
-"""Moving work off machines that will be taken away."""
+"""Moves tasks off machines that are faulty, slow or about to be preempted."""
 
 from basaltlead.core.attempt_table import AttemptTable
 from basaltlead.core.entities import Attempt, Machine
@@ -8,15 +8,15 @@
 
 
 class Drainer:
-    """Stops what is on a machine with a preemption notice, or on a faulty one, at its time."""
+    """Stops the attempts on draining machines, each as late as its job allows."""
 
     def __init__(self, attempts: AttemptTable, timing: Timing) -> None:
         self._attempts = attempts
-        # A command that is sent so long before the end is executed in time.
+        # A stop that is sent this long before the machine goes is executed in time.
         self._stop_lead_us = 2 * timing.heartbeat_interval_us + US
 
     def drain(self, machine: Machine, now: int) -> None:
-        """Stop what is to stop by now, saving what can be saved."""
+        """Stop the attempts that are due, saving progress where possible."""
         if not machine.is_draining:
             return
         left_us = None if machine.preemption_at is None else machine.preemption_at - now
@@ -25,12 +25,12 @@
                 self._drain_attempt(attempt, left_us)
 
     def _drain_attempt(self, attempt: Attempt, left_us: int | None) -> None:
-        """Stop an attempt if its time has come: `left_us` until the machine goes, None if that is
+        """Stop an attempt if it is due. `left_us` is the time until the machine goes; None if it is
         not known."""
         machine, job = attempt.machine, attempt.job_state.job
         if attempt.stage in BEFORE_FIRST_RUN and attempt.stage != SENT:
             self._attempts.stop(attempt, 0.0)
-        elif job.service:  # a plan moves it once there is a place for it, or it goes now
+        elif job.service:  # a plan moves it once it fits elsewhere; this is the last moment
             if left_us is not None and left_us <= self._stop_lead_us:
                 self._attempts.stop(attempt, 0.0)
         elif job.checkpoint_interval_us > 0 and attempt.stage == RUNNING:
