--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -1,4 +1,4 @@
-"""Tasks that take far longer than their siblings, and the machines that are slow."""
+"""Detects tasks that take far longer than others of their job, and slow machines."""
 
 from collections.abc import Mapping
 
@@ -10,17 +10,18 @@
 from basaltlead.core.task_states import RUNNING
 
 CHECK_INTERVAL_US = US
-SLOW_FACTOR = 6  # a machine is slow if a task takes that many times what others took
-SLOW_MARGIN_US = 30 * US  # and so much longer
-MAX_STOPPED = 4  # tasks of one job that are taken off slow machines
-FAULTY_MACHINE_SLOW_JOBS = 2  # a machine on which tasks of so many jobs were slow is drained
-# For how long a job keeps off a machine that was slow for it. It may be the only one that fits,
-# and no job is to wait for 90 s while there is room for it.
+# A task is a straggler if it runs for this many times as long as expected, and this much longer.
+SLOW_FACTOR = 6
+SLOW_MARGIN_US = 30 * US
+MAX_STOPPED = 4  # stragglers stopped per job
+FAULTY_MACHINE_SLOW_JOBS = 2  # a machine with stragglers of this many jobs is drained
+# How long a job avoids a machine that was slow for it. That may be the only machine on which it
+# fits, and a job must not wait for 90 s while it fits on some machine.
 STRAGGLER_AVOIDANCE_US = 60 * US
 
 
 class StragglerDetector:
-    """Takes tasks off machines that are much slower than others of their type."""
+    """Stops tasks on machines where they run far longer than expected."""
 
     def __init__(self, attempts: AttemptTable, run_times: RunTimes, log: Log) -> None:
         self._attempts = attempts
@@ -29,7 +30,7 @@
         self._checked_at = 0
 
     def check(self, job_states: Mapping[str, JobState], now: int) -> None:
-        """Look for stragglers of all jobs, once a second at most."""
+        """Stop the stragglers of all jobs, at most once a second."""
         if now < self._checked_at + CHECK_INTERVAL_US:
             return
         self._checked_at = now
@@ -38,9 +39,10 @@
                 self.stop_stragglers(job_state, now)
 
     def stop_stragglers(self, job_state: JobState, now: int) -> None:
-        """Stop the tasks of a job that take many times as long as its other tasks did, or as its
-        class was guessed to take. A job that is slow everywhere is left alone after a few tries,
-        and one without a guess from the start."""
+        """Stop the stragglers of a job. The expected run time is that of its completed tasks or, in
+        their absence, the user's estimate, corrected by the experience with its job class. A job
+        that is slow everywhere is left alone after `MAX_STOPPED` stops; one without an estimate is
+        never checked."""
         if (
             job_state.history.stragglers_stopped >= MAX_STOPPED
             or job_state.job.guess_us <= 0
@@ -49,7 +51,7 @@
             return
         limit_us = SLOW_FACTOR * self._run_times.guess_us(job_state) + SLOW_MARGIN_US
         if job_state.ran_count < MIN_SAMPLES:
-            limit_us *= 2  # a guess is worth less than what was measured
+            limit_us *= 2  # an estimate is less reliable than measured run times
         for attempt in list(job_state.live.values()):
             if _is_straggler(attempt, limit_us, now):
                 self._stop(attempt, now)
@@ -68,8 +70,8 @@
 
 
 def _is_straggler(attempt: Attempt, limit_us: int, now: int) -> bool:
-    """Has it run for longer than the limit? On a machine that may not hear us, stopping it would
-    bring nothing."""
+    """Whether it has run for longer than the limit, on a machine that our commands reach: on
+    another one, it could not be stopped."""
     return bool(
         attempt.stage == RUNNING
         and attempt.stop_grace_s is None
