--- a/basaltlead/core/start_order.py
+++ b/basaltlead/core/start_order.py
@@ -1,4 +1,4 @@
-"""The order in which the jobs that wait are started."""
+"""The order in which waiting jobs are started."""
 
 from basaltlead.core.entities import JobState
 from basaltlead.core.shard import Shard
@@ -8,9 +8,9 @@
 def start_order(shard: Shard, now: int) -> list[JobState]:
     """Open jobs with waiting tasks, in the order in which they are started.
 
-    First by the team's guarantee, then by rank; then gangs, which need whole machines, before
-    arrays take the room; jobs with an objective; those of the team furthest below its share; the
-    higher bid; the older job.
+    Sorted by these criteria, the most important first: within the team's guarantee; higher rank;
+    gangs, which need whole machines, before arrays take the capacity; with an objective; team
+    furthest below its share; higher bid; older job.
     """
     bids: dict[str, float] = {}  # by team
     for job_state in shard.job_states.values():
@@ -20,7 +20,7 @@
     total_cpus = sum(used.cpus for used in shard.team_used.values()) or 1.0
 
     def above_share(team: str) -> float:
-        """How much more of the used CPUs than of the bids is the team's, as a fraction."""
+        """The team's fraction of the used CPUs, minus its fraction of the bids."""
         return shard.used(team).cpus / total_cpus - bids.get(team, 0.0) / total_bids
 
     ready = [
