--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -1,4 +1,4 @@
-"""The machines of a shard: which there are, and whether they are heard."""
+"""The machines of a shard, and whether our commands reach them."""
 
 from collections.abc import Sequence
 
@@ -8,25 +8,24 @@
 from basaltlead.core.signals import Log, ShardSignals
 from basaltlead.core.task_keys import TaskKey
 
-MAX_LOGGED_TASKS = 5  # of those that were on a lost machine, in its log line
-# Names of machines that are returned, or rented, are kept for as long as lists and late reports may
-# show them. Three fleets of 6,000: some 2 MB.
+MAX_LOGGED_TASKS = 5  # tasks named in a log line about a machine that killed them
+# The names of rented and of returned machines are kept for as long as lists and late reports may
+# contain them. This is enough for three fleets of 6,000 machines, and takes about 2 MB.
 MAX_RETAINED_NAMES = 18_000
 
 
 class Fleet:
-    """Adds, empties and drops machines, and keeps track of which show all that is on them."""
+    """Adds and drops machines, removes lost attempts, and tracks which machines are synced."""
 
     def __init__(
         self, fencing_token: int, attempts: AttemptTable, signals: ShardSignals, log: Log
     ) -> None:
         self.machines: dict[str, Machine] = {}
-        # Machines that may hold tasks of an earlier shard leader, and have not shown our fencing
+        # Machines that may hold tasks of an earlier shard leader, and have not sent our fencing
         # token.
         self.unsynced: set[str] = set()
-        self.deleted_machines: dict[
-            str, None
-        ] = {}  # names of machines that are deleted, the oldest first
+        # Names of deleted machines, the oldest first.
+        self.deleted_machines: dict[str, None] = {}
         self._fencing_token = fencing_token
         self._attempts = attempts
         self._signals = signals
@@ -34,27 +33,27 @@
 
     @property
     def has_unaccounted_tasks(self) -> bool:
-        """Is there, or may there be, a task on some machine that we do not account for?"""
+        """Whether some machine has, or may have, a task that is not in the usage of its team."""
         return bool(self.unsynced) or any(
             not orphan.ended
             for machine in self.machines.values()
             for orphan in machine.orphaned_attempts.values()
         )
 
-    # Which machines there are
+    # Adding and dropping
 
     def load(self, machine: Machine) -> None:
-        """Add one that the key-value store lists as in use when we acquire the shard."""
+        """Add a machine that is recorded as in use when we acquire the shard."""
         machine.recorded = True
         self.machines[machine.name] = machine
         self.unsynced.add(machine.name)
 
     def add(self, machine: Machine) -> None:
-        """Add one that can't hold any task yet, unless it is known."""
+        """Add a machine that can't hold any task yet, unless it is known."""
         self.machines.setdefault(machine.name, machine)
 
     def drop(self, name: str, now: int) -> None:
-        """It is deleted: everything on it is gone."""
+        """Drop a deleted machine, with all its attempts."""
         machine = self.machines.pop(name, None)
         self.deleted_machines[name] = None
         while len(self.deleted_machines) > MAX_RETAINED_NAMES:
@@ -75,7 +74,7 @@
         )
 
     def _remove_attempts(self, machine: Machine, now: int) -> None:
-        """All that was on it is provably gone."""
+        """Remove all attempts of a machine on which provably nothing runs any more."""
         for attempt in list(machine.attempts.values()):
             self._attempts.remove(attempt, now)
         machine.orphaned_attempts.clear()
@@ -83,11 +82,11 @@
         self._signals.push_queue.pop(machine.name, None)
         self._signals.plan_needed = True
 
-    # Whether they are heard
+    # Reachability
 
     def mark_lost(self, machine: Machine, now: int) -> None:
-        """Its lease has expired, so it has killed all its tasks (see `WorkerLease`). Reports of
-        that agent epoch that were held up on their way prove nothing any more."""
+        """Mark a machine whose lease has expired as lost: it has killed all its tasks (see
+        `WorkerLease`), and delayed reports of that agent epoch are obsolete."""
         self._log(
             f"machine {machine.name} lost (was {machine.state(now).name.lower()}, "
             f"fencing token {self._fencing_token}, epoch {machine.epoch}, "
@@ -98,8 +97,8 @@
         self._remove_attempts(machine, now)
 
     def begin_epoch(self, machine: Machine, epoch: int, now: int) -> None:
-        """Its agent is heard in a new epoch: what ran in the one before was killed when that
-        ended. Attempts that were never sent to it stay bound to it."""
+        """Begin a new agent epoch of a machine. Everything that ran in the previous one was killed
+        when that ended; attempts that were never sent to the machine stay bound to it."""
         if machine.epoch:
             over = [
                 attempt
@@ -119,18 +118,19 @@
         machine.begin_epoch(epoch, now)
 
     def confirm_synced(self, machine: Machine, now: int) -> None:
-        """It has shown our fencing token, and so all that is on it."""
+        """Record a report with our fencing token, whose list of tasks is complete."""
         machine.confirm_synced(now)
         self.unsynced.discard(machine.name)
         self._signals.plan_needed = True
 
     def mark_unreachable(self, machine: Machine, now: int) -> None:
-        """A command went unanswered, or its lease expired although we answered: until something
-        proves that it hears us, nothing new is given to it, and nobody counts on it."""
+        """Mark a machine that did not answer a command, or whose lease expired although we answered
+        it. Until something proves that our commands reach it, nothing is started on it and its
+        capacity is not counted."""
         machine.unreachable_since = machine.unreachable_since or now
 
     def confirm_reachable(self, machine: Machine) -> None:
-        """Something proves that our commands reach it."""
+        """Record a proof that our commands reach the machine."""
         if machine.unreachable_since:
             machine.unreachable_since = 0
             self._signals.plan_needed = True
@@ -138,8 +138,8 @@
     def update_preemption_notice(
         self, machine: Machine, notice_s: float | None, is_newest: bool, now: int
     ) -> None:
-        """Take in in how many seconds the cloud takes the machine back, if it does. Only a newer
-        report may withdraw a notice."""
+        """Update when the cloud takes the machine back: `notice_s` from now, or not at all (None).
+        Only the newest report may withdraw a notice."""
         if notice_s is None:
             if is_newest:
                 machine.preemption_at = None
@@ -151,7 +151,7 @@
 
 
 def _describe_tasks(keys: Sequence[TaskKey]) -> str:
-    """How many tasks are taken for gone, and the first of them."""
+    """The number of tasks that are considered gone, and the first of them, for the log."""
     if not keys:
         return "no tasks gone"
     names = ", ".join(f"{key.ref}/{key.task_index}" for key in sorted(keys)[:MAX_LOGGED_TASKS])
