--- a/basaltlead/core/open_jobs.py
+++ b/basaltlead/core/open_jobs.py
@@ -8,14 +8,14 @@
 
 
 class OpenJobs:
-    """All jobs that are open, and closed ones until the last of their attempts is gone."""
+    """All open jobs, and closed ones until their last attempt is removed."""
 
     def __init__(self, signals: ShardSignals) -> None:
         self.by_ref: dict[str, JobState] = {}
         self._signals = signals
 
     def add(self, job: Job, version: int, now: int, age_us: int) -> JobState:
-        """The state of a job, which is made if it is new."""
+        """Return the state of a job, creating it if the job is new."""
         job_state = self.by_ref.get(job.ref)
         if job_state is None:
             job_state = self.by_ref[job.ref] = JobState(job, version, now, age_us)
@@ -23,22 +23,22 @@
         return job_state
 
     def discard_if_over(self, job_state: JobState) -> None:
-        """Forget a job once it is closed and none of its attempts is left."""
+        """Forget a job that is closed and has no attempts left."""
         if job_state.closed and not job_state.live:
             self.by_ref.pop(job_state.job.ref, None)
 
     def is_closed(self, ref: str) -> bool:
-        """Is a job over, or not known?"""
+        """Whether a job is closed or not known."""
         job_state = self.by_ref.get(ref)
         return job_state is None or job_state.closed
 
     def confirm_stored(self, job_state: JobState, indices: Iterable[int]) -> None:
-        """These results are in the key-value store: their workers may forget them."""
+        """Record that these results are in the key-value store, so that workers may forget them."""
         job_state.unstored.difference_update(indices)
 
     def is_result_stored(self, ref: str, index: int) -> bool:
-        """Is the result of a task in the key-value store? Those of jobs that are over need not
-        be."""
+        """Whether the result of a task is in the key-value store, or need not be since its job is
+        closed."""
         job_state = self.by_ref.get(ref)
         return (
             job_state is None
