--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -1,4 +1,4 @@
-"""A shard as its leader acts on it: what is reported, what is decided, and the commands for it."""
+"""The facade through which a shard leader uses a shard: reports, decisions and commands."""
 
 from collections.abc import Iterable
 
@@ -21,14 +21,14 @@
 
 
 def _no_log(text: str) -> None:
-    """Used where nobody reads what a shard logs."""
+    """Discard a log line."""
 
 
 class Shard:
-    """The facade of a shard: joins the parts that keep its jobs, attempts and machines.
+    """The facade of a shard, over the classes that keep its jobs, attempts and machines.
 
-    Does no input or output. Each method takes the time, so that all that happens under one grant
-    is determined by the calls.
+    It does no input or output, and each method is passed the time in microseconds. Its state thus
+    depends on the calls alone.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         log: Log = _no_log,
     ) -> None:
         self.fencing_token = fencing_token
-        self.version = version  # of the grant: jobs accepted later were never started by others
+        self.version = version  # of the grant: no other leader has started jobs accepted later
         self.acquired_at = now
         self.timing = timing
         self.teams = teams
@@ -58,7 +58,7 @@
         self._reconciler = HeartbeatReconciler(
             fencing_token, timing, self._fleet, self._attempts, task_reports
         )
-        # Tables of the parts, which plans and sizing pass over again and again.
+        # Direct references, since planning and fleet sizing iterate over these often.
         self.job_states = self._jobs.by_ref
         self.machines = self._fleet.machines
         self.unsynced = self._fleet.unsynced
@@ -69,43 +69,44 @@
 
     @property
     def plan_needed(self) -> bool:
-        """May a plan bind tasks that the last one could not?"""
+        """Whether a plan may be able to bind tasks that the last one could not."""
         return self._signals.plan_needed
 
     def request_plan(self) -> None:
-        """Have the next pass of the planning loop make a plan."""
+        """Request a plan in the next iteration of the planning loop."""
         self._signals.plan_needed = True
 
     def begin_plan(self) -> None:
-        """A plan begins: what changes from now on is for the next one."""
+        """Clear the request for a plan; changes from now on request the next one."""
         self._signals.plan_needed = False
 
     # Jobs
 
     def add_job(self, job: Job, version: int, now: int, age_us: int = 0) -> JobState:
-        """Take in an open job whose record has this version; a known one stays as it is."""
+        """Add an open job whose record has this version; a known one stays as it is."""
         return self._jobs.add(job, version, now, age_us)
 
     def close_job(self, ref: str) -> None:
-        """Cancelled, or over: nothing of it may start, and what is there must go."""
+        """Close a job that is cancelled or completed: stop its attempts, and start no others."""
         job_state = self.job_states.get(ref)
         if job_state is None:
             return
         job_state.closed = True
         if not (job_state.history.replica_ran_long or job_state.complete):
-            self._failures.clear(job_state)  # it never showed that it can run
+            self._failures.clear(job_state)  # the job itself may have been faulty
         self._attempts.stop_all(job_state)
         self._jobs.discard_if_over(job_state)
         self._signals.plan_needed = True
 
     def confirm_stored(self, job_state: JobState, indices: Iterable[int]) -> None:
-        """These results are in the key-value store: their workers may forget them."""
+        """Record that these results are in the key-value store, so that workers may forget them."""
         self._jobs.confirm_stored(job_state, indices)
 
     def is_blocked(self, job_state: JobState, now: int) -> bool:
-        """May none of its tasks be started now? Until every machine that might hold a task
-        has shown our fencing token, only jobs that no earlier shard leader can have started are
-        free (test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines)."""
+        """Whether no task of the job may be started now. Until every machine that may hold tasks of
+        an earlier shard leader has sent our fencing token, only jobs that no such leader can have
+        started are not blocked
+        (test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines)."""
         return (
             job_state.closed
             or now < job_state.retry_at
@@ -113,66 +114,68 @@
         )
 
     def guess_us(self, job_state: JobState) -> int:
-        """How long a task of the job will run."""
+        """The expected run time of a task of the job, in microseconds."""
         return self._run_times.guess_us(job_state)
 
     # Attempts
 
     def next_attempt_number(self) -> int:
-        """The number of a new attempt, unique among all shard leaders."""
+        """The number of a new attempt, unique across all shard leaders."""
         return self._attempts.next_attempt_number()
 
     def used(self, team: str) -> TeamUsage:
-        """What a team's tasks take, those counted that only may be there."""
+        """What a team's tasks use, including those that only may be on their machines."""
         return self._attempts.used(team)
 
     def start(
         self, job_state: JobState, index: int, machine: Machine, attempt_number: int, now: int
     ) -> Attempt:
-        """Bind a task to a machine; its start command goes out once there is room for it."""
+        """Bind a task to a machine; its start command is sent once there is capacity for it."""
         return self._attempts.start(job_state, index, machine, attempt_number, now)
 
     def stop(self, attempt: Attempt, grace_s: float) -> None:
-        """Have an attempt stopped, with so long to save a checkpoint."""
+        """Stop an attempt, with `grace_s` to save a checkpoint."""
         self._attempts.stop(attempt, grace_s)
 
     def stop_gracefully(self, attempt: Attempt) -> None:
-        """Stop it so that its progress is saved if that can be; a gang's tasks go together."""
+        """Stop an attempt, with time to save its progress if it can; a gang is stopped as a
+        whole."""
         self._attempts.stop_gracefully(attempt)
 
     # Machines
 
     def load_machine(self, machine: Machine, answered_at: int | None = None) -> None:
-        """Add one that the key-value store lists as in use when we acquire the shard, and when we
-        answered it before we knew it, if we did."""
+        """Add a machine that is recorded as in use when we acquire the shard. `answered_at` is when
+        we last answered it before it was loaded; None if we did not."""
         machine.lease.grant(self.acquired_at, answered_at)
         self._fleet.load(machine)
 
     def add_machine(self, machine: Machine) -> None:
-        """Add one that can't hold any task yet, unless it is known."""
+        """Add a machine that can't hold any task yet, unless it is known."""
         self._fleet.add(machine)
 
     def drop_machine(self, name: str, now: int) -> None:
-        """It is deleted: everything on it is gone."""
+        """Drop a deleted machine, with all its attempts."""
         self._fleet.drop(name, now)
 
     def mark_unreachable(self, machine: Machine, now: int) -> None:
-        """A command went unanswered: nothing new is given to it until it is proven to hear us."""
+        """Start nothing on a machine that did not answer a command, until something proves that our
+        commands reach it."""
         self._fleet.mark_unreachable(machine, now)
 
     def is_settled(self, machine: Machine) -> bool:
-        """Would nothing be lost if the machine were returned?"""
+        """Whether the machine can be returned without losing work or results."""
         return self._commands.is_settled(machine)
 
     @property
     def has_unaccounted_tasks(self) -> bool:
-        """Is there, or may there be, a task on some machine that we do not account for?"""
+        """Whether some machine has, or may have, a task that is not in the usage of its team."""
         return self._fleet.has_unaccounted_tasks
 
     # Reports and commands
 
     def heartbeat(self, heartbeat: WorkerReport, now: int) -> list[TaskCommand] | None:
-        """Take in a heartbeat; the commands for its answer, or None when it must not be answered
+        """Apply a heartbeat and return the commands for its answer. None if it must not be answered
         with 200, since that would renew the worker's lease."""
         machine = self.machines.get(heartbeat.machine)
         if machine is None:
@@ -191,36 +194,36 @@
         return self._commands.for_heartbeat(machine, machine.messages.heartbeat_sequence)
 
     def halt_orphans(self, heartbeat: WorkerReport) -> list[TaskCommand]:
-        """Halts for tasks of jobs that are over, on a machine that we do not know fully."""
+        """Halts for tasks of closed jobs, on a machine that is not synced."""
         return self._commands.halt_orphans(heartbeat)
 
     def take_push_commands(self, machine: Machine) -> tuple[list[TaskCommand], list[Attempt]]:
-        """Commands worth sending at once, and the starts among them, which are in flight then."""
+        """The commands to push now, and the starts among them, which are then in flight."""
         return self._commands.take_push_commands(machine)
 
     def has_pending_commands(self, machine: Machine) -> bool:
-        """Has it commands that were not sent so far?"""
+        """Whether some commands for the machine have not been sent."""
         return has_pending_commands(machine)
 
     def answer(
         self, heartbeat: WorkerReport, now: int, pushed_starts: Iterable[Attempt] = ()
     ) -> None:
-        """Take in the answer to pushed commands. `pushed_starts` are the starts that it proves to
-        be executed."""
+        """Apply the answer to pushed commands. `pushed_starts` are the starts that it proves to be
+        executed."""
         machine = self.machines.get(heartbeat.machine)
         if machine is not None:
             self._reconciler.receive_answer(machine, heartbeat, now, pushed_starts)
 
     def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
-        """Pushed starts were executed, were not, or (None) nobody knows."""
+        """Record whether pushed starts were executed; None if that is unknown."""
         self._attempts.acknowledge_starts(pushed_starts, executed)
 
     # Time
 
     def advance(self, now: int) -> None:
-        """Take in what changes by the mere passing of time: leases expire, machines with a
-        preemption notice are emptied, stragglers are stopped."""
-        # Ten times a second, over thousands of machines: most have nothing to be done for.
+        """Apply what is due by now: expired leases, draining of machines, stopping of
+        stragglers."""
+        # Called ten times a second with thousands of machines, most of which need nothing done.
         silent_before = now - self.timing.lease_expiry_us
         due = [
             m
