--- a/basaltlead/core/signals.py
+++ b/basaltlead/core/signals.py
@@ -1,4 +1,4 @@
-"""What a shard makes known to the loops that act for it, and to whoever reads the log."""
+"""Signals from a shard to the loops that act on its changes."""
 
 from collections.abc import Callable
 
@@ -6,10 +6,10 @@
 
 
 class ShardSignals:
-    """Set where the shard changes, read and cleared by the planning and the pushing of commands."""
+    """Set when the shard changes, read and cleared by the planning loop and the dispatcher."""
 
     def __init__(self) -> None:
         self.plan_needed = True  # a plan may bind tasks that the last one could not
-        # Machines that may have commands which need not wait for a heartbeat, in the order in
-        # which they came up.
+        # Names of machines that may have commands to push before their next heartbeat, in the order
+        # of the changes.
         self.push_queue: dict[str, None] = {}
