--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -1,10 +1,9 @@
-"""Who leads, who leads which shard and who holds which duty, as the records in the key-value store
-say.
+"""The leader, the shard leaders and the holders of duties, according to the key-value store.
 
 A grant belongs to one incarnation of one member. It has provably ended once the member's key is
-gone (its session lease expired) or names another incarnation (the process was restarted). Every
-write that replaces a holder has the very keys that prove this as preconditions, so one that is
-based on an outdated view fails.
+deleted (its session lease expired) or names another incarnation (the process was restarted). Every
+write that replaces a holder has the keys that prove this as preconditions, so a write based on an
+outdated view fails.
 """
 
 from collections.abc import Iterable
@@ -21,8 +20,8 @@
 DUTY_PREFIX = "c/duty/"
 FENCING_TOKEN = "c/baton"
 
-# Taken off what is left of a session lease: a part of its duration, for the drift of our clock
-# against the key-value store's, and the resolution of timers.
+# Safety margins on the validity of a session lease: a fraction of its duration, for the drift of
+# our clock against the key-value store's, and the resolution of timers.
 CLOCK_DRIFT_DIVISOR = 500
 TIMER_RESOLUTION_US = 20_000
 
@@ -40,33 +39,33 @@
 
 
 def shard_key(shard: int) -> str:
-    """The key of the grant of a shard: who leads it."""
+    """The key of the grant of a shard, which names its leader."""
     return f"{SHARD_PREFIX}{shard}"
 
 
 def duty_key(duty: str) -> str:
-    """The key of the grant of a duty: who holds it (see `duties`)."""
+    """The key of the grant of a duty, which names its holder (see `duties`)."""
     return f"{DUTY_PREFIX}{duty}"
 
 
 def is_grant_key(key: str) -> bool:
-    """Whether it is the key of something that the leader grants: a shard or a duty."""
+    """Whether it is the key of a grant, of a shard or a duty."""
     return key.startswith((SHARD_PREFIX, DUTY_PREFIX))
 
 
 def grant_label(key: str) -> str:
-    """The name of what a grant's key stands for, for the log: "shard 0", "duty rent"."""
+    """What the grant with this key is for, for the log: "shard 0", "duty rent"."""
     if key.startswith(SHARD_PREFIX):
         return f"shard {key.removeprefix(SHARD_PREFIX)}"
     return f"duty {key.removeprefix(DUTY_PREFIX)}"
 
 
 def _grant_prefix(key: str) -> str:
-    """What a key grants. Shards and duties are spread over the members independently."""
+    """The kind of a grant: shard or duty. Each kind is balanced over the members independently."""
     return key.rpartition("/")[0]
 
 
-class MemberRecord(Struct, rename={"incarnation": "life"}):  # as it is stored
+class MemberRecord(Struct, rename={"incarnation": "life"}):  # the stored name
     """The value of the leader's key and of member keys."""
 
     name: str
@@ -88,27 +87,27 @@
 
 
 class Load(Struct):
-    """What a shard leader publishes about its shard each round, in CPUs."""
+    """The load of a shard in CPUs, published by its leader each round."""
 
-    waiting: float  # of tasks that wait
+    waiting: float  # requested by waiting tasks
     free: float
 
 
 class Counter(Struct):
-    """The last fencing token that was given out."""
+    """The last fencing token that was issued."""
 
     last: int
 
 
 class Versioned(Struct, Generic[V], frozen=True):
-    """The value of a key, and the version of the key's last change."""
+    """The value of a key, and its version: that of its last change."""
 
     value: V
     version: int
 
 
 class ClusterView:
-    """What is known of the keys under `PREFIX`: their values and versions."""
+    """The known values and versions of the keys under `PREFIX`."""
 
     def __init__(self) -> None:
         self.members: dict[str, Versioned[MemberRecord]] = {}  # by name
@@ -118,20 +117,20 @@
         self.loads: dict[int, Load] = {}  # by shard
 
     def note_member(self, claim: MemberRecord, version: int) -> None:
-        """Note the record of a member."""
+        """Store the record of a member."""
         self.members[claim.name] = Versioned(claim, version)
 
     def note_leader(self, claim: MemberRecord, version: int) -> None:
-        """Note who leads."""
+        """Store the record of the leader."""
         self.leader = Versioned(claim, version)
 
     def note_fencing_token(self, counter: Counter, version: int) -> None:
-        """Note the last fencing token."""
+        """Store the last fencing token."""
         self.fencing_token = Versioned(counter, version)
 
     def drop(self, key: str, version: int) -> None:
-        """Note that a key was dropped at a revision. A member's record that was written after that
-        stays; grants and loads are not dropped."""
+        """Remove a key that was deleted at this version. A member's record that was written later
+        stays; keys of grants and loads are never deleted."""
         if key == LEADER:
             self.leader = None
         elif key.startswith(MEMBER_PREFIX):
@@ -140,7 +139,8 @@
                 del self.members[name]
 
     def put(self, key: str, raw: msgspec.Raw, version: int) -> None:
-        """Note the value of a key. An older one than is known of a member or a grant is ignored.
+        """Store the value of a key. Of members and grants, a value older than the known one is
+        ignored.
 
         Raises `msgspec.DecodeError` or `ValueError` for a key or a value that can't be read.
         """
@@ -159,18 +159,19 @@
             self.note_grant(key, msgspec.json.decode(raw, type=Grant), version)
 
     def note_grant(self, key: str, grant: Grant, version: int) -> None:
-        """Note a grant. The answer to our own write and the watch report it in any order."""
+        """Store a grant unless a newer one is known: our own writes are reported by their response
+        and by the watch, in either order."""
         known = self.grants.get(key)
         if known is None or known.version <= version:
             self.grants[key] = Versioned(grant, version)
 
     def is_alive(self, name: str, incarnation: str) -> bool:
-        """Whether this incarnation of a member has a member key, as far as is known."""
+        """Whether this incarnation of a member is known to have a member key."""
         member = self.members.get(name)
         return member is not None and member.value.incarnation == incarnation
 
     def member_version(self, name: str) -> int:
-        """The version of a member's key, for preconditions; 0 if there is no such key."""
+        """The version of a member's key, for preconditions; 0 if the key does not exist."""
         member = self.members.get(name)
         return member.version if member is not None else 0
 
@@ -182,18 +183,18 @@
         )
 
     def holder(self, key: str) -> str | None:
-        """The living member that a shard or duty is granted to."""
+        """The live member that a shard or duty is granted to; None if there is none."""
         held = self.grants.get(key)
         if held is None or not self.is_alive(held.value.name, held.value.incarnation):
             return None
         return held.value.name
 
     def next_holder(self, key: str, leader: str) -> str | None:
-        """The member that a shard or duty should be granted to by the leader; None if there is no
-        member.
+        """The member to which the leader should grant a shard or duty; None if there is no member.
 
-        The one with fewest grants of this kind, then with fewest grants of any kind; among equals
-        the leader itself. The member that released it last is taken only if there is no other.
+        It is the one with the fewest grants of this kind, then with the fewest of any kind, then
+        the leader itself. The member that released the grant last is chosen only if there is no
+        other.
         """
         same_kind = dict.fromkeys(self.members, 0)
         any_kind = dict.fromkeys(self.members, 0)
@@ -217,8 +218,8 @@
         )
 
     def grant_to_hand_over(self, member: str) -> str | None:
-        """The key of one of this member's grants that another one, which has none of this kind,
-        should have; None if nothing is to be handed over."""
+        """The key of a grant that this member should hand over, since another member has none of
+        its kind; None if there is no such grant."""
         own_keys: dict[str, list[str]] = {}
         holders: dict[str, set[str]] = {}
         for key in self.grants:
@@ -229,49 +230,49 @@
                 own_keys.setdefault(_grant_prefix(key), []).append(key)
         for prefix, keys in own_keys.items():
             if len(keys) > 1 and self.members.keys() - holders[prefix]:
-                # The first duty by name is clean-up, which also a member can do that does not
-                # reach the cloud. The first shard stays: machines of no shard belong to it.
+                # The first duty by name is clean-up, which does not need access to the cloud. The
+                # first shard is kept: it also has the machines that belong to no shard.
                 return min(keys) if keys[0].startswith(DUTY_PREFIX) else max(keys)
         return None
 
     @property
     def previous_shard_leader(self) -> str:
-        """The last leader of the first shard, whether it was lost or has released the shard; empty
-        if there was none."""
+        """The last leader of the first shard, whether it failed or released the shard; empty if
+        there was none."""
         held = self.grants.get(shard_key(0))
         if held is None:
             return ""
         return held.value.name or held.value.avoid
 
     def failover_order(self) -> list[str]:
-        """The members in the order in which they should replace the last shard leader: those listed
-        after it first.
-
-        A worker whose controller falls silent tries the next one in its list. If that one is the
-        new shard leader, the worker loses no time there; if it is one that has been away for
-        longer, the worker waits for another 4 s, and a short lease is over before it has tried a
-        third. Following the order of the list keeps controllers that are away behind the shard
-        leader, not before it. The order of the workers' lists is not specified: numbered names are
-        taken to be listed by number. Nothing but the time that a failover takes depends on it.
+        """The members in the order in which they should replace the last shard leader: first those
+        after it in the workers' lists of controllers.
+
+        A worker whose controller stops answering tries the next one in its list. If that one is the
+        new shard leader, no time is lost; if it is one that failed earlier, the worker waits for
+        another 4 s, and a short lease expires before it has tried a third. With this order, failed
+        controllers come after the new shard leader in the list, not before it. The order of the
+        workers' lists is not specified; names with numbers are assumed to be listed by number. Only
+        the duration of a failover depends on it.
         """
         names = sorted(self.members, key=list_order)
         last = list_order(self.previous_shard_leader)
         return sorted(names, key=lambda name: (list_order(name) <= last, list_order(name)))
 
     def without_holder(self, keys: Iterable[str]) -> list[str]:
-        """Those of the shards and duties that have no living holder."""
+        """Those of the given shards and duties that have no live holder."""
         return [key for key in keys if self.holder(key) is None]
 
 
 def list_order(name: str) -> tuple[int, str]:
-    """Sort key that puts numbered names in order of number: "node-9" before "node-10"."""
+    """Sort key that orders names by their number: "node-9" before "node-10"."""
     return (len(name), name)
 
 
 def session_validity_end(sent_us: int, ttl_us: int) -> int:
-    """Until when a renewal sent at `sent_us` provably keeps a session lease of `ttl_us` valid, in
-    microseconds of our clock.
+    """The time, in microseconds of our clock, until which a renewal sent at `sent_us` provably
+    keeps a session lease of `ttl_us` valid.
 
-    The key-value store counts from when it handles the renewal, which is later than `sent_us`.
+    The key-value store counts from the time at which it handles the renewal, which is later.
     """
     return sent_us + ttl_us - ttl_us // CLOCK_DRIFT_DIVISOR - TIMER_RESOLUTION_US
