--- a/basaltlead/core/__init__.py
+++ b/basaltlead/core/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduling core: no input, no output, no clock of its own."""
+"""The scheduling core: it does no input or output and has no clock of its own."""
