--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -101,5 +101,5 @@
         if proven >= FAULTY_MACHINE_PROVEN_JOBS or len(machine.failed_jobs) >= FAULTY_MACHINE_JOBS:
             machine.draining = True
             self._log(
-                f"machine {machine.name} is faulty: {sorted(machine.failed_jobs)} failed on it"
+                f"machine {machine.name} is faulty: jobs {sorted(machine.failed_jobs)} failed on it"
             )
--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -69,8 +69,8 @@
         usage = machine.usage
         self._log(
             f"machine {machine.name} ({machine.machine_type.name}{spot}) returned: "
-            f"{age_s:.0f} s old, {up_s:.0f} s up, {usage.useful_s:.0f} s of use, "
-            f"{usage.wasted_s:.0f} s wasted, {usage.fetching_s:.0f} s of fetches"
+            f"{age_s:.0f} s old, {up_s:.0f} s up, {usage.useful_s:.0f} s useful, "
+            f"{usage.wasted_s:.0f} s wasted, {usage.fetching_s:.0f} s fetching images"
         )
 
     def _remove_attempts(self, machine: Machine, now: int) -> None:
@@ -106,7 +106,7 @@
                 if attempt.may_be_on_machine or attempt.start_in_flight
             ]
             self._log(
-                f"machine {machine.name} in epoch {epoch} (fencing token {self._fencing_token}, "
+                f"machine {machine.name} began epoch {epoch} (fencing token {self._fencing_token}, "
                 f"{machine.lease.describe(now)}): "
                 f"{_describe_tasks([attempt.key for attempt in over])}"
             )
@@ -151,9 +151,9 @@
 
 
 def _describe_tasks(keys: Sequence[TaskKey]) -> str:
-    """The number of tasks that are considered gone, and the first of them, for the log."""
+    """The number of tasks that are considered lost, and the first of them, for the log."""
     if not keys:
-        return "no tasks gone"
+        return "no tasks lost"
     names = ", ".join(f"{key.ref}/{key.task_index}" for key in sorted(keys)[:MAX_LOGGED_TASKS])
     more = ", ..." if len(keys) > MAX_LOGGED_TASKS else ""
-    return f"{len(keys)} tasks gone: {names}{more}"
+    return f"{len(keys)} tasks lost: {names}{more}"
--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -62,7 +62,7 @@
         machine.straggler_jobs.add(job_state.job.ref)
         self._log(
             f"machine {machine.name} is slow: "
-            f"{job_state.job.ref}/{attempt.index} is stopped there as a straggler"
+            f"stopping straggler {job_state.job.ref}/{attempt.index} on it"
         )
         if len(machine.straggler_jobs) >= FAULTY_MACHINE_SLOW_JOBS:
             machine.draining = True
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -63,7 +63,7 @@
             job_state.started_at = now
             job = job_state.job
             self._log(
-                f"job {job.ref} ({job.job_class}, {job.tasks} tasks) runs after "
+                f"job {job.ref} ({job.job_class}, {job.tasks} tasks): first task running after "
                 f"{(now - job_state.submitted_at) / US:.1f} s on {machine.name}"
             )
 
