--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -133,8 +133,8 @@
         self.wake.set()
         self.on_change()
 
-    def _joined(self, claim: MemberRecord, version: int) -> None:
-        self.watch.note_member(claim, version)
+    def _joined(self, record: MemberRecord, version: int) -> None:
+        self.watch.note_member(record, version)
         self.notify()
 
     async def release(self, key: str, leader_too: bool) -> bool:
--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -116,13 +116,13 @@
         self.fencing_token: Versioned[Counter] | None = None
         self.loads: dict[int, Load] = {}  # by shard
 
-    def note_member(self, claim: MemberRecord, version: int) -> None:
+    def note_member(self, record: MemberRecord, version: int) -> None:
         """Store the record of a member."""
-        self.members[claim.name] = Versioned(claim, version)
+        self.members[record.name] = Versioned(record, version)
 
-    def note_leader(self, claim: MemberRecord, version: int) -> None:
+    def note_leader(self, record: MemberRecord, version: int) -> None:
         """Store the record of the leader."""
-        self.leader = Versioned(claim, version)
+        self.leader = Versioned(record, version)
 
     def note_fencing_token(self, counter: Counter, version: int) -> None:
         """Store the last fencing token."""
