--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -29,15 +29,15 @@
         """
         if not any(map(any, heard.values())):
             return []
-        fallen: list[str] = []
+        newly_silent: list[str] = []
         for zone, machines in heard.items():
             if any(machines):
                 self._paused_until.pop(zone, None)
             elif len(machines) >= MIN_SILENT_MACHINES:
                 if zone not in self._paused_until:
-                    fallen.append(zone)
+                    newly_silent.append(zone)
                 self._paused_until[zone] = now + RENTAL_PAUSE_US
-        return fallen
+        return newly_silent
 
     def rentable_offers(
         self,
