--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -21,16 +21,16 @@
     def __init__(self) -> None:
         self._paused_until: dict[str, int] = {}  # by silent zone
 
-    def update(self, heard: Mapping[str, list[bool]], now: int) -> list[str]:
+    def update(self, reporting: Mapping[str, list[bool]], now: int) -> list[str]:
         """Update the silent zones, and return those that have just become silent.
 
-        `heard` tells, by zone, for each machine that has ever reported whether it still does. If
-        none in any zone does, nothing changes: more likely it is we who are cut off.
+        `reporting` tells, by zone, for each machine that has ever reported whether it still does.
+        If none in any zone does, nothing changes: more likely it is we who are cut off.
         """
-        if not any(map(any, heard.values())):
+        if not any(map(any, reporting.values())):
             return []
         newly_silent: list[str] = []
-        for zone, machines in heard.items():
+        for zone, machines in reporting.items():
             if any(machines):
                 self._paused_until.pop(zone, None)
             elif len(machines) >= MIN_SILENT_MACHINES:
