--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -100,7 +100,7 @@
         """Begin a new agent epoch of a machine. Everything that ran in the previous one was killed
         when that ended; attempts that were never sent to the machine stay bound to it."""
         if machine.epoch:
-            over = [
+            ended = [
                 attempt
                 for attempt in machine.attempts.values()
                 if attempt.may_be_on_machine or attempt.start_in_flight
@@ -108,9 +108,9 @@
             self._log(
                 f"machine {machine.name} began epoch {epoch} (fencing token {self._fencing_token}, "
                 f"{machine.lease.describe(now)}): "
-                f"{_describe_tasks([attempt.key for attempt in over])}"
+                f"{_describe_tasks([attempt.key for attempt in ended])}"
             )
-            for attempt in over:
+            for attempt in ended:
                 self._attempts.remove(attempt, now)
             machine.orphaned_attempts.clear()
             machine.images.clear()
