--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -83,7 +83,7 @@
         history.record_trial(machine.name, now)
         history.record_failure()
         if history.trials < TRIALS_UNTIL_JOB_IS_BLAMED or job_state.done_count:
-            self._blame_machine(machine, job_state, now)
+            self._record_machine_failure(machine, job_state, now)
             return
         self.clear(job_state)
         if history.trials >= TRIALS_BEFORE_PAUSE:
@@ -91,7 +91,7 @@
             tried = history.trials if job_state.job.service else history.failures
             job_state.retry_at = now + retry_pause_us(tried)
 
-    def _blame_machine(self, machine: Machine, job_state: JobState, now: int) -> None:
+    def _record_machine_failure(self, machine: Machine, job_state: JobState, now: int) -> None:
         """Cordon the machine for a while, and drain it once enough jobs have failed there: fewer
         are needed of jobs that are known to run elsewhere."""
         machine.failed_jobs.add(job_state.job.ref)
