--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -78,13 +78,13 @@
             forgettable=not completed,
             start_unacknowledged=attempt.start_unacknowledged or attempt.start_in_flight,
         )
-        is_blameless = job.service and self._failures.record_replica_end(attempt, reason, now)
+        ran_long = job.service and self._failures.record_replica_end(attempt, reason, now)
         if completed:
             self._complete(attempt, now)
         self._attempts.remove(attempt, now)
         if completed or job_state.closed:
             return
-        if not is_blameless or reason != ExitReason.ERROR:
+        if not ran_long or reason != ExitReason.ERROR:
             self._failures.record_exit(machine, job_state, reason, now)
         if job.gang and reason in GANG_ENDING_REASONS:
             self._attempts.stop_all(job_state)
