--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -64,8 +64,8 @@
             return REFUSED
         if (heartbeat.epoch, heartbeat.sequence) <= (messages.epoch, messages.heartbeat_sequence):
             return OUTDATED
-        shows_token = heartbeat.fencing_token == self._fencing_token
-        if not shows_token:
+        has_token = heartbeat.fencing_token == self._fencing_token
+        if not has_token:
             messages.unsynced_since = messages.unsynced_since or now
             if now - messages.unsynced_since > self._timing.lease_us:
                 return REFUSED
@@ -79,7 +79,7 @@
         machine.address = heartbeat.address
         notice_s = heartbeat.preemption_notice_s
         self._fleet.update_preemption_notice(machine, notice_s, is_newest, now)
-        if shows_token:
+        if has_token:
             self._apply_heartbeat(machine, heartbeat, is_newest, now)
         return ACCEPTED
 
