--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -10,9 +10,9 @@
 from basaltlead.config.settings import Settings
 from basaltlead.core.cluster_view import (
     LEADER,
-    Claim,
     ClusterView,
     Grant,
+    MemberRecord,
     Versioned,
     grant_label,
     shard_key,
@@ -133,8 +133,8 @@
         self.wake.set()
         self.on_change()
 
-    def _joined(self, claim: Claim, version: int) -> None:
-        self.watch.note_member(claim, version)
+    def _joined(self, record: MemberRecord, version: int) -> None:
+        self.watch.note_member(record, version)
         self.notify()
 
     async def release(self, key: str, leader_too: bool) -> bool:
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -162,11 +162,13 @@
         offers = self.offer_book.offers(machine_types.values(), requests.held(), now)
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
-        awaited_zones = {m.zone for m in expected if not m.heard_at and _may_come_up(m, now)}
-        return self.silent_zones.admitted(offers, machine_types, awaited_zones, now)
+        awaited_zones = {
+            m.zone for m in expected if not m.last_heartbeat_at and _may_come_up(m, now)
+        }
+        return self.silent_zones.rentable_offers(offers, machine_types, awaited_zones, now)
 
 
 def _may_come_up(machine: Machine, now: int) -> bool:
     """Is the machine within the time that most need to come up?"""
     usual_us = machine.machine_type.boot_us * 3 // 2 + USUAL_BOOT_MARGIN_US
-    return now - machine.made_at < usual_us
+    return now - machine.created_at < usual_us
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -43,7 +43,7 @@
     reported to this one so far: a new shard leader must not return those.
     """
     patience = int(machine.machine_type.boot_us * PROVISIONING_BOOTS) + PROVISIONING_MARGIN_US
-    return not machine.up and not machine.recorded and now - machine.made_at > patience
+    return not machine.up and not machine.recorded and now - machine.created_at > patience
 
 
 def replacement_cost_us(machine: Machine) -> float:
@@ -96,7 +96,7 @@
             return TerminationReason.LOST
         if self._unreachable_for_long(machine, now):
             return TerminationReason.UNREACHABLE
-        if not self.context.shard.settled(machine):
+        if not self.context.shard.is_settled(machine):
             return None
         if machine.draining:
             return TerminationReason.FAULTY
@@ -109,7 +109,7 @@
         return self.idle_retention is not None and self.idle_retention.keeps(machine)
 
     def _unreachable_for_long(self, machine: Machine, now: int) -> bool:
-        since = max(machine.unreachable_since, machine.back_at)
+        since = max(machine.unreachable_since, machine.recovered_at)
         patience = UNREACHABLE_LEASES * self.context.shard.timing.lease_expiry_us
         return bool(machine.unreachable_since) and now - since > patience
 
@@ -119,5 +119,5 @@
             machine.up
             and machine.synced
             and now - machine.idle_since > idle_share * replacement_cost_us(machine)
-            and now - machine.made_at > MIN_BILLED_US - BILLING_MARGIN_US
+            and now - machine.created_at > MIN_BILLED_US - BILLING_MARGIN_US
         )
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -49,7 +49,7 @@
         Tasks are started on recorded machines only, so it holds none that is wanted. That it exists
         is certain only once it shows our fencing token.
         """
-        if heartbeat.machine in self.shard.gone:
+        if heartbeat.machine in self.shard.deleted_machines:
             return None
         if heartbeat.fencing_token < self.lease.fencing_token:
             return self._renewal(self.shard.halt_orphans(heartbeat))
@@ -69,10 +69,10 @@
             return None
         machine = self.shard.machines[heartbeat.machine]
         log_commands(self.shard, machine, commands, pushed=False, now=now)
-        if machine.heard_at == now:  # else it was outdated or unproven
+        if machine.last_heartbeat_at == now:  # else it was outdated or unproven
             shows_token = heartbeat.fencing_token == self.lease.fencing_token
             self._after_heartbeat(machine, shows_token, now)
-        if self.shard.dirty:
+        if self.shard.plan_needed:
             self.context.wake.set()
         return self._renewal(commands)
 
