--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -42,13 +42,13 @@
     job_states: Iterable[JobState],
     now: int,
     due_of: Callable[[JobState, int], Due],
-    guess_us: Callable[[JobState], int],
+    estimated_run_us: Callable[[JobState], int],
     lead_us: int,
     cpu_us_left: dict[str, float],
 ) -> dict[str, int]:
     """How many tasks of each job should run, by job; those that run already count.
 
-    `guess_us` tells how long a task of a job runs, `lead_us` how long a machine takes to boot, and
+    `estimated_run_us` tells how long a task of a job runs, `lead_us` how long a machine takes to boot, and
     `cpu_us_left` what is left of each array (see `remaining_cpu_us`).
     """
     wanted: dict[str, int] = {}
@@ -58,7 +58,7 @@
         if job_state.job.gang or due == NO_DUE:
             wanted[job_state.job.ref] = job_state.remaining
         else:
-            run_us = guess_us(job_state)
+            run_us = estimated_run_us(job_state)
             # No hurry is worth its price to a job that is late.
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_US)
             dated.append(DatedJob(due_at, run_us, job_state))
@@ -89,12 +89,12 @@
 
 
 def remaining_cpu_us(
-    job_states: Iterable[JobState], now: int, guess_us: Callable[[JobState], int]
+    job_states: Iterable[JobState], now: int, estimated_run_us: Callable[[JobState], int]
 ) -> dict[str, float]:
     """What is left of each array, in CPU microseconds. It passes over every running task, so it is
     computed once a pass over the demand."""
     return {
-        job_state.job.ref: _cpu_us_left(job_state, guess_us(job_state), now)
+        job_state.job.ref: _cpu_us_left(job_state, estimated_run_us(job_state), now)
         for job_state in job_states
         if job_state.job.shape is Shape.ARRAY
     }
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -225,8 +225,8 @@
         return max((self._left_us(attempt) for attempt in machine.attempts.values()), default=0)
 
     def _left_us(self, attempt: Attempt) -> int:
-        guess_us = self._context.shard.guess_us(attempt.job_state)
+        estimated_run_us = self._context.shard.estimated_run_us(attempt.job_state)
         if attempt.job_state.job.service:
-            return guess_us
+            return estimated_run_us
         now = self._context.now
-        return max(guess_us - (now - (attempt.running_since or now)), US)
+        return max(estimated_run_us - (now - (attempt.running_since or now)), US)
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -50,7 +50,7 @@
     one_zone: bool  # all tasks in the same zone
     apart: bool  # no more than half of the tasks in the same zone
     spot: bool  # also on spot machines
-    guess_us: int  # how long a task runs, by the user's guess
+    estimated_run_us: int  # how long a task runs, by the user's guess
     checkpoint_interval_us: int  # 0: its tasks save no checkpoints
     checkpoint_duration_s: float
     due_us: int | None  # from its submission
--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -70,13 +70,13 @@
         else:
             spans = list(self.finishes.get(job.job_class, ()))
         if not job.gang:
-            spans += [span + job.guess_us for span in self.starts.get(job.job_class, ())]
+            spans += [span + job.estimated_run_us for span in self.starts.get(job.job_class, ())]
         if not spans:
             return NO_DUE
         run_us = (
             job_state.ran_us // job_state.ran_count
             if job_state.ran_count >= MIN_SAMPLES
-            else job.guess_us
+            else job.estimated_run_us
         )
         for span in sorted(spans):
             # Guesses are often wrong: what would miss it by a quarter of a run may still meet it.
--- a/basaltlead/core/run_times.py
+++ b/basaltlead/core/run_times.py
@@ -19,18 +19,20 @@
         job = job_state.job
         job_state.ran_us += ran_us
         job_state.ran_count += 1
-        if job.guess_us > 0:
-            ratio = min(MAX_RATIO, max(MIN_RATIO, ran_us / job.guess_us))
+        if job.estimated_run_us > 0:
+            ratio = min(MAX_RATIO, max(MIN_RATIO, ran_us / job.estimated_run_us))
             old = self.ratio.get(job.job_class)
             self.ratio[job.job_class] = (
                 ratio if old is None else old * (1 - NEW_WEIGHT) + ratio * NEW_WEIGHT
             )
 
-    def guess_us(self, job_state: JobState) -> int:
+    def estimated_run_us(self, job_state: JobState) -> int:
         """How long a task of the job will run: as its first ones did; before that by the owner's
         guess and what guesses of its class have been worth. A replica never ends."""
         if job_state.job.service:
             return STANDING_US
         if job_state.ran_count >= MIN_SAMPLES:
             return max(US, job_state.ran_us // job_state.ran_count)
-        return max(US, int(job_state.job.guess_us * self.ratio.get(job_state.job.job_class, 1.0)))
+        return max(
+            US, int(job_state.job.estimated_run_us * self.ratio.get(job_state.job.job_class, 1.0))
+        )
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -112,9 +112,9 @@
             or (job_state.version <= self.version and bool(self.unsynced))
         )
 
-    def guess_us(self, job_state: JobState) -> int:
+    def estimated_run_us(self, job_state: JobState) -> int:
         """How long a task of the job will run."""
-        return self._run_times.guess_us(job_state)
+        return self._run_times.estimated_run_us(job_state)
 
     # Attempts
 
--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -76,7 +76,7 @@
         return slots
 
     def _cpu_us_left(self, job_state: JobState) -> float:
-        return job_state.remaining * job_state.job.size * self._shard.guess_us(job_state)
+        return job_state.remaining * job_state.job.size * self._shard.estimated_run_us(job_state)
 
     def _bid(self, job_state: JobState) -> Bid[str]:
         max_slots = job_state.remaining
--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -43,11 +43,11 @@
         and one without a guess from the start."""
         if (
             job_state.history.stragglers_stopped >= MAX_STOPPED
-            or job_state.job.guess_us <= 0
+            or job_state.job.estimated_run_us <= 0
             or job_state.job.service
         ):
             return
-        limit_us = SLOW_FACTOR * self._run_times.guess_us(job_state) + SLOW_MARGIN_US
+        limit_us = SLOW_FACTOR * self._run_times.estimated_run_us(job_state) + SLOW_MARGIN_US
         if job_state.ran_count < MIN_SAMPLES:
             limit_us *= 2  # a guess is worth less than what was measured
         for attempt in list(job_state.live.values()):
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -32,12 +32,12 @@
             for state in shard.job_states.values()
             if not state.closed and not state.complete and now >= state.retry_at
         ]
-        loads = demand.remaining_cpu_us(job_states, now, shard.guess_us)
+        loads = demand.remaining_cpu_us(job_states, now, shard.estimated_run_us)
         counts = demand.wanted_tasks(
             job_states,
             now,
             self.market.objectives.due,
-            shard.guess_us,
+            shard.estimated_run_us,
             self.shortest_boot_us(),
             loads,
         )
@@ -46,7 +46,7 @@
         needs = []
         for state in sorted(job_states, key=lambda state: (-state.job.rank, state.submitted_at)):
             state.need = counts[state.job.ref]
-            need = Demand(state, state.need, run_us=shard.guess_us(state))
+            need = Demand(state, state.need, run_us=shard.estimated_run_us(state))
             if state.job.shape is Shape.ARRAY:
                 need.drain_us = capacity.drain_us(state.job, backlog)
             needs.append(need)
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -178,7 +178,7 @@
             if open_job is None:
                 continue
             job = open_job.job
-            run_us = STANDING_US if job.service else max(job.guess_us, 1)
+            run_us = STANDING_US if job.service else max(job.estimated_run_us, 1)
             for first, end, shard in assignment.parts:
                 loads[shard] = loads.get(shard, 0.0) + (end - first) * job.cpus * run_us
         return loads
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -36,7 +36,7 @@
         "one_zone": False,
         "apart": False,
         "spot": True,
-        "guess_us": 10 * US,
+        "estimated_run_us": 10 * US,
         "checkpoint_interval_us": 0,
         "checkpoint_duration_s": 0.0,
         "due_us": None,
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -25,7 +25,7 @@
     objectives = _objectives(
         Objective("deadline", "reports", times=1.5), Objective("deadline", "reports", times=1.0)
     )
-    job_state = _job_state(make_job(tasks=4, due_us=100 * US, guess_us=20 * US))
+    job_state = _job_state(make_job(tasks=4, due_us=100 * US, estimated_run_us=20 * US))
 
     assert objectives.due(job_state, 0).at == 100 * US
     assert objectives.due(job_state, 90 * US).at == 150 * US  # a task takes 20 s: the first is lost
@@ -41,7 +41,7 @@
         Objective("wait", "reports", within_s=60.0),
         Objective("finished", "reports", within_s=300.0),
     )
-    job_state = _job_state(make_job(tasks=4, guess_us=20 * US))
+    job_state = _job_state(make_job(tasks=4, estimated_run_us=20 * US))
 
     assert objectives.due(job_state, 0).at == 80 * US
     assert objectives.due(job_state, 70 * US).at == 300 * US
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -19,7 +19,7 @@
     values: dict[str, object] = {
         "shape": Shape.SERVICE,
         "rank": PRODUCTION,
-        "guess_us": 0,
+        "estimated_run_us": 0,
         "spot": False,
     }
     return story.submit(number, **(values | fields))
@@ -78,11 +78,11 @@
     story = Story(machines=1)
     service = _service(story)
 
-    assert story.shard.guess_us(service) == STANDING_US
+    assert story.shard.estimated_run_us(service) == STANDING_US
     _run(story, service)
     story.now += 2 * STANDING_US
 
-    assert story.shard.guess_us(service) == STANDING_US
+    assert story.shard.estimated_run_us(service) == STANDING_US
     assert service.ran_count == 0
 
 
@@ -162,10 +162,10 @@
     objectives = ServiceLevelObjectives(starts={"reports": [4 * US]})
     job_states = list(story.shard.job_states.values())
     story.now += 500 * US
-    loads = demand.remaining_cpu_us(job_states, story.now, story.shard.guess_us)
+    loads = demand.remaining_cpu_us(job_states, story.now, story.shard.estimated_run_us)
     assert loads == {}
     wanted = demand.wanted_tasks(
-        job_states, story.now, objectives.due, story.shard.guess_us, 5 * US, loads
+        job_states, story.now, objectives.due, story.shard.estimated_run_us, 5 * US, loads
     )
 
     assert wanted == {service.job.ref: 5}
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -198,8 +198,10 @@
         return demand.Due(job_state.submitted_at + (job_state.job.due_us or 0))
 
     def wanted() -> dict[str, int]:
-        loads = demand.remaining_cpu_us([late, hasty], story.now, story.shard.guess_us)
-        return demand.wanted_tasks([late, hasty], story.now, due, story.shard.guess_us, 0, loads)
+        loads = demand.remaining_cpu_us([late, hasty], story.now, story.shard.estimated_run_us)
+        return demand.wanted_tasks(
+            [late, hasty], story.now, due, story.shard.estimated_run_us, 0, loads
+        )
 
     assert wanted()[late.job.ref] == 0
     story.now += 61 * US
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -125,7 +125,7 @@
 
     for number in range(1000, 1300):
         story.shard.add_job(
-            make_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, guess_us=0),
+            make_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, estimated_run_us=0),
             200,
             story.now,
         )
@@ -133,7 +133,7 @@
     planning.plan(story.shard, story.now)
     assert looked.calls <= MACHINES + 300
     high = story.shard.add_job(
-        make_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], guess_us=0),
+        make_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], estimated_run_us=0),
         200,
         story.now,
     )
