--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -145,7 +145,7 @@
         one_zone=sent.one_zone,
         apart=sent.apart,
         spot=sent.spot,
-        estimated_run_us=int(sent.guess_s * US),
+        estimated_run_us=int(sent.estimated_run_s * US),
         checkpoint_interval_us=int(sent.checkpoint_interval_s * US),
         checkpoint_duration_s=sent.checkpoint_duration_s,
         due_us=None if sent.due_s is None else int(sent.due_s * US),
--- a/basaltlead/wire/names.py
+++ b/basaltlead/wire/names.py
@@ -21,7 +21,7 @@
     "image_gb": "PullGb",
     "one_zone": "OneZone",
     "apart": "Apart",
-    "guess_s": "GuessS",
+    "estimated_run_s": "GuessS",
     "checkpoint_interval_s": "MarkEveryS",
     "checkpoint_duration_s": "MarkS",
     "due_s": "DueS",
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -30,7 +30,7 @@
     one_zone: bool
     apart: bool
     spot: bool
-    guess_s: Amount
+    estimated_run_s: Amount
     checkpoint_interval_s: Amount
     checkpoint_duration_s: Amount
     types: list[Text] | None = None
