--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -14,7 +14,7 @@
 LASTING_US = 30 * US
 # The run time that a replica is taken to have left, always: much longer than any span that plans
 # consider.
-STANDING_US = 24 * 3600 * US
+SERVICE_RUN_TIME_US = 24 * 3600 * US
 
 RANKS = {"best_effort": 0, "standard": 1, "high": 2, "production": 3}
 MIN_SIZE_CPUS = 0.1  # what a task counts as at least
--- a/basaltlead/core/run_times.py
+++ b/basaltlead/core/run_times.py
@@ -1,7 +1,7 @@
 """How long tasks run."""
 
 from basaltlead.core.entities import JobState
-from basaltlead.core.jobs import STANDING_US, US
+from basaltlead.core.jobs import SERVICE_RUN_TIME_US, US
 
 MIN_SAMPLES = 3  # from so many tasks of a job on, their mean counts more than its owner's guess
 MIN_RATIO, MAX_RATIO = 0.1, 8.0  # one job may be far off; its class is taken to be within these
@@ -30,7 +30,7 @@
         """How long a task of the job will run: as its first ones did; before that by the owner's
         guess and what guesses of its class have been worth. A replica never ends."""
         if job_state.job.service:
-            return STANDING_US
+            return SERVICE_RUN_TIME_US
         if job_state.ran_count >= MIN_SAMPLES:
             return max(US, job_state.ran_us // job_state.ran_count)
         return max(
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -11,7 +11,7 @@
 from basaltlead.cluster.membership import Membership
 from basaltlead.core.cluster_view import LEADER
 from basaltlead.core.fleet import NAMES_KEPT
-from basaltlead.core.jobs import STANDING_US, Job
+from basaltlead.core.jobs import SERVICE_RUN_TIME_US, Job
 from basaltlead.core.teams import TeamQuota
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.events import wait_for_event
@@ -178,7 +178,7 @@
             if open_job is None:
                 continue
             job = open_job.job
-            run_us = STANDING_US if job.service else max(job.estimated_run_us, 1)
+            run_us = SERVICE_RUN_TIME_US if job.service else max(job.estimated_run_us, 1)
             for first, end, shard in assignment.parts:
                 loads[shard] = loads.get(shard, 0.0) + (end - first) * job.cpus * run_us
         return loads
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -4,7 +4,7 @@
 
 from basaltlead.core import demand
 from basaltlead.core.entities import JobState
-from basaltlead.core.jobs import RANKS, STANDING_US, US, Shape
+from basaltlead.core.jobs import RANKS, SERVICE_RUN_TIME_US, US, Shape
 from basaltlead.core.market import Market, Terms
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.planning import plan
@@ -78,11 +78,11 @@
     story = Story(machines=1)
     service = _service(story)
 
-    assert story.shard.estimated_run_us(service) == STANDING_US
+    assert story.shard.estimated_run_us(service) == SERVICE_RUN_TIME_US
     _run(story, service)
-    story.now += 2 * STANDING_US
+    story.now += 2 * SERVICE_RUN_TIME_US
 
-    assert story.shard.estimated_run_us(service) == STANDING_US
+    assert story.shard.estimated_run_us(service) == SERVICE_RUN_TIME_US
     assert service.ran_count == 0
 
 
