--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from basaltlead.core.entities import Attempt, JobState, Machine
-from basaltlead.core.jobs import LASTING_US, US
+from basaltlead.core.jobs import STABLE_RUN_US, US
 from basaltlead.core.open_jobs import OpenJobs
 from basaltlead.core.signals import Log
 from basaltlead.core.task_states import ExitReason
@@ -56,7 +56,7 @@
         job_state = attempt.job_state
         history = job_state.history
         ran_us = now - attempt.running_since if attempt.running_since else 0
-        if ran_us >= LASTING_US:
+        if ran_us >= STABLE_RUN_US:
             history.lasted = True
             history.trials = 0
             return True
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -11,7 +11,7 @@
 EPS = 1e-6  # amounts are sums of fractions, and are equal if they differ by less
 
 # A replica that has run for so long shows that its service can run.
-LASTING_US = 30 * US
+STABLE_RUN_US = 30 * US
 # The run time that a replica is taken to have left, always: much longer than any span that plans
 # consider.
 SERVICE_RUN_TIME_US = 24 * 3600 * US
