--- a/basaltlead/api/admission.py
+++ b/basaltlead/api/admission.py
@@ -27,9 +27,9 @@
         if not zones:
             return "a task fits no allowed machine type"
         zone_count = 1 if job.one_zone else len(zones)
-        if job.together > job.zone_cap * zone_count:
+        if job.min_concurrent_tasks > job.zone_cap * zone_count:
             return "tasks that may not be where they must be"
-        cpus, gpus = job.cpus * job.together, job.gpus * job.together
+        cpus, gpus = job.cpus * job.min_concurrent_tasks, job.gpus * job.min_concurrent_tasks
         if (quota.cpus_max and cpus > quota.cpus_max + EPS) or (
             quota.gpus_max and gpus > quota.gpus_max + EPS
         ):
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -66,7 +66,7 @@
         return self.shape is Shape.SERVICE
 
     @property
-    def together(self) -> int:
+    def min_concurrent_tasks(self) -> int:
         """How many of its tasks a team's limit must allow at once for it to be served."""
         return 1 if self.shape is Shape.ARRAY else self.tasks
 
--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -14,7 +14,7 @@
     """What decides whether a job finds room: jobs with equal ones find it or not alike."""
 
     shape: Shape
-    together: int  # tasks that must be placed at once
+    min_concurrent_tasks: int  # tasks that must be placed at once
     rank: int
     team: str
     cpus: float
--- a/basaltlead/core/team_limits.py
+++ b/basaltlead/core/team_limits.py
@@ -18,7 +18,7 @@
     if not team.cpus and not team.gpus:
         return False
     used = shard.used(job.team)
-    count = job.together
+    count = job.min_concurrent_tasks
     return (
         used.cpus + job.cpus * count <= team.cpus + EPS
         and used.gpus + job.gpus * count <= team.gpus + EPS
