--- a/basaltlead/core/array_placement.py
+++ b/basaltlead/core/array_placement.py
@@ -42,7 +42,7 @@
         for _ in range(min(limit, MAX_STARTS)):
             if not context.limits.allow(job):
                 return
-            if job.whole:
+            if job.single_shard:
                 zones = zones_open(job_state, context.machines.zones)
             machine = ranking.best(zones)
             stops: list[Attempt] = []
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -71,7 +71,7 @@
         return 1 if self.shape is Shape.ARRAY else self.tasks
 
     @property
-    def whole(self) -> bool:
+    def single_shard(self) -> bool:
         """Must all of its tasks be placed by one shard leader, who sees them together?"""
         return self.gang or self.one_zone or self.apart
 
--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -31,7 +31,7 @@
     """The job's requirements; None if its chances are its own: a job that has failed on some
     machines, and one whose running tasks decide where the others may be."""
     job = job_state.job
-    if job_state.history.failed_on or (job.whole and job_state.live):
+    if job_state.history.failed_on or (job.single_shard and job_state.live):
         return None
     return Requirements(
         job.shape,
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -59,7 +59,7 @@
     least_loaded = min(range(shards), key=lambda shard: (loads.get(shard, 0.0), shard))
     if quota.is_limited:
         return [AssignedRange(0, job.tasks, home_shard(job.team, shards))]
-    if job.whole or job.tasks < 2 * shards:
+    if job.single_shard or job.tasks < 2 * shards:
         return [AssignedRange(0, job.tasks, least_loaded)]
     bounds = [job.tasks * number // shards for number in range(shards + 1)]
     return [AssignedRange(bounds[shard], bounds[shard + 1], shard) for shard in range(shards)]
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -159,7 +159,7 @@
             job_state
             for job_state in self.shard.job_states.values()
             if not job_state.closed
-            and not job_state.job.whole
+            and not job_state.job.single_shard
             and not self._is_limited(job_state.job.team)
         ]
         waiting = sum(job_state.waiting * job_state.job.cpus for job_state in movable)
