--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -147,7 +147,7 @@
     ) -> PackingBin | None:
         """The machine with most of the images, in a zone that does not have its part yet."""
         job = spare.job
-        cap = (spare.count + 1) // 2 if job.apart else spare.count
+        cap = (spare.count + 1) // 2 if job.spread_zones else spare.count
         full = {zone for zone, count in held.items() if count >= cap}
         fitting = [
             b
@@ -173,7 +173,7 @@
     def _zone_room(self, job_state: JobState, count: int) -> dict[str, int] | None:
         """How many more tasks of a job each zone may have; None if that does not matter."""
         job = job_state.job
-        if not (job.one_zone or job.apart):
+        if not (job.one_zone or job.spread_zones):
             return None
         offers = self._rental_choice.offers
         zones = sorted({b.zone for b in self._bins} | {offer.zone for offer in offers})
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -48,7 +48,7 @@
     types: frozenset[str] | None  # names of machine types; None: any
     zone: str | None  # None: any
     one_zone: bool  # all tasks in the same zone
-    apart: bool  # no more than half of the tasks in the same zone
+    spread_zones: bool  # no more than half of the tasks in the same zone
     spot: bool  # also on spot machines
     estimated_run_us: int  # how long a task runs, by the user's guess
     checkpoint_interval_us: int  # 0: its tasks save no checkpoints
@@ -73,7 +73,7 @@
     @property
     def single_shard(self) -> bool:
         """Must all of its tasks be placed by one shard leader, who sees them together?"""
-        return self.gang or self.one_zone or self.apart
+        return self.gang or self.one_zone or self.spread_zones
 
     @property
     def size(self) -> float:
@@ -83,7 +83,7 @@
     @property
     def zone_cap(self) -> int:
         """How many of its tasks one zone may hold."""
-        return (self.tasks + 1) // 2 if self.apart else self.tasks
+        return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
 
 
 def fitting(job: Job, cpus: float, gpus: float, memory_gb: float) -> int:
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -20,7 +20,7 @@
     """Zones in which one more task of the job may start, given its tasks in any zone. `leaving`
     does not count: that attempt is to end before the new one starts."""
     job = job_state.job
-    if not (job.one_zone or job.apart):
+    if not (job.one_zone or job.spread_zones):
         return set(zones)
     held = Counter(a.machine.zone for a in job_state.live.values() if a is not leaving)
     if job.one_zone and held:  # a job may ask for both: then half of it at a time, in one zone
--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -23,7 +23,7 @@
     types: frozenset[str] | None
     zone: str | None
     one_zone: bool
-    apart: bool
+    spread_zones: bool
     spot: bool
 
 
@@ -44,7 +44,7 @@
         job.types,
         job.zone,
         job.one_zone,
-        job.apart,
+        job.spread_zones,
         job.spot,
     )
 
--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -143,7 +143,7 @@
         types=None if sent.types is None else frozenset(sent.types),
         zone=sent.zone,
         one_zone=sent.one_zone,
-        apart=sent.apart,
+        spread_zones=sent.spread_zones,
         spot=sent.spot,
         estimated_run_us=int(sent.estimated_run_s * US),
         checkpoint_interval_us=int(sent.checkpoint_interval_s * US),
--- a/basaltlead/wire/names.py
+++ b/basaltlead/wire/names.py
@@ -20,7 +20,7 @@
     "image": "Mould",
     "image_gb": "PullGb",
     "one_zone": "OneZone",
-    "apart": "Apart",
+    "spread_zones": "Apart",
     "estimated_run_s": "GuessS",
     "checkpoint_interval_s": "MarkEveryS",
     "checkpoint_duration_s": "MarkS",
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -28,7 +28,7 @@
     image: Text
     image_gb: Amount
     one_zone: bool
-    apart: bool
+    spread_zones: bool
     spot: bool
     estimated_run_s: Amount
     checkpoint_interval_s: Amount
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -34,7 +34,7 @@
         "types": None,
         "zone": None,
         "one_zone": False,
-        "apart": False,
+        "spread_zones": False,
         "spot": True,
         "estimated_run_us": 10 * US,
         "checkpoint_interval_us": 0,
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -327,7 +327,7 @@
     story = Story(machines=3)
 
     story.shard.machines["m-2"].zone = "b"
-    job_state = story.submit(tasks=4, one_zone=True, apart=True)
+    job_state = story.submit(tasks=4, one_zone=True, spread_zones=True)
 
     assert len(job_state.live) == 2
     assert len({a.machine.zone for a in job_state.live.values()}) == 1
