--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -319,7 +319,7 @@
         self.done[index >> 3] |= bit
         self.done_count += 1
         self.live_open -= index in self.live
-        self.queue_done += self.queue.holds(index)
+        self.queue_done += self.queue.contains(index)
         return True
 
     def finish(self, index: int) -> None:
--- a/basaltlead/core/task_queue.py
+++ b/basaltlead/core/task_queue.py
@@ -29,7 +29,7 @@
         self._position = (0, 0)
         self._returned.clear()
 
-    def holds(self, index: int) -> bool:
+    def contains(self, index: int) -> bool:
         """Is the task assigned to this shard?"""
         return any(low <= index < high for low, high in self.ranges)
 
@@ -41,7 +41,7 @@
         """Take the task to start next, which is neither done nor live; None if there is none."""
         while self._returned:
             index = self._returned.pop()
-            if index not in live and not is_done(index) and self.holds(index):
+            if index not in live and not is_done(index) and self.contains(index):
                 return index
         part, at = self._position
         while part < len(self.ranges):
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -149,7 +149,7 @@
         index not in job_state.live
         and not job_state.is_done(index)
         and not machine.synced
-        and job_state.queue.holds(index)
+        and job_state.queue.contains(index)
     )
 
 
