--- a/basaltlead/api/admission.py
+++ b/basaltlead/api/admission.py
@@ -40,7 +40,8 @@
         return {
             zone
             for machine_type in self.machine_types.values()
-            if machine_type.holds(job) and (job.types is None or machine_type.name in job.types)
+            if machine_type.capacity_for(job)
+            and (job.types is None or machine_type.name in job.types)
             for zone in machine_type.zones
             if job.zone in (None, zone)
         }
--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -43,7 +43,7 @@
         `example` stands for the others: the cloud may describe a type anew under its old name."""
         machine_type = example.machine_type
         return allowed(job, machine_type.name, self.zone, self.spot) and bool(
-            machine_type.holds(job)
+            machine_type.capacity_for(job)
         )
 
 
--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -203,7 +203,7 @@
         slots = 0
         for packing_bin in self._with_room:
             if packing_bin.zone == zone and packing_bin.offer.allows(job):
-                slots += packing_bin.room.holds(job)
+                slots += packing_bin.room.capacity_for(job)
                 if slots >= count:
                     return count
         return slots
@@ -214,7 +214,7 @@
         return any(
             offer.zone == zone
             and offer.allows(job)
-            and machine_types[offer.type_name].holds(job) > 0
+            and machine_types[offer.type_name].capacity_for(job) > 0
             for offer in self._rental_choice.offers
         )
 
@@ -237,7 +237,7 @@
                 limit = min(limit, zone_room.get(packing_bin.zone, 0))
             if limit <= 0 or not packing_bin.offer.allows(job):
                 continue
-            tasks = min(limit, packing_bin.room.holds(job))
+            tasks = min(limit, packing_bin.room.capacity_for(job))
             packing_bin.take(job, tasks)
             placed += tasks
             if zone_room is not None:
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -42,7 +42,7 @@
     job = job_state.job
     for zones in _zone_choices(job, zones_open(job_state, {m.zone for m in machines})):
         usable = [machine for machine in machines if machine.zone in zones]
-        if sum(machine.free.holds(job) for machine in usable) < job.tasks:
+        if sum(machine.free.capacity_for(job) for machine in usable) < job.tasks:
             continue
         chosen = _place_in(job, zones, usable)
         if chosen is not None:
@@ -186,7 +186,7 @@
             room = machine.free.copy()
             for attempt in stops:
                 room.take(attempt.job_state.job, -1)
-            places = room.holds(job)
+            places = room.capacity_for(job)
             if places:
                 wasted = sum(loss(attempt, self._context.now) for attempt in stops)
                 cost = (wasted + fetch_cost(job, machine)) / places
@@ -213,7 +213,9 @@
             return
         job = job_state.job
         offers = [
-            GangOffer(float(self._busy_us(machine)), machine, machine.machine_type.holds(job), [])
+            GangOffer(
+                float(self._busy_us(machine)), machine, machine.machine_type.capacity_for(job), []
+            )
             for machine in machines
         ]
         split = cheapest_split(job, zones_open(job_state, context.machines.zones), offers)
--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -116,7 +116,7 @@
         """How long the job's image takes to arrive, if the machine fetches no other."""
         return job.image_gb / max(self.pull_gb_per_s, MIN_PULL_GB_PER_S)
 
-    def holds(self, job: Job) -> int:
+    def capacity_for(self, job: Job) -> int:
         """How many tasks of a job fit on an empty machine."""
         return fitting(job, self.cpus, self.gpus, self.memory_gb)
 
@@ -148,7 +148,7 @@
             and job.memory_gb <= self.memory_gb + EPS
         )
 
-    def holds(self, job: Job) -> int:
+    def capacity_for(self, job: Job) -> int:
         """How many tasks of a job fit, at most all of them."""
         return fitting(job, self.cpus, self.gpus, self.memory_gb)
 
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -154,7 +154,7 @@
     def make_room(self, machine: Machine, job: Job, count: int, stops: Iterable[Attempt]) -> None:
         """Stop attempts on a machine until so many tasks of the job fit there."""
         for attempt in by_rank_and_loss(stops, self._now):
-            if machine.free.holds(job) >= count:
+            if machine.free.capacity_for(job) >= count:
                 return
             if attempt.stop_grace_s is None:  # it may have been stopped with others of its gang
                 self._shard.stop_gracefully(attempt)
--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -20,7 +20,7 @@
 def risk_price(job: Job, machine_type: MachineType, spot: bool, run_us: int) -> float:
     """The price for an hour of room for one task of a job that runs for `run_us`; spot is dearer by
     what a sudden end would have the task repeat."""
-    slots = max(1, machine_type.holds(job))
+    slots = max(1, machine_type.capacity_for(job))
     price = unit_price(machine_type, spot) / slots
     stay_us = SERVICE_STAY_US if job.service else STAY_US
     price *= (machine_type.boot_us + stay_us) / stay_us
@@ -87,7 +87,7 @@
         return (
             offer.allows(job)
             and (zones is None or offer.zone in zones)
-            and machine_type.holds(job) > 0
+            and machine_type.capacity_for(job) > 0
             and machine_type.boot_us * boots <= drain_us
         )
 
@@ -95,7 +95,7 @@
         """What room for a task costs. A machine far larger than what is left to place counts in
         full."""
         machine_type = self.machine_types[offer.type_name]
-        slots = machine_type.holds(job)
+        slots = machine_type.capacity_for(job)
         used = min(slots, max(1, count))
         price = risk_price(job, machine_type, offer.spot, self._run_us.get(job.ref, 0))
         return price * slots / used if used < slots / 2 else price
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -79,7 +79,7 @@
 
         None if it would, or if no machine type holds such a task.
         """
-        fitting = [t for t in self.context.machine_types.values() if t.holds(job)]
+        fitting = [t for t in self.context.machine_types.values() if t.capacity_for(job)]
         if not fitting:
             return None
         boot_us = min(t.boot_us for t in fitting)
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -67,7 +67,9 @@
 ) -> None:
     story = _fleet_with_backlog()
 
-    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
+    count = CallCounter(
+        monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
+    )
     planning.plan(story.shard, story.now)
     placed = sum(len(job_state.live) for job_state in story.shard.job_states.values())
     assert placed > MACHINES
@@ -95,7 +97,9 @@
     so."""
     story = _full_fleet()
 
-    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
+    count = CallCounter(
+        monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
+    )
     planning.plan(story.shard, story.now)
 
     assert count.calls < MACHINES
@@ -109,7 +113,7 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     machines = list(story.shard.machines.values())
     count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (core_offers, "allowed")
     )
     fleet_sizing.plan_fleet(needs, [], machines, {"k": MACHINE_TYPE}, {}, 12)
 
@@ -162,7 +166,9 @@
         story.shard.add_job(
             make_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
         )
-    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
+    count = CallCounter(
+        monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
+    )
     planning.plan(story.shard, story.now)
 
     assert count.calls < 12 * MACHINES
@@ -179,7 +185,7 @@
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
     count = CallCounter(
-        monkeypatch, (Resources, "fits"), (Resources, "holds"), (core_offers, "allowed")
+        monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (core_offers, "allowed")
     )
     plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": MACHINE_TYPE}, offers, 12)
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -53,7 +53,9 @@
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
+    count = CallCounter(
+        monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
+    )
     planning.plan(story.shard, story.now)
     return count.calls
 
