--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -86,7 +86,7 @@
         return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
 
 
-def fitting(job: Job, cpus: float, gpus: float, memory_gb: float) -> int:
+def fitting_task_count(job: Job, cpus: float, gpus: float, memory_gb: float) -> int:
     """How many tasks of a job these amounts hold, at most all of them."""
     most = float(job.tasks)
     if job.cpus > EPS:
@@ -118,7 +118,7 @@
 
     def capacity_for(self, job: Job) -> int:
         """How many tasks of a job fit on an empty machine."""
-        return fitting(job, self.cpus, self.gpus, self.memory_gb)
+        return fitting_task_count(job, self.cpus, self.gpus, self.memory_gb)
 
 
 def allowed(job: Job, machine_type: str, zone: str, spot: bool) -> bool:
@@ -150,7 +150,7 @@
 
     def capacity_for(self, job: Job) -> int:
         """How many tasks of a job fit, at most all of them."""
-        return fitting(job, self.cpus, self.gpus, self.memory_gb)
+        return fitting_task_count(job, self.cpus, self.gpus, self.memory_gb)
 
     def take(self, job: Job, times: int = 1) -> None:
         """Take the room of so many tasks of the job; a negative number gives it back."""
