--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -358,7 +358,7 @@
     def spare_tail(self) -> TaskRange | None:
         """Tasks that another shard may start instead: the later half of the last range, if none
         of it was ever started here."""
-        return self.queue.untouched_tail((*self.live, *self.unstored))
+        return self.queue.unstarted_tail((*self.live, *self.unstored))
 
     @property
     def remaining(self) -> int:
--- a/basaltlead/core/task_queue.py
+++ b/basaltlead/core/task_queue.py
@@ -54,7 +54,7 @@
         self._position = (part, at)
         return None
 
-    def untouched_tail(self, touched: Collection[int]) -> TaskRange | None:
+    def unstarted_tail(self, touched: Collection[int]) -> TaskRange | None:
         """The later half of the last range, if none of it was passed, put back or is `touched`."""
         if not self.ranges or self._position[0] >= len(self.ranges):
             return None
