--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -16,7 +16,7 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.cluster_view import Grant, Versioned
 from basaltlead.core.jobs import US, MachineType
-from basaltlead.core.market import Market, Terms
+from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.offers import OfferBook
 from basaltlead.core.quiet_times import QuietTimes
@@ -220,7 +220,7 @@
 def new_market(settings: Settings) -> Market:
     """The market of one shard, by the operators' settings."""
     operator, facts = settings.operator, settings.facts
-    terms = Terms(
+    terms = MarketParameters(
         int(operator.round_s * US),
         int(operator.refill_s * US),
         operator.budget / operator.shards,
--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -12,7 +12,7 @@
 SMOOTHING = 0.5  # weight of the newest round in the measured rate
 
 
-class Terms(Struct, frozen=True):
+class MarketParameters(Struct, frozen=True):
     """The parameters of the market."""
 
     round_us: int
@@ -33,7 +33,9 @@
 class Market:
     """The teams' budgets, and the bids of a shard's jobs, round after round."""
 
-    def __init__(self, terms: Terms, teams: list[str], objectives: ServiceLevelObjectives) -> None:
+    def __init__(
+        self, terms: MarketParameters, teams: list[str], objectives: ServiceLevelObjectives
+    ) -> None:
         self.terms = terms
         self.objectives = objectives
         self.budgets = {team: Budget(terms.budget, terms.refill_us, terms.budget) for team in teams}
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -3,14 +3,14 @@
 from basaltlead.config.settings import Objective
 from basaltlead.core.entities import JobState, Machine
 from basaltlead.core.jobs import US, Job, MachineType, Shape
-from basaltlead.core.market import Market, Terms
+from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.shard import Shard
 from basaltlead.core.teams import TeamQuota
 from basaltlead.core.timing import Timing
 from tests.builders import make_job
 
-TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
+TERMS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
 def _objectives(*objectives: Objective) -> ServiceLevelObjectives:
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -5,14 +5,14 @@
 from basaltlead.core import demand
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import RANKS, SERVICE_RUN_TIME_US, US, Shape
-from basaltlead.core.market import Market, Terms
+from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.planning import plan
 from basaltlead.storage.result_rows import ResultLayout, load_results
 from tests.builders import TIMING, Story, make_job, task_status
 
 PRODUCTION = RANKS["production"]
-TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
+TERMS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
 def _service(story: Story, number: int = 1, **fields: object) -> JobState:
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -12,7 +12,7 @@
 from basaltlead.controller import max_stored_bids
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import US
-from basaltlead.core.market import Market, Terms
+from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.errors import TransactionTooLarge
 from basaltlead.scaling.machine_type_catalog import pages_of
@@ -134,7 +134,7 @@
 def test_budgets_and_machine_types_fit_into_values_however_many_there_are() -> None:
     value_bytes = 2048
 
-    terms = Terms(10 * US, 300 * US, 1e8, 0.01, 0.05, max_stored_bids(value_bytes))
+    terms = MarketParameters(10 * US, 300 * US, 1e8, 0.01, 0.05, max_stored_bids(value_bytes))
     market = Market(terms, ["red"], ServiceLevelObjectives())
     job_states = {}
     for number in range(500):
