--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -220,7 +220,7 @@
 def new_market(settings: Settings) -> Market:
     """The market of one shard, by the operators' settings."""
     operator, facts = settings.operator, settings.facts
-    terms = MarketParameters(
+    parameters = MarketParameters(
         int(operator.round_s * US),
         int(operator.refill_s * US),
         operator.budget / operator.shards,
@@ -229,7 +229,7 @@
         max_stored_bids(settings.store_limits.value_bytes),
     )
     teams = [team.name for team in facts.teams]
-    return Market(terms, teams, ServiceLevelObjectives.of(facts.objectives))
+    return Market(parameters, teams, ServiceLevelObjectives.of(facts.objectives))
 
 
 def quiet_times_of(settings: Settings) -> QuietTimes | None:
--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -34,11 +34,14 @@
     """The teams' budgets, and the bids of a shard's jobs, round after round."""
 
     def __init__(
-        self, terms: MarketParameters, teams: list[str], objectives: ServiceLevelObjectives
+        self, parameters: MarketParameters, teams: list[str], objectives: ServiceLevelObjectives
     ) -> None:
-        self.terms = terms
+        self.parameters = parameters
         self.objectives = objectives
-        self.budgets = {team: Budget(terms.budget, terms.refill_us, terms.budget) for team in teams}
+        self.budgets = {
+            team: Budget(parameters.budget, parameters.refill_us, parameters.budget)
+            for team in teams
+        }
         self._directions: dict[str, BidDirection] = {}  # by job
         self._stored_bids: dict[str, float] = {}  # of an earlier shard leader, by job
         self._price = 0.0  # of a CPU, in the last auction
@@ -60,7 +63,7 @@
             for job_state in job_states.values()
             if job_state.job.team == team
         }
-        kept = sorted(bids, key=lambda ref: -bids[ref])[: self.terms.max_stored_bids]
+        kept = sorted(bids, key=lambda ref: -bids[ref])[: self.parameters.max_stored_bids]
         return TeamRecord(round(self.budgets[team].left, 3), {ref: bids[ref] for ref in kept})
 
     def first_bid(self, job_state: JobState, now: int) -> float:
@@ -69,24 +72,26 @@
         known = self._stored_bids.pop(job_state.job.ref, None)
         if known is not None:
             return known
-        reserve = self.terms.reserve
+        reserve = self.parameters.reserve
         wanted = self._price * job_state.job.size * job_state.remaining
         return min(max(reserve, wanted), max(reserve, self._max_bid(job_state, now)))
 
     def _max_bid(self, job_state: JobState, now: int) -> float:
         budget = self.budgets.get(job_state.job.team)
         if budget is None:
-            return self.terms.reserve
+            return self.parameters.reserve
         # A job that can't meet any objective bids like one that has none. With its budget over the
         # time left, which is none, it outbid all that could still be in time.
         due = self.objectives.due(job_state, now).at
-        span_us = self.terms.refill_us if due is None else max(self.terms.round_us, due - now)
-        return budget.max_bid(span_us, self.terms.round_us)
+        span_us = (
+            self.parameters.refill_us if due is None else max(self.parameters.round_us, due - now)
+        )
+        return budget.max_bid(span_us, self.parameters.round_us)
 
     def round(self, shard: Shard, now: int) -> None:
         """One round of the market over the open jobs of a shard."""
         last = self._last_round_at
-        span_us = self.terms.round_us if last is None else max(1, now - last)
+        span_us = self.parameters.round_us if last is None else max(1, now - last)
         self._last_round_at = now
         job_states = [job_state for job_state in shard.job_states.values() if not job_state.closed]
         for budget in self.budgets.values():
@@ -113,9 +118,9 @@
             job_state.bid,
             value,
             wanted,
-            self.terms.reserve,
+            self.parameters.reserve,
             self._max_bid(job_state, now),
-            self.terms.threshold,
+            self.parameters.threshold,
         )
 
     def _measured(self, job_state: JobState, span_us: int, now: int) -> tuple[float, float]:
@@ -142,7 +147,7 @@
         ]
         for job_state in arrays:
             job_state.has_objective = self.objectives.apply_to(job_state, now)
-        slots, self._price = SlotAuction(shard, self.terms.reserve).run(arrays)
+        slots, self._price = SlotAuction(shard, self.parameters.reserve).run(arrays)
         for job_state in arrays:
             job_state.slots = slots[job_state.job.ref]
         shard.request_plan()
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -48,7 +48,7 @@
         self.dispatcher = WorkerDispatcher(context)
         self.heartbeats = HeartbeatHandler(context, self.dispatcher)
         self.results = ResultWriter(context)
-        self.rebalancer = Rebalancer(context, market.terms.round_us)
+        self.rebalancer = Rebalancer(context, market.parameters.round_us)
         self.open_jobs = self.open_jobs_watch_class(
             context, market, self.results, self.rebalancer, is_cancelled
         )
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -62,7 +62,7 @@
             self.context.wake.set()
             if self.context.lease.holds_valid_lease:
                 self._store_teams()
-            await asyncio.sleep(self.market.terms.round_us / US)
+            await asyncio.sleep(self.market.parameters.round_us / US)
 
     def _store_teams(self) -> None:
         """Store concurrently with the rounds: behind the records of a growing fleet it may take a
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -134,8 +134,8 @@
 def test_budgets_and_machine_types_fit_into_values_however_many_there_are() -> None:
     value_bytes = 2048
 
-    terms = MarketParameters(10 * US, 300 * US, 1e8, 0.01, 0.05, max_stored_bids(value_bytes))
-    market = Market(terms, ["red"], ServiceLevelObjectives())
+    parameters = MarketParameters(10 * US, 300 * US, 1e8, 0.01, 0.05, max_stored_bids(value_bytes))
+    market = Market(parameters, ["red"], ServiceLevelObjectives())
     job_states = {}
     for number in range(500):
         job_state = JobState(make_job(ref=f"req-{number:015d}"), 5, 0, 0)
