--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -10,7 +10,7 @@
 from basaltlead.core.timing import Timing
 from tests.builders import make_job
 
-TERMS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
+PARAMETERS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
 def _objectives(*objectives: Objective) -> ServiceLevelObjectives:
@@ -49,7 +49,7 @@
 
 def test_late_job_does_not_outbid_jobs_that_can_be_on_time() -> None:
     """All late jobs once bid their team's whole budget, and made the others late too."""
-    market = Market(TERMS, ["red"], _objectives())
+    market = Market(PARAMETERS, ["red"], _objectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
     late = shard.add_job(make_job(1, tasks=50, due_us=30 * US), 1, 0)
     hasty = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
@@ -69,7 +69,7 @@
 
 def test_slots_for_objectives_are_allocated_before_the_rest_is_shared() -> None:
     """A guest team with a full budget once outbid a team that had spent its own on deadlines."""
-    market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     dated = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
@@ -89,7 +89,7 @@
 
 
 def test_teams_share_the_remaining_slots_by_their_bids() -> None:
-    market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     idle = shard.add_job(make_job(1, tasks=90), 1, 0)
@@ -102,7 +102,7 @@
 
 
 def test_late_jobs_share_slots_by_their_bids() -> None:
-    market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     late = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
@@ -116,7 +116,7 @@
 
 
 def test_within_a_team_the_job_nearest_to_completion_comes_first_and_all_begin() -> None:
-    market = Market(TERMS, ["guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"guests": TeamQuota()})
     _add_machine(shard, 100.0)
 
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -12,7 +12,7 @@
 from tests.builders import TIMING, Story, make_job, task_status
 
 PRODUCTION = RANKS["production"]
-TERMS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
+PARAMETERS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
 def _service(story: Story, number: int = 1, **fields: object) -> JobState:
@@ -132,7 +132,7 @@
     story = Story(machines=2)
     service = _service(story, tasks=4)
     array = story.submit(2, tasks=20)
-    market = Market(TERMS, ["red"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red"], ServiceLevelObjectives())
 
     market.share(story.shard, story.now)
     assert service.slots is None
@@ -141,7 +141,7 @@
         story.now += 10 * US
         market.round(story.shard, story.now)
     risen = service.bid
-    assert risen > TERMS.reserve
+    assert risen > PARAMETERS.reserve
     _run(story, service)
     for _ in range(8):
         story.now += 10 * US
