--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -107,7 +107,7 @@
         for job_state in job_states:
             if job_state.job.team in self.budgets and job_state.live:
                 self.budgets[job_state.job.team].pay(job_state.bid)
-        self.share(shard, now)
+        self.allocate_slots(shard, now)
 
     def _move_bid(self, job_state: JobState, span_us: int, now: int) -> None:
         if job_state.bid <= 0:
@@ -138,7 +138,7 @@
         left_s = max(1.0, (due - now) / US)
         return job_state.rate, job_state.remaining / left_s
 
-    def share(self, shard: Shard, now: int) -> None:
+    def allocate_slots(self, shard: Shard, now: int) -> None:
         """The auction over the present capacity. Run between rounds too: new work must not wait."""
         arrays = [
             job_state
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -119,7 +119,7 @@
         self._request(plan.rentals)
         for machine in shard.machines.values():
             machine.needed = machine.name in plan.needed
-        self.market.share(shard, now)
+        self.market.allocate_slots(shard, now)
         self.context.wake.set()
         self.termination.apply(plan.needed, now)
 
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -77,13 +77,13 @@
 
     dated.need, guest.need = 60, 400
     dated.bid, guest.bid = 0.01, 500.0
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
     assert (dated.slots, guest.slots) == (60, 40)
     dated.need = 90  # however much they need, something is left for the others
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
     assert (dated.slots, guest.slots) == (75, 25)
     dated.need = 0
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
 
     assert (dated.slots, guest.slots) == (0, 100)
 
@@ -96,7 +96,7 @@
     guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
 
     idle.bid, guest.bid = 3.0, 1.0
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
 
     assert (idle.slots, guest.slots) == (75, 25)
 
@@ -110,7 +110,7 @@
     guest = shard.add_job(make_job(3, tasks=400, team="guests"), 1, 0)
 
     late.bid, hasty.bid, guest.bid = 1.0, 2.0, 9.0
-    market.share(shard, 300 * US)
+    market.allocate_slots(shard, 300 * US)
 
     assert (late.slots, hasty.slots, guest.slots) == (25, 50, 25)
 
@@ -124,6 +124,6 @@
         shard.add_job(make_job(number, tasks=tasks, team="guests"), 1, 0)
         for number, tasks in ((1, 80), (2, 60), (3, 90))
     ]
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
 
     assert [job_state.slots for job_state in job_states] == [39, 60, 1]
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -134,7 +134,7 @@
     array = story.submit(2, tasks=20)
     market = Market(PARAMETERS, ["red"], ServiceLevelObjectives())
 
-    market.share(story.shard, story.now)
+    market.allocate_slots(story.shard, story.now)
     assert service.slots is None
     assert array.slots == 4  # of 8 CPUs
     for _ in range(4):  # nothing runs yet: the bid rises round by round
