--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -88,7 +88,7 @@
         )
         return budget.max_bid(span_us, self.parameters.round_us)
 
-    def round(self, shard: Shard, now: int) -> None:
+    def run_round(self, shard: Shard, now: int) -> None:
         """One round of the market over the open jobs of a shard."""
         last = self._last_round_at
         span_us = self.parameters.round_us if last is None else max(1, now - last)
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -57,7 +57,7 @@
     async def run(self) -> None:
         """Run rounds until the shard is released."""
         while True:
-            self.market.round(self.context.shard, now_us())
+            self.market.run_round(self.context.shard, now_us())
             self._log_round()
             self.context.wake.set()
             if self.context.lease.holds_valid_lease:
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -55,7 +55,7 @@
     hasty = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
 
     for second in range(10, 160, 10):
-        market.round(shard, second * US)
+        market.run_round(shard, second * US)
 
     assert hasty.bid > late.bid > 0
 
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -139,17 +139,17 @@
     assert array.slots == 4  # of 8 CPUs
     for _ in range(4):  # nothing runs yet: the bid rises round by round
         story.now += 10 * US
-        market.round(story.shard, story.now)
+        market.run_round(story.shard, story.now)
     risen = service.bid
     assert risen > PARAMETERS.reserve
     _run(story, service)
     for _ in range(8):
         story.now += 10 * US
-        market.round(story.shard, story.now)
+        market.run_round(story.shard, story.now)
     settled = service.bid
     for _ in range(8):
         story.now += 10 * US
-        market.round(story.shard, story.now)
+        market.run_round(story.shard, story.now)
 
     assert service.bid == settled  # all that should run runs
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -162,13 +162,13 @@
     machines = shard_leader.shard.machines.values()
     assert sum(machine.up and not machine.recorded for machine in machines) > 100
     rounds: list[float] = []
-    inner = shard_leader.market.round
+    inner = shard_leader.market.run_round
 
     def counted(*args: Any) -> None:
         rounds.append(loop.time())
         inner(*args)
 
-    shard_leader.market.round = counted
+    shard_leader.market.run_round = counted
     await asyncio.sleep(60)
 
     assert len(rounds) >= 5
