--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -18,7 +18,7 @@
     round_us: int
     refill_us: int  # how long refilling an empty budget takes
     budget: float  # of a team
-    reserve: float  # the lowest bid
+    reserve_price: float  # the lowest bid
     threshold: float  # the relative gap below which a bid stays
     max_stored_bids: int = 200  # that fit into a stored record
 
@@ -72,14 +72,14 @@
         known = self._stored_bids.pop(job_state.job.ref, None)
         if known is not None:
             return known
-        reserve = self.parameters.reserve
+        reserve_price = self.parameters.reserve_price
         wanted = self._price * job_state.job.size * job_state.remaining
-        return min(max(reserve, wanted), max(reserve, self._max_bid(job_state, now)))
+        return min(max(reserve_price, wanted), max(reserve_price, self._max_bid(job_state, now)))
 
     def _max_bid(self, job_state: JobState, now: int) -> float:
         budget = self.budgets.get(job_state.job.team)
         if budget is None:
-            return self.parameters.reserve
+            return self.parameters.reserve_price
         # A job that can't meet any objective bids like one that has none. With its budget over the
         # time left, which is none, it outbid all that could still be in time.
         due = self.objectives.due(job_state, now).at
@@ -118,7 +118,7 @@
             job_state.bid,
             value,
             wanted,
-            self.parameters.reserve,
+            self.parameters.reserve_price,
             self._max_bid(job_state, now),
             self.parameters.threshold,
         )
@@ -147,7 +147,7 @@
         ]
         for job_state in arrays:
             job_state.has_objective = self.objectives.apply_to(job_state, now)
-        slots, self._price = SlotAuction(shard, self.parameters.reserve).run(arrays)
+        slots, self._price = SlotAuction(shard, self.parameters.reserve_price).run(arrays)
         for job_state in arrays:
             job_state.slots = slots[job_state.job.ref]
         shard.request_plan()
--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -29,10 +29,10 @@
     tasks without an objective.
     """
 
-    def __init__(self, shard: Shard, reserve: float) -> None:
-        """`reserve` is the lowest bid."""
+    def __init__(self, shard: Shard, reserve_price: float) -> None:
+        """`reserve_price` is the lowest bid."""
         self._shard = shard
-        self._reserve = reserve
+        self._reserve = reserve_price
 
     def run(self, arrays: Sequence[JobState]) -> AuctionResult:
         """Share the present capacity. Jobs with an objective want what keeps them in time, others
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -141,7 +141,7 @@
         story.now += 10 * US
         market.run_round(story.shard, story.now)
     risen = service.bid
-    assert risen > PARAMETERS.reserve
+    assert risen > PARAMETERS.reserve_price
     _run(story, service)
     for _ in range(8):
         story.now += 10 * US
