--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -32,7 +32,7 @@
     def __init__(self, shard: Shard, reserve_price: float) -> None:
         """`reserve_price` is the lowest bid."""
         self._shard = shard
-        self._reserve = reserve_price
+        self._reserve_price = reserve_price
 
     def run(self, arrays: Sequence[JobState]) -> AuctionResult:
         """Share the present capacity. Jobs with an objective want what keeps them in time, others
@@ -83,7 +83,7 @@
         if job_state.need is not None:
             max_slots = min(job_state.need, max_slots)
         job = job_state.job
-        return Bid(job.ref, max(job_state.bid, self._reserve), job.size, max_slots)
+        return Bid(job.ref, max(job_state.bid, self._reserve_price), job.size, max_slots)
 
     def _capacity(self) -> float:
         """CPUs that the auction gives out.
