--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -97,7 +97,7 @@
         for budget in self.budgets.values():
             budget.refill(span_us)
         for job_state in job_states:
-            self._move_bid(job_state, span_us, now)
+            self._update_bid(job_state, span_us, now)
         for machine in shard.machines.values():
             machine.rebook()
         open_refs = {job_state.job.ref for job_state in job_states}
@@ -109,7 +109,7 @@
                 self.budgets[job_state.job.team].pay(job_state.bid)
         self.allocate_slots(shard, now)
 
-    def _move_bid(self, job_state: JobState, span_us: int, now: int) -> None:
+    def _update_bid(self, job_state: JobState, span_us: int, now: int) -> None:
         if job_state.bid <= 0:
             job_state.bid = self.first_bid(job_state, now)
         value, wanted = self._measured(job_state, span_us, now)
