--- a/basaltlead/core/auction.py
+++ b/basaltlead/core/auction.py
@@ -10,7 +10,7 @@
 
 K = TypeVar("K", bound=Hashable)
 
-ROUNDING = 1e-9  # of the capacity, below which a slot still fits
+ROUNDING_TOLERANCE = 1e-9  # of the capacity, below which a slot still fits
 
 
 class Bid(NamedTuple, Generic[K]):
@@ -53,7 +53,7 @@
         left -= whole * bid.size
     by_remainder = sorted(bids, key=lambda b: (int(shares[b.key]) - shares[b.key], -b.amount))
     for bid in by_remainder:
-        if bid.size <= left + ROUNDING and slots[bid.key] < bid.max_slots:
+        if bid.size <= left + ROUNDING_TOLERANCE and slots[bid.key] < bid.max_slots:
             slots[bid.key] += 1
             left -= bid.size
 
