--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -146,7 +146,7 @@
             if not job_state.closed and job_state.job.shape is Shape.ARRAY
         ]
         for job_state in arrays:
-            job_state.has_objective = self.objectives.apply_to(job_state, now)
+            job_state.has_objective = self.objectives.has_objective(job_state, now)
         slots, self._price = SlotAuction(shard, self.parameters.reserve_price).run(arrays)
         for job_state in arrays:
             job_state.slots = slots[job_state.job.ref]
--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -84,7 +84,7 @@
                 return Due(job_state.submitted_at + span)
         return Due(None, late=True)
 
-    def apply_to(self, job_state: JobState, now: int) -> bool:
+    def has_objective(self, job_state: JobState, now: int) -> bool:
         """Whether the job has a deadline or an objective of its class, even if it is late by now.
         Whoever starts a service counts on it to run."""
         return job_state.job.service or self.due(job_state, now) != NO_DUE
--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -82,7 +82,7 @@
         if self.context.sharded:
             job_state.assign(self.rebalancer.ranges_of(ref))
         job_state.bid = self.market.first_bid(job_state, now)
-        job_state.has_objective = job.gang or self.market.objectives.apply_to(job_state, now)
+        job_state.has_objective = job.gang or self.market.objectives.has_objective(job_state, now)
         self.arrivals.note(job, now - age)
         log.info("job %s (%s, %d tasks) acquired", ref, job.job_class, job.tasks)
         self.context.wake.set()
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -170,7 +170,7 @@
 
     assert wanted == {service.job.ref: 5}
     assert objectives.due(service, story.now) == demand.NO_DUE
-    assert objectives.apply_to(service, story.now)
+    assert objectives.has_objective(service, story.now)
 
 
 def test_only_a_replica_that_failed_early_counts_against_its_machine() -> None:
