--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -33,14 +33,16 @@
 class ServiceLevelObjectives(Struct, frozen=True):
     """When jobs of each class should start or be done; for each class the tightest first."""
 
-    starts: dict[str, list[int]] = {}  # within how long tasks should have started, in microseconds
+    start_limits_us: dict[
+        str, list[int]
+    ] = {}  # within how long tasks should have started, in microseconds
     finishes: dict[str, list[int]] = {}  # within how long a job should be done, in microseconds
     times: dict[str, list[float]] = {}  # of its deadline, by which a job should be done
 
     @staticmethod
     def of(objectives: Iterable[Objective]) -> "ServiceLevelObjectives":
         """The objectives as the settings give them."""
-        starts: dict[str, list[int]] = {}
+        start_limits_us: dict[str, list[int]] = {}
         finishes: dict[str, list[int]] = {}
         times: dict[str, list[float]] = {}
         for objective in objectives:
@@ -50,13 +52,13 @@
                 case ObjectiveType.DEADLINE:
                     times.setdefault(job_class, []).append(objective.times)
                 case ObjectiveType.WAIT if objective.within_s > 0:
-                    starts.setdefault(job_class, []).append(within_us)
+                    start_limits_us.setdefault(job_class, []).append(within_us)
                 case ObjectiveType.FINISHED if objective.within_s > 0:
                     finishes.setdefault(job_class, []).append(within_us)
-        for by_class in (starts, finishes, times):
+        for by_class in (start_limits_us, finishes, times):
             for values in by_class.values():
                 values.sort()
-        return ServiceLevelObjectives(starts, finishes, times)
+        return ServiceLevelObjectives(start_limits_us, finishes, times)
 
     def due(self, job_state: JobState, now: int) -> Due:
         """When the job should be done: the first of its deadline and its class's objectives that it
@@ -70,7 +72,9 @@
         else:
             spans = list(self.finishes.get(job.job_class, ()))
         if not job.gang:
-            spans += [span + job.estimated_run_us for span in self.starts.get(job.job_class, ())]
+            spans += [
+                span + job.estimated_run_us for span in self.start_limits_us.get(job.job_class, ())
+            ]
         if not spans:
             return NO_DUE
         run_us = (
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -62,7 +62,7 @@
     def warm_spares(self, now: int) -> list[WarmSpare]:
         """Room to keep for the classes whose objective leaves no time for a boot."""
         spares = []
-        for job_class, (within_us, *_) in self.market.objectives.starts.items():
+        for job_class, (within_us, *_) in self.market.objectives.start_limits_us.items():
             arrivals = self.arrivals.of_class(job_class)
             if arrivals is None:
                 continue
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -159,7 +159,7 @@
     story = Story(machines=0)
     service = _service(story, tasks=5)
 
-    objectives = ServiceLevelObjectives(starts={"reports": [4 * US]})
+    objectives = ServiceLevelObjectives(start_limits_us={"reports": [4 * US]})
     job_states = list(story.shard.job_states.values())
     story.now += 500 * US
     loads = demand.remaining_cpu_us(job_states, story.now, story.shard.estimated_run_us)
