--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -36,14 +36,16 @@
     start_limits_us: dict[
         str, list[int]
     ] = {}  # within how long tasks should have started, in microseconds
-    finishes: dict[str, list[int]] = {}  # within how long a job should be done, in microseconds
+    finish_limits_us: dict[
+        str, list[int]
+    ] = {}  # within how long a job should be done, in microseconds
     times: dict[str, list[float]] = {}  # of its deadline, by which a job should be done
 
     @staticmethod
     def of(objectives: Iterable[Objective]) -> "ServiceLevelObjectives":
         """The objectives as the settings give them."""
         start_limits_us: dict[str, list[int]] = {}
-        finishes: dict[str, list[int]] = {}
+        finish_limits_us: dict[str, list[int]] = {}
         times: dict[str, list[float]] = {}
         for objective in objectives:
             job_class = objective.job_class
@@ -54,11 +56,11 @@
                 case ObjectiveType.WAIT if objective.within_s > 0:
                     start_limits_us.setdefault(job_class, []).append(within_us)
                 case ObjectiveType.FINISHED if objective.within_s > 0:
-                    finishes.setdefault(job_class, []).append(within_us)
-        for by_class in (start_limits_us, finishes, times):
+                    finish_limits_us.setdefault(job_class, []).append(within_us)
+        for by_class in (start_limits_us, finish_limits_us, times):
             for values in by_class.values():
                 values.sort()
-        return ServiceLevelObjectives(start_limits_us, finishes, times)
+        return ServiceLevelObjectives(start_limits_us, finish_limits_us, times)
 
     def due(self, job_state: JobState, now: int) -> Due:
         """When the job should be done: the first of its deadline and its class's objectives that it
@@ -70,7 +72,7 @@
         if job.due_us is not None:
             spans = [int(job.due_us * times) for times in self.times.get(job.job_class, [1.0])]
         else:
-            spans = list(self.finishes.get(job.job_class, ()))
+            spans = list(self.finish_limits_us.get(job.job_class, ()))
         if not job.gang:
             spans += [
                 span + job.estimated_run_us for span in self.start_limits_us.get(job.job_class, ())
