--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -18,7 +18,7 @@
 from basaltlead.core.jobs import US, MachineType
 from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
-from basaltlead.core.offers import OfferBook
+from basaltlead.core.offers import OfferAvailability
 from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.duties.holder import DutyServices
 from basaltlead.duties.model import DUTY_KEYS
@@ -77,7 +77,7 @@
         self.router = Router(self.user_api, heartbeat_api, self._is_healthy)
         quiet_times = quiet_times_of(settings)
         self.scaling = ScalingEnvironment(
-            self.cloud, OfferBook(), self.shard_assigner.shard_of, quiet_times
+            self.cloud, OfferAvailability(), self.shard_assigner.shard_of, quiet_times
         )
         self.duties = HeldDuties(
             DutyServices(settings, self.membership, self.store, self.cloud, quiet_times),
--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -36,7 +36,7 @@
     until: int
 
 
-class OfferBook:
+class OfferAvailability:
     """What the cloud's refusals have shown of each offer.
 
     A refusal shows how many machines can be had: those we hold. There is no use in asking for more
--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -11,7 +11,7 @@
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
 from basaltlead.core.market import Market
-from basaltlead.core.offers import Offer, OfferBook
+from basaltlead.core.offers import Offer, OfferAvailability
 from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.core.silent_zones import SilentZones
 from basaltlead.runtime.clock import now_us
@@ -47,7 +47,7 @@
     """
 
     cloud: Cloud
-    offer_book: OfferBook
+    offer_book: OfferAvailability
     shard_of: Callable[[str], int | None]
     quiet_times: QuietTimes | None
 
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -5,7 +5,7 @@
 """
 
 from basaltlead.clients.cloud import Cloud
-from basaltlead.core.offers import Offer, OfferBook
+from basaltlead.core.offers import Offer, OfferAvailability
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import wall_us
@@ -28,7 +28,7 @@
     Its background tasks end when the shard is released.
     """
 
-    def __init__(self, context: ShardContext, cloud: Cloud, offer_book: OfferBook) -> None:
+    def __init__(self, context: ShardContext, cloud: Cloud, offer_book: OfferAvailability) -> None:
         self.context = context
         self.requests = ScaleOutRequests(context, offer_book)
         self.executor = ScaleOutExecutor(context, cloud, self.requests)
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from basaltlead.core.entities import Machine
-from basaltlead.core.offers import Offer, OfferBook
+from basaltlead.core.offers import Offer, OfferAvailability
 from basaltlead.duties.machine_rental import MOST_REASON
 from basaltlead.runtime.clock import age_us, now_us
 from basaltlead.shard.context import ShardContext
@@ -23,7 +23,7 @@
     the fleet does not request them again.
     """
 
-    def __init__(self, context: ShardContext, offer_book: OfferBook) -> None:
+    def __init__(self, context: ShardContext, offer_book: OfferAvailability) -> None:
         self.context = context
         self.offer_book = offer_book
         self.pending: dict[str, list[Machine]] = {}
