--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -47,7 +47,7 @@
     """
 
     cloud: Cloud
-    offer_book: OfferAvailability
+    offer_availability: OfferAvailability
     shard_of: Callable[[str], int | None]
     quiet_times: QuietTimes | None
 
@@ -64,11 +64,11 @@
     ) -> None:
         self.context = context
         self.market = market
-        self.offer_book = environment.offer_book
+        self.offer_availability = environment.offer_availability
         self.demand = FleetDemand(context, market, arrivals)
         self.reachability = Reachability(context)
         self.silent_zones = SilentZones()
-        self.scale_out = ScaleOut(context, environment.cloud, environment.offer_book)
+        self.scale_out = ScaleOut(context, environment.cloud, environment.offer_availability)
         self.scale_in = ScaleIn(context, environment.cloud)
         quiet_times = environment.quiet_times
         self.idle_retention = (
@@ -159,7 +159,7 @@
             return {}
         machine_types = self.context.machine_types
         requests = self.scale_out.requests
-        offers = self.offer_book.offers(machine_types.values(), requests.held(), now)
+        offers = self.offer_availability.offers(machine_types.values(), requests.held(), now)
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
         awaited_zones = {m.zone for m in expected if not m.heard_at and _may_come_up(m, now)}
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -28,9 +28,11 @@
     Its background tasks end when the shard is released.
     """
 
-    def __init__(self, context: ShardContext, cloud: Cloud, offer_book: OfferAvailability) -> None:
+    def __init__(
+        self, context: ShardContext, cloud: Cloud, offer_availability: OfferAvailability
+    ) -> None:
         self.context = context
-        self.requests = ScaleOutRequests(context, offer_book)
+        self.requests = ScaleOutRequests(context, offer_availability)
         self.executor = ScaleOutExecutor(context, cloud, self.requests)
         self.watch = ScaleOutWatch(context, self.requests, self.executor)
         self.sequence = 0
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -23,9 +23,9 @@
     the fleet does not request them again.
     """
 
-    def __init__(self, context: ShardContext, offer_book: OfferAvailability) -> None:
+    def __init__(self, context: ShardContext, offer_availability: OfferAvailability) -> None:
         self.context = context
-        self.offer_book = offer_book
+        self.offer_availability = offer_availability
         self.pending: dict[str, list[Machine]] = {}
 
     @property
@@ -106,4 +106,4 @@
     def _note_scarcity(self, stored: StoredScaleOut) -> None:
         """Note that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
-        self.offer_book.refused(offer, self.held().get(offer, 0), now_us())
+        self.offer_availability.refused(offer, self.held().get(offer, 0), now_us())
