--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self._known: dict[Offer, KnownCapacity] = {}
 
-    def refused(self, offer: Offer, held: int, now: int) -> None:
+    def record_refusal(self, offer: Offer, held: int, now: int) -> None:
         """Note that the cloud has refused another machine while we held so many."""
         self._known[offer] = KnownCapacity(held, now + self.MEMORY_US)
 
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -106,4 +106,4 @@
     def _note_scarcity(self, stored: StoredScaleOut) -> None:
         """Note that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
-        self.offer_availability.refused(offer, self.held().get(offer, 0), now_us())
+        self.offer_availability.record_refusal(offer, self.held().get(offer, 0), now_us())
