--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -43,14 +43,14 @@
     until some time has passed or we hold fewer.
     """
 
-    MEMORY_US = 60 * US
+    REFUSAL_VALID_US = 60 * US
 
     def __init__(self) -> None:
         self._known: dict[Offer, KnownCapacity] = {}
 
     def record_refusal(self, offer: Offer, held: int, now: int) -> None:
         """Note that the cloud has refused another machine while we held so many."""
-        self._known[offer] = KnownCapacity(held, now + self.MEMORY_US)
+        self._known[offer] = KnownCapacity(held, now + self.REFUSAL_VALID_US)
 
     def _left(self, offer: Offer, held: int, now: int) -> int | None:
         """How many more may be had; None if that is not known."""
