--- a/basaltlead/core/run_times.py
+++ b/basaltlead/core/run_times.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self.ratio: dict[str, float] = {}  # measured run time over the guess, by job class
 
-    def learn(self, job_state: JobState, ran_us: int) -> None:
+    def record_run(self, job_state: JobState, ran_us: int) -> None:
         """A task has completed after this run time."""
         job = job_state.job
         job_state.ran_us += ran_us
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -96,7 +96,7 @@
         attempt.machine.failed_jobs.clear()
         is_known = attempt.running_since and not attempt.adopted
         if is_known and not job_state.closed and not (job_state.job.gang and job_state.done_count):
-            self._run_times.learn(job_state, now - attempt.running_since)
+            self._run_times.record_run(job_state, now - attempt.running_since)
         _finish(job_state, attempt.index)
 
     # Attempts that are not ours
