--- a/basaltlead/core/run_times.py
+++ b/basaltlead/core/run_times.py
@@ -12,7 +12,7 @@
     """What guesses of run times have been worth, and what is expected of a job's next task."""
 
     def __init__(self) -> None:
-        self.ratio: dict[str, float] = {}  # measured run time over the guess, by job class
+        self.class_ratios: dict[str, float] = {}  # measured run time over the guess, by job class
 
     def record_run(self, job_state: JobState, ran_us: int) -> None:
         """A task has completed after this run time."""
@@ -21,8 +21,8 @@
         job_state.ran_count += 1
         if job.estimated_run_us > 0:
             ratio = min(MAX_RATIO, max(MIN_RATIO, ran_us / job.estimated_run_us))
-            old = self.ratio.get(job.job_class)
-            self.ratio[job.job_class] = (
+            old = self.class_ratios.get(job.job_class)
+            self.class_ratios[job.job_class] = (
                 ratio if old is None else old * (1 - NEW_WEIGHT) + ratio * NEW_WEIGHT
             )
 
@@ -34,5 +34,8 @@
         if job_state.ran_count >= MIN_SAMPLES:
             return max(US, job_state.ran_us // job_state.ran_count)
         return max(
-            US, int(job_state.job.estimated_run_us * self.ratio.get(job_state.job.job_class, 1.0))
+            US,
+            int(
+                job_state.job.estimated_run_us * self.class_ratios.get(job_state.job.job_class, 1.0)
+            ),
         )
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -65,7 +65,7 @@
         self.gone = self._fleet.gone
         self.urgent = self._signals.urgent
         self.team_used = self._attempts.team_used
-        self.ratio = self._run_times.ratio
+        self.class_ratios = self._run_times.class_ratios
 
     @property
     def dirty(self) -> bool:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -252,9 +252,9 @@
         created_at = deployment.cloud.machines[machine.name].created_at
         assert abs(machine.made_at / 1e6 - created_at) < 15.0  # of use only to judge its first boot
     await deployment.wait_until_done("req-000001")
-    assert shard_leader.shard.ratio == {}  # nobody here saw the whole run of a task
+    assert shard_leader.shard.class_ratios == {}  # nobody here saw the whole run of a task
     await deployment.submit(deployment.job(2, Pieces=3, RunS=20.0, GuessS=20.0))
 
     await deployment.wait_until_done("req-000002")
-    assert 0.9 <= shard_leader.shard.ratio["reports"] <= 1.1
+    assert 0.9 <= shard_leader.shard.class_ratios["reports"] <= 1.1
     deployment.assert_no_violation()
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -149,7 +149,7 @@
     deployment.thaw(other)
     await deployment.wait_until_done("req-000003")
     now = deployment.acting_shard_leader()
-    ratio = deployment.controllers[now].shard_leaders[0].shard.ratio.get("reports", 1.0)
+    ratio = deployment.controllers[now].shard_leaders[0].shard.class_ratios.get("reports", 1.0)
 
     assert 0.3 < ratio < 3.0
     deployment.assert_no_violation()
