--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -14,7 +14,9 @@
 from basaltlead.core.offers import Offer
 
 TIME_LEFT_USED = 0.85  # of the time left, since guesses are often wrong by half
-BEGIN_US = 60 * US  # a job that has waited for so long is to begin, however late it is due
+MAX_INITIAL_WAIT_US = (
+    60 * US
+)  # a job that has waited for so long is to begin, however late it is due
 LATE_US = 120 * US  # a job that can't be in time any more is to be done within that
 LEAST_LEFT_DIVISOR = 4  # a task that outlasts its guess has this part of the guess left
 ALMOST_ONE = 0.999  # rounds a number of tasks up, but for what rounding errors add
@@ -67,7 +69,7 @@
     for _, _, job_state in dated:
         size = job_state.job.size
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
-        if now - job_state.submitted_at > BEGIN_US:
+        if now - job_state.submitted_at > MAX_INITIAL_WAIT_US:
             running = max(running, 1)  # no job waits for ever: it takes part in the auction
         count = min(job_state.remaining, max(running, int(rate / size + ALMOST_ONE)))
         wanted[job_state.job.ref] = count
