--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -17,7 +17,7 @@
 MAX_INITIAL_WAIT_US = (
     60 * US
 )  # a job that has waited for so long is to begin, however late it is due
-LATE_US = 120 * US  # a job that can't be in time any more is to be done within that
+LATE_JOB_SPAN_US = 120 * US  # a job that can't be in time any more is to be done within that
 LEAST_LEFT_DIVISOR = 4  # a task that outlasts its guess has this part of the guess left
 ALMOST_ONE = 0.999  # rounds a number of tasks up, but for what rounding errors add
 
@@ -62,7 +62,7 @@
         else:
             run_us = estimated_run_us(job_state)
             # No hurry is worth its price to a job that is late.
-            due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_US)
+            due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_JOB_SPAN_US)
             dated.append(DatedJob(due_at, run_us, job_state))
     dated.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
     rate = _needed_rate(dated, now, lead_us, cpu_us_left)
