--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -13,7 +13,7 @@
 from basaltlead.core.jobs import US, Job, Shape
 from basaltlead.core.offers import Offer
 
-TIME_LEFT_USED = 0.85  # of the time left, since guesses are often wrong by half
+USABLE_TIME_FRACTION = 0.85  # of the time left, since guesses are often wrong by half
 MAX_INITIAL_WAIT_US = (
     60 * US
 )  # a job that has waited for so long is to begin, however late it is due
@@ -85,7 +85,7 @@
     rate = 0.0
     for due_at, run_us, job_state in dated:
         total += cpu_us_left[job_state.job.ref]
-        left_us = int((due_at - now) * TIME_LEFT_USED) - (0 if job_state.live else lead_us)
+        left_us = int((due_at - now) * USABLE_TIME_FRACTION) - (0 if job_state.live else lead_us)
         rate = max(rate, total / max(left_us, run_us, US))
     return rate
 
