--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -19,7 +19,7 @@
 )  # a job that has waited for so long is to begin, however late it is due
 LATE_JOB_SPAN_US = 120 * US  # a job that can't be in time any more is to be done within that
 LEAST_LEFT_DIVISOR = 4  # a task that outlasts its guess has this part of the guess left
-ALMOST_ONE = 0.999  # rounds a number of tasks up, but for what rounding errors add
+ROUND_UP_OFFSET = 0.999  # rounds a number of tasks up, but for what rounding errors add
 
 
 class Due(NamedTuple):
@@ -71,7 +71,7 @@
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
         if now - job_state.submitted_at > MAX_INITIAL_WAIT_US:
             running = max(running, 1)  # no job waits for ever: it takes part in the auction
-        count = min(job_state.remaining, max(running, int(rate / size + ALMOST_ONE)))
+        count = min(job_state.remaining, max(running, int(rate / size + ROUND_UP_OFFSET)))
         wanted[job_state.job.ref] = count
         rate = max(0.0, rate - count * size)
     return wanted
