--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -18,7 +18,7 @@
     60 * US
 )  # a job that has waited for so long is to begin, however late it is due
 LATE_JOB_SPAN_US = 120 * US  # a job that can't be in time any more is to be done within that
-LEAST_LEFT_DIVISOR = 4  # a task that outlasts its guess has this part of the guess left
+MIN_REMAINING_DIVISOR = 4  # a task that outlasts its guess has this part of the guess left
 ROUND_UP_OFFSET = 0.999  # rounds a number of tasks up, but for what rounding errors add
 
 
@@ -106,7 +106,7 @@
     left_us = job_state.waiting * run_us
     for attempt in job_state.live.values():
         ran_us = now - attempt.running_since if attempt.running_since else 0
-        left_us += max(run_us - ran_us, run_us // LEAST_LEFT_DIVISOR)
+        left_us += max(run_us - ran_us, run_us // MIN_REMAINING_DIVISOR)
     return left_us * job_state.job.size
 
 
