--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -32,7 +32,7 @@
 NO_DUE = Due(None)
 
 
-class DatedJob(NamedTuple):
+class DueJob(NamedTuple):
     """A job that should be done by some time."""
 
     due_at: int
@@ -54,7 +54,7 @@
     `cpu_us_left` what is left of each array (see `remaining_cpu_us`).
     """
     wanted: dict[str, int] = {}
-    dated: list[DatedJob] = []
+    dated: list[DueJob] = []
     for job_state in job_states:
         due = due_of(job_state, now)
         if job_state.job.gang or due == NO_DUE:
@@ -63,7 +63,7 @@
             run_us = estimated_run_us(job_state)
             # No hurry is worth its price to a job that is late.
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_JOB_SPAN_US)
-            dated.append(DatedJob(due_at, run_us, job_state))
+            dated.append(DueJob(due_at, run_us, job_state))
     dated.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
     rate = _needed_rate(dated, now, lead_us, cpu_us_left)
     for _, _, job_state in dated:
@@ -78,7 +78,7 @@
 
 
 def _needed_rate(
-    dated: Iterable[DatedJob], now: int, lead_us: int, cpu_us_left: dict[str, float]
+    dated: Iterable[DueJob], now: int, lead_us: int, cpu_us_left: dict[str, float]
 ) -> float:
     """The CPUs that must work at once for these jobs, in the order in which they are due."""
     total = 0.0
