--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -54,7 +54,7 @@
     `cpu_us_left` what is left of each array (see `remaining_cpu_us`).
     """
     wanted: dict[str, int] = {}
-    dated: list[DueJob] = []
+    due_jobs: list[DueJob] = []
     for job_state in job_states:
         due = due_of(job_state, now)
         if job_state.job.gang or due == NO_DUE:
@@ -63,10 +63,10 @@
             run_us = estimated_run_us(job_state)
             # No hurry is worth its price to a job that is late.
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_JOB_SPAN_US)
-            dated.append(DueJob(due_at, run_us, job_state))
-    dated.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
-    rate = _needed_rate(dated, now, lead_us, cpu_us_left)
-    for _, _, job_state in dated:
+            due_jobs.append(DueJob(due_at, run_us, job_state))
+    due_jobs.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
+    rate = _needed_rate(due_jobs, now, lead_us, cpu_us_left)
+    for _, _, job_state in due_jobs:
         size = job_state.job.size
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
         if now - job_state.submitted_at > MAX_INITIAL_WAIT_US:
@@ -78,12 +78,12 @@
 
 
 def _needed_rate(
-    dated: Iterable[DueJob], now: int, lead_us: int, cpu_us_left: dict[str, float]
+    due_jobs: Iterable[DueJob], now: int, lead_us: int, cpu_us_left: dict[str, float]
 ) -> float:
     """The CPUs that must work at once for these jobs, in the order in which they are due."""
     total = 0.0
     rate = 0.0
-    for due_at, run_us, job_state in dated:
+    for due_at, run_us, job_state in due_jobs:
         total += cpu_us_left[job_state.job.ref]
         left_us = int((due_at - now) * USABLE_TIME_FRACTION) - (0 if job_state.live else lead_us)
         rate = max(rate, total / max(left_us, run_us, US))
