--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -11,7 +11,7 @@
 MIN_USE_BOOTS, MIN_USE_BOOTS_SPOT = 2.4, 0.6
 # For how long a machine is reckoned to be of use: the time to boot is paid for as well.
 AMORTIZATION_US = 90 * US
-SERVICE_STAY_US = 600 * US  # the same for replicas, which stay
+SERVICE_AMORTIZATION_US = 600 * US  # the same for replicas, which stay
 # What the end of a spot machine costs a task that saves no checkpoints: a part of the price for
 # each hour that the task runs, up to a limit.
 SPOT_RISK_PER_HOUR, MAX_SPOT_RISK = 4, 0.5
@@ -22,7 +22,7 @@
     what a sudden end would have the task repeat."""
     slots = max(1, machine_type.capacity_for(job))
     price = unit_price(machine_type, spot) / slots
-    stay_us = SERVICE_STAY_US if job.service else AMORTIZATION_US
+    stay_us = SERVICE_AMORTIZATION_US if job.service else AMORTIZATION_US
     price *= (machine_type.boot_us + stay_us) / stay_us
     if spot and not job.checkpoint_interval_us:
         price *= 1 + min(MAX_SPOT_RISK, run_us / (3600 * US) * SPOT_RISK_PER_HOUR)
