--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -22,8 +22,8 @@
     what a sudden end would have the task repeat."""
     slots = max(1, machine_type.capacity_for(job))
     price = unit_price(machine_type, spot) / slots
-    stay_us = SERVICE_AMORTIZATION_US if job.service else AMORTIZATION_US
-    price *= (machine_type.boot_us + stay_us) / stay_us
+    amortization_us = SERVICE_AMORTIZATION_US if job.service else AMORTIZATION_US
+    price *= (machine_type.boot_us + amortization_us) / amortization_us
     if spot and not job.checkpoint_interval_us:
         price *= 1 + min(MAX_SPOT_RISK, run_us / (3600 * US) * SPOT_RISK_PER_HOUR)
     return price
