--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -8,7 +8,7 @@
 # For how long a machine must be of use, as a multiple of the time that it takes to boot. Spot
 # machines are cheap enough to be rented early and to wait for work; ordinary ones are for backlogs
 # that last.
-MIN_USE_BOOT_TIMES, MIN_USE_BOOTS_SPOT = 2.4, 0.6
+MIN_USE_BOOT_TIMES, MIN_USE_BOOT_TIMES_SPOT = 2.4, 0.6
 # For how long a machine is reckoned to be of use: the time to boot is paid for as well.
 AMORTIZATION_US = 90 * US
 SERVICE_AMORTIZATION_US = 600 * US  # the same for replicas, which stay
@@ -83,7 +83,7 @@
     ) -> bool:
         """Whether the job may use such a machine, which would still be of use once it is up."""
         machine_type = self.machine_types[offer.type_name]
-        boots = MIN_USE_BOOTS_SPOT if offer.spot else MIN_USE_BOOT_TIMES
+        boots = MIN_USE_BOOT_TIMES_SPOT if offer.spot else MIN_USE_BOOT_TIMES
         return (
             offer.allows(job)
             and (zones is None or offer.zone in zones)
