--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -83,12 +83,12 @@
     ) -> bool:
         """Whether the job may use such a machine, which would still be of use once it is up."""
         machine_type = self.machine_types[offer.type_name]
-        boots = MIN_USE_BOOT_TIMES_SPOT if offer.spot else MIN_USE_BOOT_TIMES
+        min_boot_times = MIN_USE_BOOT_TIMES_SPOT if offer.spot else MIN_USE_BOOT_TIMES
         return (
             offer.allows(job)
             and (zones is None or offer.zone in zones)
             and machine_type.capacity_for(job) > 0
-            and machine_type.boot_us * boots <= drain_us
+            and machine_type.boot_us * min_boot_times <= drain_us
         )
 
     def _price(self, job: Job, offer: Offer, count: int) -> float:
