--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -17,7 +17,7 @@
 SPOT_RISK_PER_HOUR, MAX_SPOT_RISK = 4, 0.5
 
 
-def risk_price(job: Job, machine_type: MachineType, spot: bool, run_us: int) -> float:
+def risk_adjusted_price(job: Job, machine_type: MachineType, spot: bool, run_us: int) -> float:
     """The price for an hour of room for one task of a job that runs for `run_us`; spot is dearer by
     what a sudden end would have the task repeat."""
     slots = max(1, machine_type.capacity_for(job))
@@ -97,5 +97,5 @@
         machine_type = self.machine_types[offer.type_name]
         slots = machine_type.capacity_for(job)
         used = min(slots, max(1, count))
-        price = risk_price(job, machine_type, offer.spot, self._run_us.get(job.ref, 0))
+        price = risk_adjusted_price(job, machine_type, offer.spot, self._run_us.get(job.ref, 0))
         return price * slots / used if used < slots / 2 else price
