--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -19,7 +19,7 @@
 MayStop = Callable[[JobState], bool]
 
 
-class Opening(NamedTuple):
+class PlacementOption(NamedTuple):
     """A machine on which one task fits once others there are stopped."""
 
     loss: float  # what stopping them wastes, in CPU seconds
@@ -44,11 +44,11 @@
 
 def preemption_candidates(
     job: Job, machine: Machine, now: int, may_stop: MayStop
-) -> Opening | None:
+) -> PlacementOption | None:
     """The attempts to stop so that a task of the job fits on the machine: of the lowest rank first,
     then those that waste least. None if it does not fit even then."""
     if machine.free.fits(job):
-        return Opening(0.0, machine, [])
+        return PlacementOption(0.0, machine, [])
     candidates = stoppable(machine, may_stop)
     if not candidates:
         return None
@@ -61,7 +61,7 @@
         room.take(attempt.job_state.job, -1)
         stops.append(attempt)
         total += loss(attempt, now)
-    return Opening(total, machine, stops) if room.fits(job) else None
+    return PlacementOption(total, machine, stops) if room.fits(job) else None
 
 
 def stoppable(machine: Machine, may_stop: MayStop) -> list[Attempt]:
@@ -118,7 +118,7 @@
 
         return may_stop
 
-    def for_array_task(self, job_state: JobState, zones: set[str]) -> Opening | None:
+    def for_array_task(self, job_state: JobState, zones: set[str]) -> PlacementOption | None:
         """The machine on which stopping others for a task of an array wastes least.
 
         Ordinary work waits for machines that are rented for it, unless its objective depends on a
@@ -138,12 +138,14 @@
             default=None,
         )
 
-    def for_gang_of_one(self, job_state: JobState, machines: Sequence[Machine]) -> Opening | None:
+    def for_gang_of_one(
+        self, job_state: JobState, machines: Sequence[Machine]
+    ) -> PlacementOption | None:
         """For a gang of one task, which often fills a machine: where stopping others and waiting
         for the image together waste least."""
         job = job_state.job
 
-        def preference(opening: Opening) -> tuple[object, ...]:
+        def preference(opening: PlacementOption) -> tuple[object, ...]:
             """Sort key, best first."""
             machine = opening.machine
             cost = opening.loss + placement.fetch_cost(job, machine)
@@ -159,7 +161,9 @@
             if attempt.stop_grace_s is None:  # it may have been stopped with others of its gang
                 self._shard.stop_gracefully(attempt)
 
-    def _openings(self, job_state: JobState, machines: Iterable[Machine]) -> Iterator[Opening]:
+    def _openings(
+        self, job_state: JobState, machines: Iterable[Machine]
+    ) -> Iterator[PlacementOption]:
         may_stop = self.may_stop_for(job_state)
         for machine in machines:
             opening = preemption_candidates(job_state.job, machine, self._now, may_stop)
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -13,7 +13,7 @@
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import Job
 from basaltlead.core.plan_context import PlanContext, requirements
-from basaltlead.core.preemption import MayStop, Opening, Preemption, preemption_candidates
+from basaltlead.core.preemption import MayStop, PlacementOption, Preemption, preemption_candidates
 
 # A second without the replica weighs as much as so many seconds of other work of its size.
 DELAY_WEIGHT = 20.0
@@ -55,7 +55,7 @@
         self._heap = [found[0] for found in ranked if found is not None]
         heapify(self._heap)
 
-    def _ranked(self, machine: Machine) -> tuple[Ranked, Opening] | None:
+    def _ranked(self, machine: Machine) -> tuple[Ranked, PlacementOption] | None:
         if machine.is_full:
             return None
         job = self._job
@@ -66,7 +66,7 @@
         tier = placement.tier(job, machine)
         return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), opening
 
-    def best(self, zones: set[str]) -> Opening | None:
+    def best(self, zones: set[str]) -> PlacementOption | None:
         """The machine for the next replica, and what has to be stopped there.
 
         What was ranked before the last replica was bound is ranked again. Zones are only ever
