--- a/basaltlead/core/array_placement.py
+++ b/basaltlead/core/array_placement.py
@@ -49,12 +49,12 @@
             if machine is None:
                 if preempting_starts == MAX_PREEMPTING_STARTS:
                     return
-                opening = self._preemption.for_array_task(job_state, zones)
-                if opening is None:
+                option = self._preemption.for_array_task(job_state, zones)
+                if option is None:
                     context.note_unplaceable(required)
                     return
                 preempting_starts += 1
-                machine, stops = opening.machine, opening.stops
+                machine, stops = option.machine, option.stops
             elif not machine.needed and _can_wait(job_state):
                 return
             if not context.start_next(job_state, machine, stops):
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -166,12 +166,12 @@
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> list[Machine] | None:
         """The machine for a gang of one task, after others there were stopped for it."""
-        opening = self._preemption.for_gang_of_one(job_state, machines)
-        if opening is None:
+        option = self._preemption.for_gang_of_one(job_state, machines)
+        if option is None:
             return None
-        for attempt in opening.stops:
+        for attempt in option.stops:
             self._context.shard.stop_gracefully(attempt)
-        return [opening.machine]
+        return [option.machine]
 
     def _machines_by_preemption(
         self, job_state: JobState, machines: Sequence[Machine]
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -133,8 +133,8 @@
             return None
         openings = self._openings(job_state, self._machines.for_job(job_state))
         return min(
-            (opening for opening in openings if opening.machine.zone in zones),
-            key=lambda opening: (opening.loss, opening.machine.name),
+            (option for option in openings if option.machine.zone in zones),
+            key=lambda option: (option.loss, option.machine.name),
             default=None,
         )
 
@@ -145,10 +145,10 @@
         for the image together waste least."""
         job = job_state.job
 
-        def preference(opening: PlacementOption) -> tuple[object, ...]:
+        def preference(option: PlacementOption) -> tuple[object, ...]:
             """Sort key, best first."""
-            machine = opening.machine
-            cost = opening.loss + placement.fetch_cost(job, machine)
+            machine = option.machine
+            cost = option.loss + placement.fetch_cost(job, machine)
             return (cost, placement.tier(job, machine), machine.booked, machine.name)
 
         return min(self._openings(job_state, machines), key=preference, default=None)
@@ -166,6 +166,6 @@
     ) -> Iterator[PlacementOption]:
         may_stop = self.may_stop_for(job_state)
         for machine in machines:
-            opening = preemption_candidates(job_state.job, machine, self._now, may_stop)
-            if opening is not None:
-                yield opening
+            option = preemption_candidates(job_state.job, machine, self._now, may_stop)
+            if option is not None:
+                yield option
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -59,12 +59,12 @@
         if machine.is_full:
             return None
         job = self._job
-        opening = preemption_candidates(job, machine, self._now, self._may_stop)
-        if opening is None:
+        option = preemption_candidates(job, machine, self._now, self._may_stop)
+        if option is None:
             return None
-        cost = opening.loss + DELAY_WEIGHT * delay_s(job, machine, opening.stops) * job.size
+        cost = option.loss + DELAY_WEIGHT * delay_s(job, machine, option.stops) * job.size
         tier = placement.tier(job, machine)
-        return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), opening
+        return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), option
 
     def best(self, zones: set[str]) -> PlacementOption | None:
         """The machine for the next replica, and what has to be stopped there.
@@ -79,11 +79,11 @@
             found = self._ranked(machine)
             if found is None:
                 continue
-            current, opening = found
+            current, option = found
             is_still_best = not self._heap or current[:4] <= self._heap[0][:4]
             heappush(self._heap, current)
             if is_still_best:
-                return opening
+                return option
         return None
 
 
@@ -105,11 +105,11 @@
         for _ in range(job_state.waiting):
             if not context.limits.allow(job):
                 return
-            opening = choice.best(placement.zones_open(job_state, context.machines.zones))
-            if opening is None:
+            option = choice.best(placement.zones_open(job_state, context.machines.zones))
+            if option is None:
                 context.note_unplaceable(required)
                 return
-            if not context.start_next(job_state, opening.machine, opening.stops):
+            if not context.start_next(job_state, option.machine, option.stops):
                 return
 
     def move_from_departing_machines(self) -> None:
@@ -125,11 +125,11 @@
     def _move(self, attempt: Attempt) -> None:
         context = self._context
         zones = placement.zones_open(attempt.job_state, context.machines.zones, leaving=attempt)
-        opening = self._choice(attempt.job_state).best(zones)
-        if opening is None:
+        option = self._choice(attempt.job_state).best(zones)
+        if option is None:
             return
         context.shard.stop(attempt, 0.0)
-        for stopped in opening.stops:
+        for stopped in option.stops:
             context.shard.stop_gracefully(stopped)
 
     def _choice(self, job_state: JobState) -> ReplicaChoice:
