--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -131,9 +131,9 @@
             and not fits_guarantee(self._shard, job_state)
         ):
             return None
-        openings = self._openings(job_state, self._machines.for_job(job_state))
+        options = self._openings(job_state, self._machines.for_job(job_state))
         return min(
-            (option for option in openings if option.machine.zone in zones),
+            (option for option in options if option.machine.zone in zones),
             key=lambda option: (option.loss, option.machine.name),
             default=None,
         )
