--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -131,7 +131,7 @@
             and not fits_guarantee(self._shard, job_state)
         ):
             return None
-        options = self._openings(job_state, self._machines.for_job(job_state))
+        options = self._placement_options(job_state, self._machines.for_job(job_state))
         return min(
             (option for option in options if option.machine.zone in zones),
             key=lambda option: (option.loss, option.machine.name),
@@ -151,7 +151,7 @@
             cost = option.loss + placement.fetch_cost(job, machine)
             return (cost, placement.tier(job, machine), machine.booked, machine.name)
 
-        return min(self._openings(job_state, machines), key=preference, default=None)
+        return min(self._placement_options(job_state, machines), key=preference, default=None)
 
     def make_room(self, machine: Machine, job: Job, count: int, stops: Iterable[Attempt]) -> None:
         """Stop attempts on a machine until so many tasks of the job fit there."""
@@ -161,7 +161,7 @@
             if attempt.stop_grace_s is None:  # it may have been stopped with others of its gang
                 self._shard.stop_gracefully(attempt)
 
-    def _openings(
+    def _placement_options(
         self, job_state: JobState, machines: Iterable[Machine]
     ) -> Iterator[PlacementOption]:
         may_stop = self.may_stop_for(job_state)
