--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -42,7 +42,7 @@
     return max(0, lost_us) / 1e6 * job.size
 
 
-def preemption_candidates(
+def placement_option(
     job: Job, machine: Machine, now: int, may_stop: MayStop
 ) -> PlacementOption | None:
     """The attempts to stop so that a task of the job fits on the machine: of the lowest rank first,
@@ -166,6 +166,6 @@
     ) -> Iterator[PlacementOption]:
         may_stop = self.may_stop_for(job_state)
         for machine in machines:
-            option = preemption_candidates(job_state.job, machine, self._now, may_stop)
+            option = placement_option(job_state.job, machine, self._now, may_stop)
             if option is not None:
                 yield option
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -13,7 +13,7 @@
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import Job
 from basaltlead.core.plan_context import PlanContext, requirements
-from basaltlead.core.preemption import MayStop, PlacementOption, Preemption, preemption_candidates
+from basaltlead.core.preemption import MayStop, PlacementOption, Preemption, placement_option
 
 # A second without the replica weighs as much as so many seconds of other work of its size.
 DELAY_WEIGHT = 20.0
@@ -59,7 +59,7 @@
         if machine.is_full:
             return None
         job = self._job
-        option = preemption_candidates(job, machine, self._now, self._may_stop)
+        option = placement_option(job, machine, self._now, self._may_stop)
         if option is None:
             return None
         cost = option.loss + DELAY_WEIGHT * delay_s(job, machine, option.stops) * job.size
