--- a/basaltlead/core/array_placement.py
+++ b/basaltlead/core/array_placement.py
@@ -45,7 +45,7 @@
             if job.single_shard:
                 zones = zones_open(job_state, context.machines.zones)
             machine = ranking.best(zones)
-            stops: list[Attempt] = []
+            preempted: list[Attempt] = []
             if machine is None:
                 if preempting_starts == MAX_PREEMPTING_STARTS:
                     return
@@ -54,10 +54,10 @@
                     context.note_unplaceable(required)
                     return
                 preempting_starts += 1
-                machine, stops = option.machine, option.stops
+                machine, preempted = option.machine, option.preempted
             elif not machine.needed and _can_wait(job_state):
                 return
-            if not context.start_next(job_state, machine, stops):
+            if not context.start_next(job_state, machine, preempted):
                 return
             ranking.rerank(machine)
 
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -19,7 +19,7 @@
     cost: float  # of each place
     machine: Machine
     places: int
-    stops: list[Attempt]  # what has to be stopped for all of them
+    preempted: list[Attempt]  # what has to be stopped for all of them
 
 
 class GangPart(NamedTuple):
@@ -27,7 +27,7 @@
 
     machine: Machine
     tasks: int
-    stops: list[Attempt]  # of these, as many as it takes are stopped
+    preempted: list[Attempt]  # of these, as many as it takes are stopped
 
 
 class GangSplit(NamedTuple):
@@ -98,7 +98,7 @@
                 held[zone] += tasks
                 left -= tasks
                 cost += offer.cost * tasks
-                parts.append(GangPart(offer.machine, tasks, offer.stops))
+                parts.append(GangPart(offer.machine, tasks, offer.preempted))
     return GangSplit(cost, parts) if left == 0 else None
 
 
@@ -169,7 +169,7 @@
         option = self._preemption.for_gang_of_one(job_state, machines)
         if option is None:
             return None
-        for attempt in option.stops:
+        for attempt in option.preempted:
             self._context.shard.stop_gracefully(attempt)
         return [option.machine]
 
@@ -182,22 +182,22 @@
         may_stop = self._preemption.may_stop_for(job_state)
         offers: list[GangOffer] = []
         for machine in machines:
-            stops = stoppable(machine, may_stop)
+            preempted = stoppable(machine, may_stop)
             room = machine.free.copy()
-            for attempt in stops:
+            for attempt in preempted:
                 room.take(attempt.job_state.job, -1)
             places = room.capacity_for(job)
             if places:
-                wasted = sum(loss(attempt, self._context.now) for attempt in stops)
+                wasted = sum(loss(attempt, self._context.now) for attempt in preempted)
                 cost = (wasted + fetch_cost(job, machine)) / places
-                offers.append(GangOffer(cost, machine, places, stops))
+                offers.append(GangOffer(cost, machine, places, preempted))
         zones = zones_open(job_state, self._context.machines.zones)
         split = cheapest_split(job, zones, offers)
         if split is None:
             return None
         chosen: list[Machine] = []
         for part in split.parts:
-            self._preemption.make_room(part.machine, job, part.tasks, part.stops)
+            self._preemption.make_room(part.machine, job, part.tasks, part.preempted)
             chosen += [part.machine] * part.tasks
         return chosen
 
--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -68,13 +68,15 @@
         if required is not None:
             self._unplaceable.add(required)
 
-    def start_next(self, job_state: JobState, machine: Machine, stops: Iterable[Attempt]) -> bool:
+    def start_next(
+        self, job_state: JobState, machine: Machine, preempted: Iterable[Attempt]
+    ) -> bool:
         """Start the job's next task on a machine and stop what has to make room for it there;
         False if the job has no further task."""
         index = job_state.next_index()
         if index is None:
             return False
-        for attempt in stops:
+        for attempt in preempted:
             self.shard.stop_gracefully(attempt)
         number = self.shard.next_attempt_number()
         self.shard.start(job_state, index, machine, number, self.now)
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -24,7 +24,7 @@
 
     loss: float  # what stopping them wastes, in CPU seconds
     machine: Machine
-    stops: list[Attempt]
+    preempted: list[Attempt]
 
 
 def loss(attempt: Attempt, now: int) -> float:
@@ -53,15 +53,15 @@
     if not candidates:
         return None
     room = machine.free.copy()
-    stops: list[Attempt] = []
+    preempted: list[Attempt] = []
     total = 0.0
     for attempt in by_rank_and_loss(candidates, now):
         if room.fits(job):
             break
         room.take(attempt.job_state.job, -1)
-        stops.append(attempt)
+        preempted.append(attempt)
         total += loss(attempt, now)
-    return PlacementOption(total, machine, stops) if room.fits(job) else None
+    return PlacementOption(total, machine, preempted) if room.fits(job) else None
 
 
 def stoppable(machine: Machine, may_stop: MayStop) -> list[Attempt]:
@@ -153,9 +153,11 @@
 
         return min(self._placement_options(job_state, machines), key=preference, default=None)
 
-    def make_room(self, machine: Machine, job: Job, count: int, stops: Iterable[Attempt]) -> None:
+    def make_room(
+        self, machine: Machine, job: Job, count: int, preempted: Iterable[Attempt]
+    ) -> None:
         """Stop attempts on a machine until so many tasks of the job fit there."""
-        for attempt in by_rank_and_loss(stops, self._now):
+        for attempt in by_rank_and_loss(preempted, self._now):
             if machine.free.capacity_for(job) >= count:
                 return
             if attempt.stop_grace_s is None:  # it may have been stopped with others of its gang
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -29,13 +29,13 @@
     machine: Machine
 
 
-def delay_s(job: Job, machine: Machine, stops: Iterable[Attempt]) -> float:
+def delay_s(job: Job, machine: Machine, preempted: Iterable[Attempt]) -> float:
     """How long a replica waits on a machine until it runs: for its image, and for its room."""
     fetch = 0.0 if job.image in machine.images else machine.machine_type.fetch_s(job)
     saving = max(
         (
             attempt.job_state.job.checkpoint_duration_s
-            for attempt in stops
+            for attempt in preempted
             if attempt.job_state.job.checkpoint_interval_us
         ),
         default=0.0,
@@ -62,7 +62,7 @@
         option = placement_option(job, machine, self._now, self._may_stop)
         if option is None:
             return None
-        cost = option.loss + DELAY_WEIGHT * delay_s(job, machine, option.stops) * job.size
+        cost = option.loss + DELAY_WEIGHT * delay_s(job, machine, option.preempted) * job.size
         tier = placement.tier(job, machine)
         return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), option
 
@@ -109,7 +109,7 @@
             if option is None:
                 context.note_unplaceable(required)
                 return
-            if not context.start_next(job_state, option.machine, option.stops):
+            if not context.start_next(job_state, option.machine, option.preempted):
                 return
 
     def move_from_departing_machines(self) -> None:
@@ -129,7 +129,7 @@
         if option is None:
             return
         context.shard.stop(attempt, 0.0)
-        for stopped in option.stops:
+        for stopped in option.preempted:
             context.shard.stop_gracefully(stopped)
 
     def _choice(self, job_state: JobState) -> ReplicaChoice:
