--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -7,7 +7,7 @@
 from basaltlead.core.jobs import US, Job
 from basaltlead.core.placement import Ranking, fetch_cost, zones_open
 from basaltlead.core.plan_context import PlanContext, requirements
-from basaltlead.core.preemption import Preemption, loss, stoppable
+from basaltlead.core.preemption import Preemption, preemption_cost, stoppable
 from basaltlead.core.task_states import EXECUTING
 
 RESERVE_AFTER_US = 20 * US  # a gang that has waited for so long has machines reserved for it
@@ -188,7 +188,7 @@
                 room.take(attempt.job_state.job, -1)
             places = room.capacity_for(job)
             if places:
-                wasted = sum(loss(attempt, self._context.now) for attempt in preempted)
+                wasted = sum(preemption_cost(attempt, self._context.now) for attempt in preempted)
                 cost = (wasted + fetch_cost(job, machine)) / places
                 offers.append(GangOffer(cost, machine, places, preempted))
         zones = zones_open(job_state, self._context.machines.zones)
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -22,12 +22,12 @@
 class PlacementOption(NamedTuple):
     """A machine on which one task fits once others there are stopped."""
 
-    loss: float  # what stopping them wastes, in CPU seconds
+    preemption_cost: float  # what stopping them wastes, in CPU seconds
     machine: Machine
     preempted: list[Attempt]
 
 
-def loss(attempt: Attempt, now: int) -> float:
+def preemption_cost(attempt: Attempt, now: int) -> float:
     """What stopping an attempt would waste, in CPU seconds."""
     job = attempt.job_state.job
     if attempt.stage in BEFORE_FIRST_RUN:
@@ -60,7 +60,7 @@
             break
         room.take(attempt.job_state.job, -1)
         preempted.append(attempt)
-        total += loss(attempt, now)
+        total += preemption_cost(attempt, now)
     return PlacementOption(total, machine, preempted) if room.fits(job) else None
 
 
@@ -75,7 +75,9 @@
 
 def by_rank_and_loss(attempts: Iterable[Attempt], now: int) -> list[Attempt]:
     """Attempts in the order in which they are stopped."""
-    return sorted(attempts, key=lambda attempt: (attempt.job_state.job.rank, loss(attempt, now)))
+    return sorted(
+        attempts, key=lambda attempt: (attempt.job_state.job.rank, preemption_cost(attempt, now))
+    )
 
 
 def is_preemptible(job_state: JobState) -> bool:
@@ -134,7 +136,7 @@
         options = self._placement_options(job_state, self._machines.for_job(job_state))
         return min(
             (option for option in options if option.machine.zone in zones),
-            key=lambda option: (option.loss, option.machine.name),
+            key=lambda option: (option.preemption_cost, option.machine.name),
             default=None,
         )
 
@@ -148,7 +150,7 @@
         def preference(option: PlacementOption) -> tuple[object, ...]:
             """Sort key, best first."""
             machine = option.machine
-            cost = option.loss + placement.fetch_cost(job, machine)
+            cost = option.preemption_cost + placement.fetch_cost(job, machine)
             return (cost, placement.tier(job, machine), machine.booked, machine.name)
 
         return min(self._placement_options(job_state, machines), key=preference, default=None)
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -62,7 +62,10 @@
         option = placement_option(job, machine, self._now, self._may_stop)
         if option is None:
             return None
-        cost = option.loss + DELAY_WEIGHT * delay_s(job, machine, option.preempted) * job.size
+        cost = (
+            option.preemption_cost
+            + DELAY_WEIGHT * delay_s(job, machine, option.preempted) * job.size
+        )
         tier = placement.tier(job, machine)
         return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), option
 
