--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -55,7 +55,7 @@
     room = machine.free.copy()
     preempted: list[Attempt] = []
     total = 0.0
-    for attempt in by_rank_and_loss(candidates, now):
+    for attempt in preemption_order(candidates, now):
         if room.fits(job):
             break
         room.take(attempt.job_state.job, -1)
@@ -73,7 +73,7 @@
     ]
 
 
-def by_rank_and_loss(attempts: Iterable[Attempt], now: int) -> list[Attempt]:
+def preemption_order(attempts: Iterable[Attempt], now: int) -> list[Attempt]:
     """Attempts in the order in which they are stopped."""
     return sorted(
         attempts, key=lambda attempt: (attempt.job_state.job.rank, preemption_cost(attempt, now))
@@ -159,7 +159,7 @@
         self, machine: Machine, job: Job, count: int, preempted: Iterable[Attempt]
     ) -> None:
         """Stop attempts on a machine until so many tasks of the job fit there."""
-        for attempt in by_rank_and_loss(preempted, self._now):
+        for attempt in preemption_order(preempted, self._now):
             if machine.free.capacity_for(job) >= count:
                 return
             if attempt.stop_grace_s is None:  # it may have been stopped with others of its gang
