--- a/basaltlead/core/array_placement.py
+++ b/basaltlead/core/array_placement.py
@@ -2,7 +2,7 @@
 stopped for it."""
 
 from basaltlead.core.entities import Attempt, JobState
-from basaltlead.core.placement import Ranking, zones_open
+from basaltlead.core.placement import Ranking, eligible_zones
 from basaltlead.core.plan_context import PlanContext, requirements
 from basaltlead.core.preemption import Preemption
 
@@ -36,14 +36,14 @@
         if limit <= 0 or context.is_unplaceable(required):
             return
         job = job_state.job
-        zones = zones_open(job_state, context.machines.zones)
+        zones = eligible_zones(job_state, context.machines.zones)
         ranking = Ranking(job, context.machines.with_room_for(job_state))
         preempting_starts = 0
         for _ in range(min(limit, MAX_STARTS)):
             if not context.limits.allow(job):
                 return
             if job.single_shard:
-                zones = zones_open(job_state, context.machines.zones)
+                zones = eligible_zones(job_state, context.machines.zones)
             machine = ranking.best(zones)
             preempted: list[Attempt] = []
             if machine is None:
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -5,7 +5,7 @@
 
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import US, Job
-from basaltlead.core.placement import Ranking, fetch_cost, zones_open
+from basaltlead.core.placement import Ranking, eligible_zones, fetch_cost
 from basaltlead.core.plan_context import PlanContext, requirements
 from basaltlead.core.preemption import Preemption, preemption_cost, stoppable
 from basaltlead.core.task_states import EXECUTING
@@ -40,7 +40,7 @@
 def place(job_state: JobState, machines: Sequence[Machine]) -> list[Machine] | None:
     """A machine for each task of the gang among those with room; None if they don't all fit."""
     job = job_state.job
-    for zones in _zone_choices(job, zones_open(job_state, {m.zone for m in machines})):
+    for zones in _zone_choices(job, eligible_zones(job_state, {m.zone for m in machines})):
         usable = [machine for machine in machines if machine.zone in zones]
         if sum(machine.free.capacity_for(job) for machine in usable) < job.tasks:
             continue
@@ -156,7 +156,7 @@
                 continue
             if not context.limits.allow(job_state.job):
                 return
-            zones = zones_open(job_state, context.machines.zones)
+            zones = eligible_zones(job_state, context.machines.zones)
             machine = Ranking(job_state.job, machines).best(zones)
             if machine is None:
                 return
@@ -191,7 +191,7 @@
                 wasted = sum(preemption_cost(attempt, self._context.now) for attempt in preempted)
                 cost = (wasted + fetch_cost(job, machine)) / places
                 offers.append(GangOffer(cost, machine, places, preempted))
-        zones = zones_open(job_state, self._context.machines.zones)
+        zones = eligible_zones(job_state, self._context.machines.zones)
         split = cheapest_split(job, zones, offers)
         if split is None:
             return None
@@ -218,7 +218,7 @@
             )
             for machine in machines
         ]
-        split = cheapest_split(job, zones_open(job_state, context.machines.zones), offers)
+        split = cheapest_split(job, eligible_zones(job_state, context.machines.zones), offers)
         if split is not None:
             context.machines.reserve(part.machine.name for part in split.parts)
 
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -14,7 +14,7 @@
 RankedMachine = tuple[Tier, float, str, Machine]
 
 
-def zones_open(
+def eligible_zones(
     job_state: JobState, zones: Iterable[str], leaving: Attempt | None = None
 ) -> set[str]:
     """Zones in which one more task of the job may start, given its tasks in any zone. `leaving`
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -108,7 +108,7 @@
         for _ in range(job_state.waiting):
             if not context.limits.allow(job):
                 return
-            option = choice.best(placement.zones_open(job_state, context.machines.zones))
+            option = choice.best(placement.eligible_zones(job_state, context.machines.zones))
             if option is None:
                 context.note_unplaceable(required)
                 return
@@ -127,7 +127,7 @@
 
     def _move(self, attempt: Attempt) -> None:
         context = self._context
-        zones = placement.zones_open(attempt.job_state, context.machines.zones, leaving=attempt)
+        zones = placement.eligible_zones(attempt.job_state, context.machines.zones, leaving=attempt)
         option = self._choice(attempt.job_state).best(zones)
         if option is None:
             return
