--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -13,7 +13,7 @@
 RESERVE_AFTER_US = 20 * US  # a gang that has waited for so long has machines reserved for it
 
 
-class GangOffer(NamedTuple):
+class GangCandidate(NamedTuple):
     """Places for tasks of a gang on one machine."""
 
     cost: float  # of each place
@@ -72,7 +72,7 @@
     return chosen
 
 
-def cheapest_split(job: Job, zones: set[str], offers: Sequence[GangOffer]) -> GangSplit | None:
+def cheapest_split(job: Job, zones: set[str], offers: Sequence[GangCandidate]) -> GangSplit | None:
     """The cheapest of the offered places that together hold the gang; all in one zone if the job
     asks for that. None if there are too few."""
     by_cost = sorted(offers, key=lambda offer: (offer.cost, offer.machine.name))
@@ -84,7 +84,7 @@
     )
 
 
-def _split(job: Job, zones: set[str], by_cost: Sequence[GangOffer]) -> GangSplit | None:
+def _split(job: Job, zones: set[str], by_cost: Sequence[GangCandidate]) -> GangSplit | None:
     """The cheapest of the places in these zones that together hold the gang."""
     left = job.tasks
     held = dict.fromkeys(zones, 0)
@@ -180,7 +180,7 @@
         wastes least."""
         job = job_state.job
         may_stop = self._preemption.may_stop_for(job_state)
-        offers: list[GangOffer] = []
+        offers: list[GangCandidate] = []
         for machine in machines:
             preempted = stoppable(machine, may_stop)
             room = machine.free.copy()
@@ -190,7 +190,7 @@
             if places:
                 wasted = sum(preemption_cost(attempt, self._context.now) for attempt in preempted)
                 cost = (wasted + fetch_cost(job, machine)) / places
-                offers.append(GangOffer(cost, machine, places, preempted))
+                offers.append(GangCandidate(cost, machine, places, preempted))
         zones = eligible_zones(job_state, self._context.machines.zones)
         split = cheapest_split(job, zones, offers)
         if split is None:
@@ -213,7 +213,7 @@
             return
         job = job_state.job
         offers = [
-            GangOffer(
+            GangCandidate(
                 float(self._busy_us(machine)), machine, machine.machine_type.capacity_for(job), []
             )
             for machine in machines
