--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -75,7 +75,7 @@
 def cheapest_split(job: Job, zones: set[str], offers: Sequence[GangCandidate]) -> GangSplit | None:
     """The cheapest of the offered places that together hold the gang; all in one zone if the job
     asks for that. None if there are too few."""
-    by_cost = sorted(offers, key=lambda offer: (offer.cost, offer.machine.name))
+    by_cost = sorted(offers, key=lambda candidate: (candidate.cost, candidate.machine.name))
     splits = [_split(job, choice, by_cost) for choice in _zone_choices(job, zones)]
     return min(
         (split for split in splits if split is not None),
@@ -90,15 +90,15 @@
     held = dict.fromkeys(zones, 0)
     cost = 0.0
     parts = []
-    for offer in by_cost:
-        zone = offer.machine.zone
+    for candidate in by_cost:
+        zone = candidate.machine.zone
         if zone in zones:
-            tasks = min(offer.places, left, job.zone_cap - held[zone])
+            tasks = min(candidate.places, left, job.zone_cap - held[zone])
             if tasks > 0:
                 held[zone] += tasks
                 left -= tasks
-                cost += offer.cost * tasks
-                parts.append(GangPart(offer.machine, tasks, offer.preempted))
+                cost += candidate.cost * tasks
+                parts.append(GangPart(candidate.machine, tasks, candidate.preempted))
     return GangSplit(cost, parts) if left == 0 else None
 
 
