--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -72,10 +72,12 @@
     return chosen
 
 
-def cheapest_split(job: Job, zones: set[str], offers: Sequence[GangCandidate]) -> GangSplit | None:
+def cheapest_split(
+    job: Job, zones: set[str], candidates: Sequence[GangCandidate]
+) -> GangSplit | None:
     """The cheapest of the offered places that together hold the gang; all in one zone if the job
     asks for that. None if there are too few."""
-    by_cost = sorted(offers, key=lambda candidate: (candidate.cost, candidate.machine.name))
+    by_cost = sorted(candidates, key=lambda candidate: (candidate.cost, candidate.machine.name))
     splits = [_split(job, choice, by_cost) for choice in _zone_choices(job, zones)]
     return min(
         (split for split in splits if split is not None),
@@ -180,7 +182,7 @@
         wastes least."""
         job = job_state.job
         may_stop = self._preemption.may_stop_for(job_state)
-        offers: list[GangCandidate] = []
+        candidates: list[GangCandidate] = []
         for machine in machines:
             preempted = stoppable(machine, may_stop)
             room = machine.free.copy()
@@ -190,9 +192,9 @@
             if places:
                 wasted = sum(preemption_cost(attempt, self._context.now) for attempt in preempted)
                 cost = (wasted + fetch_cost(job, machine)) / places
-                offers.append(GangCandidate(cost, machine, places, preempted))
+                candidates.append(GangCandidate(cost, machine, places, preempted))
         zones = eligible_zones(job_state, self._context.machines.zones)
-        split = cheapest_split(job, zones, offers)
+        split = cheapest_split(job, zones, candidates)
         if split is None:
             return None
         chosen: list[Machine] = []
@@ -212,13 +214,13 @@
         if context.machines.has_reservation or waited_us < RESERVE_AFTER_US:
             return
         job = job_state.job
-        offers = [
+        candidates = [
             GangCandidate(
                 float(self._busy_us(machine)), machine, machine.machine_type.capacity_for(job), []
             )
             for machine in machines
         ]
-        split = cheapest_split(job, eligible_zones(job_state, context.machines.zones), offers)
+        split = cheapest_split(job, eligible_zones(job_state, context.machines.zones), candidates)
         if split is not None:
             context.machines.reserve(part.machine.name for part in split.parts)
 
