--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -18,7 +18,7 @@
 
     cost: float  # of each place
     machine: Machine
-    places: int
+    capacity: int
     preempted: list[Attempt]  # what has to be stopped for all of them
 
 
@@ -95,7 +95,7 @@
     for candidate in by_cost:
         zone = candidate.machine.zone
         if zone in zones:
-            tasks = min(candidate.places, left, job.zone_cap - held[zone])
+            tasks = min(candidate.capacity, left, job.zone_cap - held[zone])
             if tasks > 0:
                 held[zone] += tasks
                 left -= tasks
@@ -188,11 +188,11 @@
             room = machine.free.copy()
             for attempt in preempted:
                 room.take(attempt.job_state.job, -1)
-            places = room.capacity_for(job)
-            if places:
+            capacity = room.capacity_for(job)
+            if capacity:
                 wasted = sum(preemption_cost(attempt, self._context.now) for attempt in preempted)
-                cost = (wasted + fetch_cost(job, machine)) / places
-                candidates.append(GangCandidate(cost, machine, places, preempted))
+                cost = (wasted + fetch_cost(job, machine)) / capacity
+                candidates.append(GangCandidate(cost, machine, capacity, preempted))
         zones = eligible_zones(job_state, self._context.machines.zones)
         split = cheapest_split(job, zones, candidates)
         if split is None:
