--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -19,7 +19,7 @@
 DELAY_WEIGHT = 20.0
 
 
-class Ranked(NamedTuple):
+class RankedCandidate(NamedTuple):
     """A machine in the order of preference. Names are unique: machines are never compared."""
 
     cost: float
@@ -55,7 +55,7 @@
         self._heap = [found[0] for found in ranked if found is not None]
         heapify(self._heap)
 
-    def _ranked(self, machine: Machine) -> tuple[Ranked, PlacementOption] | None:
+    def _ranked(self, machine: Machine) -> tuple[RankedCandidate, PlacementOption] | None:
         if machine.is_full:
             return None
         job = self._job
@@ -67,7 +67,7 @@
             + DELAY_WEIGHT * delay_s(job, machine, option.preempted) * job.size
         )
         tier = placement.tier(job, machine)
-        return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), option
+        return RankedCandidate(round(cost, 3), tier, machine.booked, machine.name, machine), option
 
     def best(self, zones: set[str]) -> PlacementOption | None:
         """The machine for the next replica, and what has to be stopped there.
