--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -43,7 +43,7 @@
     return fetch + saving
 
 
-class ReplicaChoice:
+class ReplicaRanking:
     """The machines that suit a service, best first, ranked again as replicas are bound."""
 
     def __init__(self, job: Job, machines: Iterable[Machine], may_stop: MayStop, now: int) -> None:
@@ -135,7 +135,7 @@
         for stopped in option.preempted:
             context.shard.stop_gracefully(stopped)
 
-    def _choice(self, job_state: JobState) -> ReplicaChoice:
+    def _choice(self, job_state: JobState) -> ReplicaRanking:
         machines = self._context.machines.for_job(job_state)
         may_stop = self._preemption.may_stop_for(job_state)
-        return ReplicaChoice(job_state.job, machines, may_stop, self._context.now)
+        return ReplicaRanking(job_state.job, machines, may_stop, self._context.now)
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -131,7 +131,7 @@
             200,
             story.now,
         )
-    looked = CallCounter(monkeypatch, (replica_placement.ReplicaChoice, "_ranked"))
+    looked = CallCounter(monkeypatch, (replica_placement.ReplicaRanking, "_ranked"))
     planning.plan(story.shard, story.now)
     assert looked.calls <= MACHINES + 300
     high = story.shard.add_job(
