--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -104,7 +104,7 @@
         required = requirements(job_state)
         if context.is_unplaceable(required) or not context.limits.allow(job):
             return
-        choice = self._choice(job_state)
+        choice = self._ranking(job_state)
         for _ in range(job_state.waiting):
             if not context.limits.allow(job):
                 return
@@ -128,14 +128,14 @@
     def _move(self, attempt: Attempt) -> None:
         context = self._context
         zones = placement.eligible_zones(attempt.job_state, context.machines.zones, leaving=attempt)
-        option = self._choice(attempt.job_state).best(zones)
+        option = self._ranking(attempt.job_state).best(zones)
         if option is None:
             return
         context.shard.stop(attempt, 0.0)
         for stopped in option.preempted:
             context.shard.stop_gracefully(stopped)
 
-    def _choice(self, job_state: JobState) -> ReplicaRanking:
+    def _ranking(self, job_state: JobState) -> ReplicaRanking:
         machines = self._context.machines.for_job(job_state)
         may_stop = self._preemption.may_stop_for(job_state)
         return ReplicaRanking(job_state.job, machines, may_stop, self._context.now)
