--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -104,11 +104,11 @@
         required = requirements(job_state)
         if context.is_unplaceable(required) or not context.limits.allow(job):
             return
-        choice = self._ranking(job_state)
+        ranking = self._ranking(job_state)
         for _ in range(job_state.waiting):
             if not context.limits.allow(job):
                 return
-            option = choice.best(placement.eligible_zones(job_state, context.machines.zones))
+            option = ranking.best(placement.eligible_zones(job_state, context.machines.zones))
             if option is None:
                 context.note_unplaceable(required)
                 return
