--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -131,19 +131,19 @@
         nothing from them here. When it counted as taken, machines were rented for tasks that never
         had to move.
         """
-        lent = {id(packing_bin): packing_bin.room.copy() for packing_bin in self._with_room}
+        spare_room = {id(packing_bin): packing_bin.room.copy() for packing_bin in self._with_room}
         for spare in spares:
             held: Counter[str] = Counter()  # by zone
             for _ in range(spare.count):
-                found = self._spare_bin(spare, lent, held)
+                found = self._spare_bin(spare, spare_room, held)
                 if found is None:
                     break
-                lent.setdefault(id(found), found.room.copy()).take(spare.job)
+                spare_room.setdefault(id(found), found.room.copy()).take(spare.job)
                 held[found.zone] += 1
                 found.used += 1
 
     def _spare_bin(
-        self, spare: WarmSpare, lent: dict[int, Resources], held: Counter[str]
+        self, spare: WarmSpare, spare_room: dict[int, Resources], held: Counter[str]
     ) -> PackingBin | None:
         """The machine with most of the images, in a zone that does not have its part yet."""
         job = spare.job
@@ -152,7 +152,9 @@
         fitting = [
             b
             for b in self._with_room
-            if b.zone not in full and b.offer.allows(job) and lent.get(id(b), b.room).fits(job)
+            if b.zone not in full
+            and b.offer.allows(job)
+            and spare_room.get(id(b), b.room).fits(job)
         ]
         if fitting:
             return max(fitting, key=lambda b: b.image_count(spare.images))
