--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -58,7 +58,7 @@
         self.zones = {machine.zone for machine in machines}
         self._now = now
         self._reserved: set[str] = set()  # names of machines that are kept free for a gang
-        least_cpus = min((job_state.job.cpus for job_state in waiting), default=0.0) - EPS
+        min_cpus = min((job_state.job.cpus for job_state in waiting), default=0.0) - EPS
         groups: dict[GroupKey, MachineGroup] = {}
         for machine in machines:
             machine_type = machine.machine_type
@@ -72,7 +72,7 @@
             if group is None:
                 group = groups[key] = MachineGroup(machine)
             group.machines.append(machine)
-            if machine.free.cpus >= least_cpus:
+            if machine.free.cpus >= min_cpus:
                 group.with_room.append(machine)
         self._groups = list(groups.values())
 
--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -87,9 +87,9 @@
     addition."""
 
     def __init__(
-        self, machines: Iterable[Machine], rental_choice: RentalChoice, least_cpus: float
+        self, machines: Iterable[Machine], rental_choice: RentalChoice, min_cpus: float
     ) -> None:
-        """`least_cpus` is what the smallest of the tasks takes."""
+        """`min_cpus` is what the smallest of the tasks takes."""
         self._rental_choice = rental_choice
         self._bins = [
             PackingBin(m.machine_type, Offer(m.machine_type.name, m.zone, m.spot), m)
@@ -106,7 +106,7 @@
         self._by_name = {b.machine.name: b for b in self._bins if b.machine is not None}
         # Those in which any task may still find room, in the same order. Room only shrinks here,
         # and in a full fleet few are left to pass over.
-        self._least_cpus = least_cpus - EPS
+        self._least_cpus = min_cpus - EPS
         self._with_room = list(self._bins)
 
     def needed(self) -> set[str]:
