--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -106,7 +106,7 @@
         self._by_name = {b.machine.name: b for b in self._bins if b.machine is not None}
         # Those in which any task may still find room, in the same order. Room only shrinks here,
         # and in a full fleet few are left to pass over.
-        self._least_cpus = min_cpus - EPS
+        self._min_cpus = min_cpus - EPS
         self._with_room = list(self._bins)
 
     def needed(self) -> set[str]:
@@ -162,7 +162,7 @@
         return self._rent(job, zones, 1, float("inf"))
 
     def _drop_full_bins(self) -> None:
-        self._with_room = [b for b in self._with_room if b.room.cpus >= self._least_cpus]
+        self._with_room = [b for b in self._with_room if b.room.cpus >= self._min_cpus]
 
     def _keep_in_place(self, attempt: Attempt) -> bool:
         """Keep a running task where it is; False if a higher rank has taken its place."""
@@ -233,7 +233,7 @@
                     break
             packing_bin = self._with_room[position]
             position += 1
-            full += packing_bin.room.cpus < self._least_cpus
+            full += packing_bin.room.cpus < self._min_cpus
             limit = count - placed
             if zone_room is not None:
                 limit = min(limit, zone_room.get(packing_bin.zone, 0))
