--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -12,7 +12,9 @@
 from basaltlead.core.task_states import BEFORE_FIRST_RUN
 from basaltlead.core.team_limits import exceeds_guarantee, fits_guarantee
 
-REPLICA_LOSS_S = 30.0  # what stopping a replica is reckoned to cost, in seconds of its CPUs
+REPLICA_PREEMPTION_COST_S = (
+    30.0  # what stopping a replica is reckoned to cost, in seconds of its CPUs
+)
 HIGH_RANK = RANKS["high"]  # from this rank on, jobs take the place of any lower one
 
 # Whether tasks of a job may be stopped.
@@ -33,7 +35,7 @@
     if attempt.stage in BEFORE_FIRST_RUN:
         return 0.0
     if job.service:  # nothing is repeated: it is only away until it runs elsewhere
-        return REPLICA_LOSS_S * job.size
+        return REPLICA_PREEMPTION_COST_S * job.size
     lost_us = (
         now - attempt.running_since
         if not job.checkpoint_interval_us
