--- a/basaltlead/core/jobs.py
+++ b/basaltlead/core/jobs.py
@@ -1,93 +1,94 @@
-"""What does not change while a job is open: jobs, machine types, and amounts of resources.
+"""Jobs, machine types and amounts of resources.
 
-Times are microseconds, memory and images are gigabytes.
+A job and its machine types do not change while the job is open. Times are in microseconds, memory
+and image sizes in gigabytes.
 """
 
 from enum import Enum
 
 from msgspec import Struct
 
-US = 1_000_000  # a second
-EPS = 1e-6  # amounts are sums of fractions, and are equal if they differ by less
+US = 1_000_000  # one second, in microseconds
+EPS = 1e-6  # tolerance in comparisons of amounts, which are sums of fractions
 
-# A replica that has run for so long shows that its service can run.
+# A replica that has run for this long shows that its service can run.
 STABLE_RUN_US = 30 * US
-# The run time that a replica is taken to have left, always: much longer than any span that plans
-# consider.
+# The remaining run time assumed for every replica: much longer than any span that plans consider.
 SERVICE_RUN_TIME_US = 24 * 3600 * US
 
 RANKS = {"best_effort": 0, "standard": 1, "high": 2, "production": 3}
-MIN_SIZE_CPUS = 0.1  # what a task counts as at least
-MIN_PULL_GB_PER_S = 0.01  # what a machine type without a known rate is taken to fetch
+MIN_SIZE_CPUS = 0.1  # the fewest CPUs that a task counts as
+MIN_PULL_GB_PER_S = 0.01  # assumed for a machine type without a known rate
 
 
 class Shape(Enum):
-    """How the tasks of a job belong together."""
+    """How the tasks of a job relate to each other."""
 
-    ARRAY = "array"  # independent tasks, each of which runs to its end
-    GANG = "gang"  # all tasks run at the same time, or none does
-    SERVICE = "service"  # replicas, which run until the job is cancelled
+    ARRAY = "array"  # independent tasks, each of which runs to completion
+    GANG = "gang"  # all tasks run at the same time or none does
+    SERVICE = "service"  # replicas that run until the job is cancelled
 
 
 class Job(Struct, frozen=True):
-    """What a user submitted."""
+    """A job as a user submitted it."""
 
     ref: str
     job_class: str
     team: str
     shape: Shape
-    rank: int  # see RANKS; a higher one goes first
+    rank: int  # see RANKS; a higher rank is served first
     tasks: int
-    # What one task needs.
+    # Requirements of one task.
     cpus: float
     gpus: float
     memory_gb: float
     image: str
     image_gb: float
-    # Where its tasks may run.
+    # Placement constraints.
     types: frozenset[str] | None  # names of machine types; None: any
     zone: str | None  # None: any
     one_zone: bool  # all tasks in the same zone
-    spread_zones: bool  # no more than half of the tasks in the same zone
-    spot: bool  # also on spot machines
-    estimated_run_us: int  # how long a task runs, by the user's guess
+    spread_zones: bool  # at most half of the tasks, rounded up, in the same zone
+    spot: bool  # may also run on spot machines
+    estimated_run_us: int  # the user's estimate of how long a task runs
     checkpoint_interval_us: int  # 0: its tasks save no checkpoints
     checkpoint_duration_s: float
-    due_us: int | None  # from its submission
+    due_us: int | None  # the deadline, counted from submission
 
     @property
     def gang(self) -> bool:
-        """Do its tasks run all at the same time?"""
+        """Whether its tasks all run at the same time."""
         return self.shape is Shape.GANG
 
     @property
     def service(self) -> bool:
-        """Do its tasks run until it is cancelled?"""
+        """Whether its tasks run until it is cancelled."""
         return self.shape is Shape.SERVICE
 
     @property
     def min_concurrent_tasks(self) -> int:
-        """How many of its tasks a team's limit must allow at once for it to be served."""
+        """How many of its tasks the team's limit must allow at once for the job to be served."""
         return 1 if self.shape is Shape.ARRAY else self.tasks
 
     @property
     def single_shard(self) -> bool:
-        """Must all of its tasks be placed by one shard leader, who sees them together?"""
+        """Whether one shard leader must place all of its tasks, because it has to see them
+        together."""
         return self.gang or self.one_zone or self.spread_zones
 
     @property
     def size(self) -> float:
-        """What one task counts as in CPUs; never nothing."""
+        """CPUs that one task counts as, at least MIN_SIZE_CPUS."""
         return max(self.cpus, MIN_SIZE_CPUS)
 
     @property
     def zone_cap(self) -> int:
-        """How many of its tasks one zone may hold."""
+        """The maximum number of its tasks in one zone."""
         return (self.tasks + 1) // 2 if self.spread_zones else self.tasks
 
 
 def fitting_task_count(job: Job, cpus: float, gpus: float, memory_gb: float) -> int:
-    """How many tasks of a job these amounts hold, at most all of them."""
+    """How many tasks of a job fit into these amounts, at most all of them."""
     most = float(job.tasks)
     if job.cpus > EPS:
         most = min(most, (cpus + EPS) // job.cpus)
@@ -99,21 +100,21 @@
 
 
 class MachineType(Struct, frozen=True):
-    """What the cloud rents out under one name."""
+    """A machine type that the cloud rents out."""
 
     name: str
     cpus: float
     gpus: float
     memory_gb: float
-    price: float  # for an hour
-    spot_price: float | None  # None: it is not offered as a spot machine
+    price: float  # per hour
+    spot_price: float | None  # per hour; None: not offered as a spot machine
     boot_us: int
-    cache_gb: float  # room for images
-    pull_gb_per_s: float  # how fast images arrive
+    cache_gb: float  # size of the image cache
+    pull_gb_per_s: float  # rate at which images are fetched
     zones: tuple[str, ...]
 
     def fetch_s(self, job: Job) -> float:
-        """How long the job's image takes to arrive, if the machine fetches no other."""
+        """Seconds to fetch the job's image if the machine fetches no other image meanwhile."""
         return job.image_gb / max(self.pull_gb_per_s, MIN_PULL_GB_PER_S)
 
     def capacity_for(self, job: Job) -> int:
@@ -122,7 +123,7 @@
 
 
 def allowed(job: Job, machine_type: str, zone: str, spot: bool) -> bool:
-    """May a task of the job be on such a machine at all?"""
+    """Whether the job's constraints allow its tasks on such a machine."""
     return (
         (job.types is None or machine_type in job.types)
         and (job.zone is None or job.zone == zone)
@@ -131,7 +132,7 @@
 
 
 class Resources:
-    """Amounts of the three resources; below zero where more is taken than there is."""
+    """Amounts of the three resources; negative where more is taken than there is."""
 
     __slots__ = ("cpus", "gpus", "memory_gb")
 
@@ -141,7 +142,7 @@
         self.memory_gb = memory_gb
 
     def fits(self, job: Job) -> bool:
-        """Is there room for one task of the job?"""
+        """Whether there is room for one task of the job."""
         return (
             job.cpus <= self.cpus + EPS
             and job.gpus <= self.gpus + EPS
@@ -153,16 +154,16 @@
         return fitting_task_count(job, self.cpus, self.gpus, self.memory_gb)
 
     def take(self, job: Job, times: int = 1) -> None:
-        """Take the room of so many tasks of the job; a negative number gives it back."""
+        """Take the room of this many tasks of the job; a negative number releases it."""
         self.cpus -= job.cpus * times
         self.gpus -= job.gpus * times
         self.memory_gb -= job.memory_gb * times
 
     def copy(self) -> "Resources":
-        """Amounts to change without changing these."""
+        """A copy that can be changed independently."""
         return Resources(self.cpus, self.gpus, self.memory_gb)
 
     @staticmethod
     def of(machine_type: MachineType) -> "Resources":
-        """All that a machine of this type has."""
+        """All resources of a machine of this type."""
         return Resources(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
