--- a/basaltlead/core/planning.py
+++ b/basaltlead/core/planning.py
@@ -1,7 +1,7 @@
-"""Which waiting task is bound to which machine next.
+"""Planning: binds waiting tasks to machines.
 
-A plan costs about one pass over the machines for each job that can start something: machines are
-ranked once a job, and jobs with the same requirements as one that found no room are passed over.
+A plan costs about one pass over the machines for each job that can start a task: machines are
+ranked once per job, and jobs with the same requirements as one that found no room are skipped.
 """
 
 from collections.abc import Sequence
@@ -19,7 +19,7 @@
 
 
 def plan(shard: Shard, now: int) -> None:
-    """Bind waiting tasks to machines, in start order, and move replicas that have to leave."""
+    """Bind waiting tasks to machines in start order, and move replicas off departing machines."""
     shard.begin_plan()
     usable = usable_machines(shard, now)
     if usable:
@@ -43,7 +43,7 @@
                 services.start(job_state)
             case Shape.ARRAY:
                 arrays.start_share(job_state)
-    for job_state in job_states:  # nothing stays idle while somebody waits
+    for job_state in job_states:  # capacity beyond the shares is not left idle while tasks wait
         if job_state.job.shape is Shape.ARRAY:
             arrays.start_beyond_share(job_state)
     services.move_from_departing_machines()
