--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -1,4 +1,4 @@
-"""What the placements of arrays, gangs and services share during one plan."""
+"""State that the placements of arrays, gangs and services share during one plan."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -11,10 +11,11 @@
 
 
 class Requirements(NamedTuple):
-    """What decides whether a job finds room: jobs with equal ones find it or not alike."""
+    """What decides whether a job finds room: jobs with equal requirements all find it or none
+    do."""
 
     shape: Shape
-    min_concurrent_tasks: int  # tasks that must be placed at once
+    min_concurrent_tasks: int  # tasks that must be placed at the same time
     rank: int
     team: str
     cpus: float
@@ -28,8 +29,8 @@
 
 
 def requirements(job_state: JobState) -> Requirements | None:
-    """The job's requirements; None if its chances are its own: a job that has failed on some
-    machines, and one whose running tasks decide where the others may be."""
+    """The job's requirements; None if its chances also depend on its own state, as for a job that
+    failed on some machines, or one whose running tasks decide where the others may be placed."""
     job = job_state.job
     if job_state.history.failed_on or (job.single_shard and job_state.live):
         return None
@@ -50,7 +51,8 @@
 
 
 class PlanContext:
-    """The shard, the machines and the limits of one plan, and what has found no room in it."""
+    """The shard, the machines and the limits of one plan, and the requirements that found no
+    room."""
 
     def __init__(self, shard: Shard, machines: CandidateMachines, now: int) -> None:
         self.shard = shard
@@ -64,14 +66,14 @@
         return required in self._unplaceable
 
     def note_unplaceable(self, required: Requirements | None) -> None:
-        """Pass over jobs with the same requirements for the rest of this plan."""
+        """Skip jobs with the same requirements for the rest of this plan."""
         if required is not None:
             self._unplaceable.add(required)
 
     def start_next(
         self, job_state: JobState, machine: Machine, preempted: Iterable[Attempt]
     ) -> bool:
-        """Start the job's next task on a machine and stop what has to make room for it there;
+        """Start the job's next task on a machine and stop the attempts that make room for it there;
         False if the job has no further task."""
         index = job_state.next_index()
         if index is None:
