--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -9,21 +9,23 @@
 
 # Lower is better; see `tier`.
 Tier = tuple[int, int, int, int]
-# A machine in the order of preference: tier, booked bids, name, machine. A plain tuple, since a
-# plan makes thousands of them. Names are unique, so that machines themselves are never compared.
+# A machine in order of preference: tier, booked bids, name, machine. A plain tuple for speed, since
+# a plan makes thousands of them. Names are unique, so the machines themselves are never compared.
 RankedMachine = tuple[Tier, float, str, Machine]
 
 
 def eligible_zones(
     job_state: JobState, zones: Iterable[str], leaving: Attempt | None = None
 ) -> set[str]:
-    """Zones in which one more task of the job may start, given its tasks in any zone. `leaving`
-    does not count: that attempt is to end before the new one starts."""
+    """Zones in which one more task of the job may start, given where its other tasks are.
+
+    `leaving` is not counted: that attempt ends before the new one starts.
+    """
     job = job_state.job
     if not (job.one_zone or job.spread_zones):
         return set(zones)
     held = Counter(a.machine.zone for a in job_state.live.values() if a is not leaving)
-    if job.one_zone and held:  # a job may ask for both: then half of it at a time, in one zone
+    if job.one_zone and held:  # a job may ask for both: half of it at a time, in one zone
         zones = set(held) if len(held) == 1 else set()
     return {zone for zone in zones if held[zone] < job.zone_cap}
 
@@ -31,10 +33,10 @@
 def tier(job: Job, machine: Machine) -> Tier:
     """How well a machine with room suits a job; lower is better.
 
-    A machine that the fleet does not need is left to empty; spot machines are filled before
-    ordinary ones, so that the expensive ones empty first when there is less to do; a machine that
-    has the image starts the task at once; one that has work stays rented anyway. A gang fills
-    machines and waits as a whole for the slowest fetch: for it the image comes first.
+    Machines that the fleet does not need are left to empty. Spot machines are filled before
+    on-demand ones, so that the expensive machines empty first when there is less work. A machine
+    that has the image starts the task at once, and one that has work stays rented anyway. A gang
+    fills machines and waits as a whole for the slowest fetch, so for a gang the image comes first.
     """
     image = 0 if job.image in machine.images else 1
     needed = 0 if machine.needed else 1
@@ -51,10 +53,10 @@
 
 
 class Ranking:
-    """The machines on which a task of a job fits, best first: the least booked bids within the best
-    tier (the paper's worst fit).
+    """The machines on which a task of a job fits, best first: the best tier, and within it the
+    least booked bids (the paper's worst fit).
 
-    It is made in one pass; each task then costs no more than a step in a heap.
+    Building it takes one pass over the machines; after that, each task costs only heap operations.
     """
 
     def __init__(
@@ -63,8 +65,8 @@
         machines: Iterable[Machine],
         trial_rooms: dict[str, Resources] | None = None,
     ) -> None:
-        """`trial_rooms`, by machine, count in place of what is free there: the caller takes from
-        them what it places on trial."""
+        """`trial_rooms`, by machine name, replaces the free resources of the machines; the caller
+        takes from it what it places on trial."""
         self._job = job
         self._trial_rooms = trial_rooms
         self._heap: list[RankedMachine] = [
@@ -78,8 +80,11 @@
         return machine.free if self._trial_rooms is None else self._trial_rooms[machine.name]
 
     def best(self, zones: set[str]) -> Machine | None:
-        """The machine for the next task. Zones are only ever closed while the tasks of a job are
-        placed, so machines elsewhere are dropped for good."""
+        """The best machine in these zones for the next task; None if there is none.
+
+        Zones are only closed, never opened, while the tasks of a job are placed, so machines in
+        other zones are dropped for good.
+        """
         while self._heap:
             _, _, _, machine = self._heap[0]
             if machine.zone in zones:
@@ -88,7 +93,7 @@
         return None
 
     def rerank(self, machine: Machine) -> None:
-        """Rank a machine again after a task was bound to it; drop it if no other fits."""
+        """Rank a machine again after a task was bound to it; drop it if no further task fits."""
         if self._heap and self._heap[0][3] is machine:
             heappop(self._heap)
         if self._room(machine).fits(self._job) and not machine.is_full:
