--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -6,18 +6,18 @@
 from basaltlead.core.jobs import EPS, Job, allowed
 from basaltlead.core.shard import Shard
 
-# What makes machines alike: name of the type, zone, spot or not, CPUs. A type that was unknown when
-# a machine was first heard of has no CPUs, and is known by the same name later. A plain tuple,
-# since each plan makes one for each machine.
+# What makes machines equivalent: type name, zone, spot or not, CPUs. A type that was unknown when a
+# machine was first heard of has no CPUs, and may be known under the same name later. A plain tuple
+# for speed, since each plan makes one per machine.
 GroupKey = tuple[str, str, bool, float]
 
 
 def usable_machines(shard: Shard, now: int) -> list[Machine]:
     """The machines on which tasks may be started now.
 
-    One that has been silent for half a lease is left out: probably it is about to lose its lease,
-    and a new task with the others. Commands that are pushed may reach it, but don't renew the
-    lease.
+    A machine that has been silent for half a lease is left out: it is probably about to lose its
+    lease, and a new task would be lost with it. Pushed commands may still reach it, but they do not
+    renew the lease.
     """
     since = now - shard.timing.lease_us // 2
     return [
@@ -28,7 +28,8 @@
 
 
 class MachineGroup:
-    """Machines that are alike for every job: of one type, in one zone, spot or not."""
+    """Machines that are equivalent for every job: same type, same zone, all spot or all
+    on-demand."""
 
     __slots__ = ("machines", "spot", "with_room", "zone")
 
@@ -36,11 +37,14 @@
         self.zone = first.zone
         self.spot = first.spot
         self.machines: list[Machine] = []
-        self.with_room: list[Machine] = []  # those of them on which any waiting task may fit
+        self.with_room: list[Machine] = []  # those with CPUs for the smallest waiting task
 
     def suits(self, job: Job, example: Machine) -> bool:
-        """Whether a task of the job may be on such a machine, and fits on one that is empty. The
-        `example` stands for the others: the cloud may describe a type anew under its old name."""
+        """Whether a task of the job may be on these machines, and fits on an empty one.
+
+        `example` is one of the machines. It is passed each time because the cloud may describe a
+        type anew under its old name.
+        """
         machine_type = example.machine_type
         return allowed(job, machine_type.name, self.zone, self.spot) and bool(
             machine_type.capacity_for(job)
@@ -50,14 +54,14 @@
 class CandidateMachines:
     """The usable machines of one plan.
 
-    What makes machines alike is compared once a group, not once a machine. That is what keeps a
-    plan for thousands of machines cheap.
+    Constraints are checked once per group and not once per machine, which keeps a plan for
+    thousands of machines cheap.
     """
 
     def __init__(self, machines: Sequence[Machine], waiting: Iterable[JobState], now: int) -> None:
         self.zones = {machine.zone for machine in machines}
         self._now = now
-        self._reserved: set[str] = set()  # names of machines that are kept free for a gang
+        self._reserved: set[str] = set()  # names of machines reserved for a gang
         min_cpus = min((job_state.job.cpus for job_state in waiting), default=0.0) - EPS
         groups: dict[GroupKey, MachineGroup] = {}
         for machine in machines:
@@ -77,7 +81,7 @@
         self._groups = list(groups.values())
 
     def for_job(self, job_state: JobState) -> list[Machine]:
-        """The machines that the job may use, whether or not they have room."""
+        """The machines that the job may use, with or without room."""
         suited: list[Machine] = []
         for group in self._groups:
             if group.suits(job_state.job, group.machines[0]):
@@ -85,8 +89,8 @@
         return self._open_to(job_state, suited)
 
     def with_room_for(self, job_state: JobState) -> list[Machine]:
-        """Those of the machines that the job may use on which any waiting task may have fitted
-        when the plan began."""
+        """The machines that the job may use and that, when the plan began, had CPUs for the
+        smallest waiting task."""
         suited: list[Machine] = []
         for group in self._groups:
             if group.with_room and group.suits(job_state.job, group.with_room[0]):
@@ -103,7 +107,7 @@
         return bool(self._reserved)
 
     def _open_to(self, job_state: JobState, machines: list[Machine]) -> list[Machine]:
-        """Without those that are reserved, or that the job keeps off since it failed there."""
+        """Leave out reserved machines, and machines that the job avoids since it failed there."""
         failed_on = job_state.history.failed_on
         if not self._reserved and not failed_on:
             return machines
