--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -1,4 +1,4 @@
-"""Gangs are placed whole: every task finds its machine, or none is started."""
+"""Placement of gangs: all tasks of a gang find a machine, or none is started."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -10,16 +10,16 @@
 from basaltlead.core.preemption import Preemption, preemption_cost, stoppable
 from basaltlead.core.task_states import EXECUTING
 
-RESERVE_AFTER_US = 20 * US  # a gang that has waited for so long has machines reserved for it
+RESERVE_AFTER_US = 20 * US  # the wait after which machines are reserved for a gang
 
 
 class GangCandidate(NamedTuple):
-    """Places for tasks of a gang on one machine."""
+    """Room for tasks of a gang on one machine."""
 
-    cost: float  # of each place
+    cost: float  # per task
     machine: Machine
     capacity: int
-    preempted: list[Attempt]  # what has to be stopped for all of them
+    preempted: list[Attempt]  # attempts to stop to make all of this room
 
 
 class GangPart(NamedTuple):
@@ -27,11 +27,11 @@
 
     machine: Machine
     tasks: int
-    preempted: list[Attempt]  # of these, as many as it takes are stopped
+    preempted: list[Attempt]  # stopped one by one until the tasks fit
 
 
 class GangSplit(NamedTuple):
-    """A way to spread a whole gang over machines."""
+    """A distribution of a whole gang over machines."""
 
     cost: float
     parts: list[GangPart]
@@ -75,8 +75,8 @@
 def cheapest_split(
     job: Job, zones: set[str], candidates: Sequence[GangCandidate]
 ) -> GangSplit | None:
-    """The cheapest of the offered places that together hold the gang; all in one zone if the job
-    asks for that. None if there are too few."""
+    """The cheapest distribution of the gang over these candidates, in a single zone if the job
+    requires that; None if they have too little room."""
     by_cost = sorted(candidates, key=lambda candidate: (candidate.cost, candidate.machine.name))
     splits = [_split(job, choice, by_cost) for choice in _zone_choices(job, zones)]
     return min(
@@ -87,7 +87,8 @@
 
 
 def _split(job: Job, zones: set[str], by_cost: Sequence[GangCandidate]) -> GangSplit | None:
-    """The cheapest of the places in these zones that together hold the gang."""
+    """The cheapest distribution of the gang over the candidates in these zones; None if they have
+    too little room."""
     left = job.tasks
     held = dict.fromkeys(zones, 0)
     cost = 0.0
@@ -112,7 +113,7 @@
         self._preemption = preemption
 
     def start(self, job_state: JobState) -> None:
-        """Start all tasks of the gang, or none; replace those that it has lost before it ran."""
+        """Start all tasks of the gang or none; replace tasks that it lost before it ran."""
         if job_state.live:
             self._replace_lost(job_state)
             return
@@ -141,8 +142,7 @@
     def _replace_lost(self, job_state: JobState) -> None:
         """Replace lost tasks of a gang that does not run yet, under the same attempt number.
 
-        Once a task has run, or is to stop, the others end as well, and then the gang is placed
-        anew.
+        Once a task has run, or is to stop, the others end as well and the gang is placed anew.
         """
         live = list(job_state.live.values())
         attempt_number = live[0].attempt_number
@@ -167,7 +167,8 @@
     def _machine_for_one(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> list[Machine] | None:
-        """The machine for a gang of one task, after others there were stopped for it."""
+        """The machine for a gang of one task, after stopping the attempts there that make room for
+        it."""
         option = self._preemption.for_gang_of_one(job_state, machines)
         if option is None:
             return None
@@ -178,8 +179,8 @@
     def _machines_by_preemption(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> list[Machine] | None:
-        """Room for a whole gang by stopping others: only if all of it fits then, and where that
-        wastes least."""
+        """Make room for a whole gang by preemption where that wastes least; nothing is stopped
+        unless the whole gang fits."""
         job = job_state.job
         may_stop = self._preemption.may_stop_for(job_state)
         candidates: list[GangCandidate] = []
@@ -206,8 +207,9 @@
     def _reserve(self, job_state: JobState, machines: Sequence[Machine]) -> None:
         """Reserve the machines that will be empty soonest for a gang that has waited for long.
 
-        Work that comes one task at a time would else take each place as it falls free, and a large
-        gang would wait for ever. One gang at a time, the first in start order.
+        Otherwise work that comes one task at a time takes each place as it becomes free, and a
+        large gang waits forever. Only one gang at a time has a reservation, the first in start
+        order.
         """
         context = self._context
         waited_us = context.now - job_state.submitted_at
@@ -225,7 +227,7 @@
             context.machines.reserve(part.machine.name for part in split.parts)
 
     def _busy_us(self, machine: Machine) -> int:
-        """How long the tasks on a machine will still run, as far as can be guessed."""
+        """The estimated time until all tasks on a machine are done."""
         return max((self._left_us(attempt) for attempt in machine.attempts.values()), default=0)
 
     def _left_us(self, attempt: Attempt) -> int:
