--- a/basaltlead/core/array_placement.py
+++ b/basaltlead/core/array_placement.py
@@ -1,5 +1,5 @@
-"""Arrays are placed task by task: each on the best machine that has room, or where others are
-stopped for it."""
+"""Placement of arrays, task by task: each on the best machine that has room, or where preemption
+wastes least."""
 
 from basaltlead.core.entities import Attempt, JobState
 from basaltlead.core.placement import Ranking, eligible_zones
@@ -7,7 +7,7 @@
 from basaltlead.core.preemption import Preemption
 
 MAX_STARTS = 2000  # of one job in one plan
-MAX_PREEMPTING_STARTS = 40  # tasks of one job for which others are stopped, in one plan
+MAX_PREEMPTING_STARTS = 40  # starts by preemption, of one job in one plan
 
 
 class ArrayPlacement:
@@ -63,6 +63,6 @@
 
 
 def _can_wait(job_state: JobState) -> bool:
-    """Whether the job is in time with what runs already, and so may wait for machines that the
-    fleet needs rather than use one that is left to empty."""
+    """Whether the tasks that run already keep the job on time, so that it may wait for machines
+    that the fleet needs and does not use one that is left to empty."""
     return len(job_state.live) >= (job_state.need or 0)
