--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -1,8 +1,7 @@
-"""Where a replica of a service is started: where it will run soonest.
+"""Placement of replicas of services: on the machine where a replica will run soonest.
 
-Users notice every second without a replica, so the time until one runs outweighs what is wasted by
-stopping others for it. That time is the fetch of its image, and the checkpoints of the tasks that
-are stopped for it.
+Users notice every second without a replica, so the time until it runs outweighs what preemption
+wastes. That time is the fetch of its image plus the checkpoints of the preempted tasks.
 """
 
 from collections.abc import Iterable
@@ -15,12 +14,12 @@
 from basaltlead.core.plan_context import PlanContext, requirements
 from basaltlead.core.preemption import MayStop, PlacementOption, Preemption, placement_option
 
-# A second without the replica weighs as much as so many seconds of other work of its size.
+# A second without the replica costs as much as this many seconds of other work of its size.
 DELAY_WEIGHT = 20.0
 
 
 class RankedCandidate(NamedTuple):
-    """A machine in the order of preference. Names are unique: machines are never compared."""
+    """A machine in order of preference. Names are unique, so machines are never compared."""
 
     cost: float
     tier: placement.Tier
@@ -30,7 +29,8 @@
 
 
 def delay_s(job: Job, machine: Machine, preempted: Iterable[Attempt]) -> float:
-    """How long a replica waits on a machine until it runs: for its image, and for its room."""
+    """Seconds until a replica would run on a machine: the fetch of its image, and the checkpoints
+    of the attempts that are stopped for it."""
     fetch = 0.0 if job.image in machine.images else machine.machine_type.fetch_s(job)
     saving = max(
         (
@@ -51,7 +51,7 @@
         self._may_stop = may_stop
         self._now = now
         ranked = (self._ranked(machine) for machine in machines)
-        # What has to be stopped is not kept: in a large fleet that would be most of its tasks.
+        # The attempts to stop are not kept: in a large fleet they would be most of its tasks.
         self._heap = [found[0] for found in ranked if found is not None]
         heapify(self._heap)
 
@@ -70,10 +70,10 @@
         return RankedCandidate(round(cost, 3), tier, machine.booked, machine.name, machine), option
 
     def best(self, zones: set[str]) -> PlacementOption | None:
-        """The machine for the next replica, and what has to be stopped there.
+        """The machine for the next replica, and the attempts to stop there; None if there is none.
 
-        What was ranked before the last replica was bound is ranked again. Zones are only ever
-        closed meanwhile, so machines elsewhere are dropped for good.
+        Machines ranked before the last replica was bound are ranked again. Meanwhile zones are only
+        closed, never opened, so machines in other zones are dropped for good.
         """
         while self._heap:
             machine = heappop(self._heap).machine
@@ -91,14 +91,15 @@
 
 
 class ReplicaPlacement:
-    """Starts replicas of services in one plan, and moves those whose machines are about to go."""
+    """Starts replicas of services in one plan, and moves replicas off departing machines."""
 
     def __init__(self, context: PlanContext, preemption: Preemption) -> None:
         self._context = context
         self._preemption = preemption
 
     def start(self, job_state: JobState) -> None:
-        """Start replicas where they run soonest; among equals where it wastes least."""
+        """Start replicas where they will run soonest; among equals, where preemption wastes
+        least."""
         context = self._context
         job = job_state.job
         required = requirements(job_state)
@@ -116,8 +117,8 @@
                 return
 
     def move_from_departing_machines(self) -> None:
-        """Stop replicas on machines that are about to go, each once there is a place for it. The
-        next plans start it there as soon as it is provably gone."""
+        """Stop replicas on machines that are about to go, each once there is a place for it. A
+        later plan starts it there, as soon as the old attempt is provably gone."""
         for machine in self._context.shard.machines.values():
             if machine.preemption_at is None and not machine.draining:
                 continue
