--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -1,4 +1,4 @@
-"""Which tasks may be stopped to make room for others, and where stopping them wastes least."""
+"""Preemption: which tasks may be stopped to make room for others, and where that wastes least."""
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import NamedTuple
@@ -12,17 +12,15 @@
 from basaltlead.core.task_states import BEFORE_FIRST_RUN
 from basaltlead.core.team_limits import exceeds_guarantee, fits_guarantee
 
-REPLICA_PREEMPTION_COST_S = (
-    30.0  # what stopping a replica is reckoned to cost, in seconds of its CPUs
-)
-HIGH_RANK = RANKS["high"]  # from this rank on, jobs take the place of any lower one
+REPLICA_PREEMPTION_COST_S = 30.0  # the assumed cost of stopping a replica, in seconds of its CPUs
+HIGH_RANK = RANKS["high"]  # from this rank on, jobs preempt any lower rank
 
-# Whether tasks of a job may be stopped.
+# Tells whether tasks of a job may be stopped.
 MayStop = Callable[[JobState], bool]
 
 
 class PlacementOption(NamedTuple):
-    """A machine on which one task fits once others there are stopped."""
+    """A machine on which one task fits once these attempts are stopped."""
 
     preemption_cost: float  # what stopping them wastes, in CPU seconds
     machine: Machine
@@ -34,7 +32,7 @@
     job = attempt.job_state.job
     if attempt.stage in BEFORE_FIRST_RUN:
         return 0.0
-    if job.service:  # nothing is repeated: it is only away until it runs elsewhere
+    if job.service:  # no work is repeated: it is only missing until it runs elsewhere
         return REPLICA_PREEMPTION_COST_S * job.size
     lost_us = (
         now - attempt.running_since
@@ -47,8 +45,8 @@
 def placement_option(
     job: Job, machine: Machine, now: int, may_stop: MayStop
 ) -> PlacementOption | None:
-    """The attempts to stop so that a task of the job fits on the machine: of the lowest rank first,
-    then those that waste least. None if it does not fit even then."""
+    """The attempts to stop so that a task of the job fits on the machine: lowest rank first, then
+    those that waste least. None if it does not fit even then."""
     if machine.free.fits(job):
         return PlacementOption(0.0, machine, [])
     candidates = stoppable(machine, may_stop)
@@ -67,7 +65,7 @@
 
 
 def stoppable(machine: Machine, may_stop: MayStop) -> list[Attempt]:
-    """The attempts on a machine that may be stopped, and are not stopping already."""
+    """The attempts on a machine that may be stopped and are not stopping already."""
     return [
         attempt
         for attempt in machine.attempts.values()
@@ -76,20 +74,20 @@
 
 
 def preemption_order(attempts: Iterable[Attempt], now: int) -> list[Attempt]:
-    """Attempts in the order in which they are stopped."""
+    """The attempts in the order in which they are stopped."""
     return sorted(
         attempts, key=lambda attempt: (attempt.job_state.job.rank, preemption_cost(attempt, now))
     )
 
 
 def is_preemptible(job_state: JobState) -> bool:
-    """Whether ordinary work of a higher rank may take its place: it has no objective, and what its
-    tasks have done so far is saved."""
+    """Whether arrays of a higher rank that are below HIGH_RANK may preempt it: it has no objective,
+    and its tasks save checkpoints."""
     return not job_state.has_objective and job_state.job.checkpoint_interval_us > 0
 
 
 class Preemption:
-    """Makes room in one plan by stopping tasks of lower rank, or of teams above their guarantee."""
+    """Makes room in one plan by stopping tasks of lower rank or of teams above their guarantee."""
 
     def __init__(self, shard: Shard, machines: CandidateMachines, now: int) -> None:
         self._shard = shard
@@ -97,16 +95,16 @@
         self._now = now
 
     def may_stop_for(self, job_state: JobState) -> MayStop:
-        """Whose tasks may be stopped to make room for the job.
+        """The rule that tells whose tasks may be stopped to make room for the job.
 
-        Those of lower rank; for a job within its team's guarantee also those of other teams that
-        use more than theirs. Below the high rank and outside a guarantee, arrays stop only the
-        tasks of preemptible jobs, and services stop none.
+        These are tasks of lower rank and, for a job within its team's guarantee, also tasks of
+        other teams that use more than theirs. Below HIGH_RANK and outside a guarantee, arrays stop
+        only tasks of preemptible jobs, and services stop none.
         """
         job = job_state.job
         guaranteed = fits_guarantee(self._shard, job_state)
         ordinary = not job.gang and job.rank < HIGH_RANK and not guaranteed
-        # A service that only fails would stop others' work with each of its attempts.
+        # A service that always fails would preempt other work with each of its attempts.
         if job.service and (ordinary or job_state.history.trials >= TRIALS_UNTIL_JOB_IS_BLAMED):
             return lambda _: False
 
@@ -123,10 +121,11 @@
         return may_stop
 
     def for_array_task(self, job_state: JobState, zones: set[str]) -> PlacementOption | None:
-        """The machine on which stopping others for a task of an array wastes least.
+        """The machine on which preemption for a task of an array wastes least; None if there is
+        none.
 
-        Ordinary work waits for machines that are rented for it, unless its objective depends on a
-        share that others hold.
+        Below HIGH_RANK and outside a guarantee a task waits for machines that are rented for it,
+        unless its objective depends on a share that others hold.
         """
         below_share = job_state.slots is not None and len(job_state.live) < job_state.slots
         if (
@@ -145,8 +144,8 @@
     def for_gang_of_one(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> PlacementOption | None:
-        """For a gang of one task, which often fills a machine: where stopping others and waiting
-        for the image together waste least."""
+        """The machine for a gang of one task, which often fills a machine: where preemption and the
+        wait for the image together waste least."""
         job = job_state.job
 
         def preference(option: PlacementOption) -> tuple[object, ...]:
@@ -160,11 +159,11 @@
     def make_room(
         self, machine: Machine, job: Job, count: int, preempted: Iterable[Attempt]
     ) -> None:
-        """Stop attempts on a machine until so many tasks of the job fit there."""
+        """Stop attempts on a machine until this many tasks of the job fit there."""
         for attempt in preemption_order(preempted, self._now):
             if machine.free.capacity_for(job) >= count:
                 return
-            if attempt.stop_grace_s is None:  # it may have been stopped with others of its gang
+            if attempt.stop_grace_s is None:  # it may have been stopped with the rest of its gang
                 self._shard.stop_gracefully(attempt)
 
     def _placement_options(
