--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -1,4 +1,5 @@
-"""The rounds: budgets are refilled, bids follow progress, the auction gives out slots."""
+"""The market: in each round budgets are refilled, bids follow progress, and an auction allocates
+slots."""
 
 from msgspec import Struct
 
@@ -16,22 +17,22 @@
     """The parameters of the market."""
 
     round_us: int
-    refill_us: int  # how long refilling an empty budget takes
-    budget: float  # of a team
+    refill_us: int  # time to refill an empty budget
+    budget: float  # full budget of a team
     reserve_price: float  # the lowest bid
-    threshold: float  # the relative gap below which a bid stays
-    max_stored_bids: int = 200  # that fit into a stored record
+    threshold: float  # the relative gap below which a bid is left unchanged
+    max_stored_bids: int = 200  # of a team, limited by the size of a stored record
 
 
 class TeamRecord(Struct):
-    """What is stored for each team each round, so that a new shard leader goes on from it."""
+    """What is stored for each team in each round, so that a new shard leader continues from it."""
 
     left: float
     bids: dict[str, float] = {}
 
 
 class Market:
-    """The teams' budgets, and the bids of a shard's jobs, round after round."""
+    """The budgets of the teams and the bids of a shard's jobs."""
 
     def __init__(
         self, parameters: MarketParameters, teams: list[str], objectives: ServiceLevelObjectives
@@ -43,21 +44,24 @@
             for team in teams
         }
         self._directions: dict[str, BidDirection] = {}  # by job
-        self._stored_bids: dict[str, float] = {}  # of an earlier shard leader, by job
-        self._price = 0.0  # of a CPU, in the last auction
+        self._stored_bids: dict[str, float] = {}  # by an earlier shard leader, by job
+        self._price = 0.0  # per CPU, in the last auction
         self._last_round_at: int | None = None
 
     def load(self, team: str, record: TeamRecord) -> None:
-        """Go on from what an earlier shard leader has stored of a team; one that the settings don't
-        name is ignored."""
+        """Continue from what an earlier shard leader stored for a team; a team that is not in the
+        settings is ignored."""
         if team in self.budgets:
             budget = self.budgets[team]
             budget.left = min(budget.full, max(0.0, record.left))
             self._stored_bids.update(record.bids)
 
     def record(self, team: str, job_states: dict[str, JobState]) -> TeamRecord:
-        """What to store of a team. The size of a value is limited: if not all bids fit, the highest
-        are kept, as the most informative."""
+        """What to store for a team.
+
+        The size of a value is limited: if not all bids fit, the highest are kept, as the most
+        informative.
+        """
         bids = {
             job_state.job.ref: round(job_state.bid, 4)
             for job_state in job_states.values()
@@ -67,8 +71,8 @@
         return TeamRecord(round(self.budgets[team].left, 3), {ref: bids[ref] for ref in kept})
 
     def first_bid(self, job_state: JobState, now: int) -> float:
-        """The bid of a job that has none yet: what an earlier shard leader has stored, or what gets
-        a new job the wanted slots at the present price."""
+        """The bid of a job that has none yet: the one that an earlier shard leader stored, or what
+        buys a new job the wanted slots at the current price."""
         known = self._stored_bids.pop(job_state.job.ref, None)
         if known is not None:
             return known
@@ -80,8 +84,8 @@
         budget = self.budgets.get(job_state.job.team)
         if budget is None:
             return self.parameters.reserve_price
-        # A job that can't meet any objective bids like one that has none. With its budget over the
-        # time left, which is none, it outbid all that could still be in time.
+        # A job that can't meet any objective bids like one that has none. Spreading its budget over
+        # the time left, which is none, would outbid all jobs that can still be on time.
         due = self.objectives.due(job_state, now).at
         span_us = (
             self.parameters.refill_us if due is None else max(self.parameters.round_us, due - now)
@@ -89,7 +93,7 @@
         return budget.max_bid(span_us, self.parameters.round_us)
 
     def run_round(self, shard: Shard, now: int) -> None:
-        """One round of the market over the open jobs of a shard."""
+        """Run one round of the market over the open jobs of a shard."""
         last = self._last_round_at
         span_us = self.parameters.round_us if last is None else max(1, now - last)
         self._last_round_at = now
@@ -124,9 +128,12 @@
         )
 
     def _measured(self, job_state: JobState, span_us: int, now: int) -> tuple[float, float]:
-        """The progress of a job over a round, and the progress that is wanted of it: finished
-        tasks against those that must finish, replicas that run against those that should, or
-        slots held against tasks that wait."""
+        """The measured and the wanted progress of a job in a round.
+
+        For a service these are running and wanted replicas. For a job with a due time they are the
+        rate at which its tasks finish and the rate that meets the due time, in tasks per second.
+        For any other job they are the slots it holds and its remaining tasks.
+        """
         if job_state.job.service:
             job_state.rate = _smoothed(job_state.rate, job_state.running)
             return job_state.rate, float(job_state.remaining)
@@ -139,7 +146,8 @@
         return job_state.rate, job_state.remaining / left_s
 
     def allocate_slots(self, shard: Shard, now: int) -> None:
-        """The auction over the present capacity. Run between rounds too: new work must not wait."""
+        """Run the auction over the present capacity. It also runs between rounds, so that new work
+        does not wait for the next one."""
         arrays = [
             job_state
             for job_state in shard.job_states.values()
