--- a/basaltlead/core/bidding.py
+++ b/basaltlead/core/bidding.py
@@ -2,32 +2,33 @@
 
 from msgspec import Struct
 
-DOUBLING_STEP = 3  # the paper's `limit`: from this step in one direction on, bids are doubled
-DOUBLING_GAP = 2  # or halved, and so they are from this relative gap on
+DOUBLING_STEP = 3  # the paper's `limit`: the step in one direction from which bids double or halve
+DOUBLING_GAP = 2  # the relative gap from which they do so at any step
 
 
 class Budget(Struct):
-    """A team's credits: refilled at a constant rate, never above the full amount."""
+    """A team's credits, refilled at a constant rate up to the full amount."""
 
     full: float
-    refill_us: int  # how long refilling an empty budget takes
+    refill_us: int  # time to refill an empty budget
     left: float
 
     def refill(self, span_us: int) -> None:
-        """Add what a span of time brings."""
+        """Add the credits of a span of time."""
         self.left = min(self.full, self.left + self.full * span_us / self.refill_us)
 
     def pay(self, amount: float) -> None:
-        """Take an amount, or what is left of it."""
+        """Deduct an amount, or what is left if that is less."""
         self.left = max(0.0, self.left - amount)
 
     def max_bid(self, span_us: int, round_us: int) -> float:
-        """The most a job may bid a round: the remaining budget over the job's span."""
+        """The most a job may bid per round: the remaining budget divided by the rounds in the
+        span."""
         return self.left / max(1.0, span_us / round_us)
 
 
 class BidDirection(Struct):
-    """Which way a bid has been moving, and for how many rounds."""
+    """The direction in which a bid has been moving, and for how many rounds."""
 
     direction: int = 0
     step: int = 1
@@ -41,11 +42,11 @@
         high: float,
         threshold: float,
     ) -> float:
-        """The next bid, between `low` and `high`: up while the measured value is below the wanted
-        one, else down.
+        """The next bid, between `low` and `high`: raised while the measured value is below the
+        wanted one, else lowered.
 
-        The factor is 1+T for the relative gap T, and 2 from the second round the same way or once T
-        reaches 2. Below the threshold the bid stays, within its clamps.
+        The factor is 1+T for the relative gap T, and 2 from the second round in the same direction
+        or once T reaches 2. Below the threshold the bid changes only to stay between its limits.
         """
         if value < wanted and self.direction != 1:
             self.direction, self.step = 1, 1
