--- a/basaltlead/core/auction.py
+++ b/basaltlead/core/auction.py
@@ -1,8 +1,8 @@
 """The proportional-share auction, in whole slots.
 
-A bidder's share is its bid over the sum of bids. Shares become whole slots by the largest
-remainder; what a bidder can't use goes to the others, so that nothing stays idle while somebody
-waits.
+A bidder's share is its bid over the sum of bids. Shares are rounded to whole slots by the largest
+remainder. What a bidder can't use goes to the others, so that no capacity stays idle while a bidder
+can use it.
 """
 
 from collections.abc import Hashable, Sequence
@@ -10,16 +10,16 @@
 
 K = TypeVar("K", bound=Hashable)
 
-ROUNDING_TOLERANCE = 1e-9  # of the capacity, below which a slot still fits
+ROUNDING_TOLERANCE = 1e-9  # of the capacity: a slot that exceeds what is left by less still fits
 
 
 class Bid(NamedTuple, Generic[K]):
-    """What a bidder offers, and how much it can use."""
+    """A bid, and how much its bidder can use."""
 
     key: K
     amount: float
-    size: float  # what one slot takes of the capacity
-    max_slots: int  # that the bidder can use
+    size: float  # the capacity that one slot takes
+    max_slots: int  # the most that the bidder can use
 
 
 def allocate(bids: Sequence[Bid[K]], capacity: float) -> dict[K, int]:
@@ -34,7 +34,7 @@
         if not satisfied:
             _round_shares(open_bids, shares, slots, left)
             break
-        # These get what they can use; the rest is shared among the others anew.
+        # These get what they can use; the rest is shared among the others again.
         for bid in satisfied:
             left -= (bid.max_slots - slots[bid.key]) * bid.size
             slots[bid.key] = bid.max_slots
