--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -1,4 +1,4 @@
-"""Which arrays get how many slots of a shard's present capacity."""
+"""Allocation of the slots of a shard's present capacity to arrays."""
 
 from collections.abc import Sequence
 from math import ceil
@@ -9,13 +9,13 @@
 from basaltlead.core.jobs import Shape
 from basaltlead.core.shard import Shard
 
-# Of the capacity: what jobs without an objective may always bid for, however much jobs with one
-# need. They use what the others leave; with nothing left for long they would not be served at all.
+# The part of the capacity that jobs without an objective may always bid for, however much jobs with
+# one need. Otherwise they get only what those leave, and starve if that is nothing for long.
 SHARE_WITHOUT_OBJECTIVE = 0.25
 
 
 class AuctionResult(NamedTuple):
-    """Slots by job, and the price of a CPU."""
+    """Slots by job, and the price per CPU."""
 
     slots: dict[str, int]
     price: float
@@ -24,9 +24,9 @@
 class SlotAuction:
     """One auction among the arrays of a shard.
 
-    What keeps jobs with an objective in time is given out first, all others share what is left. In
-    one auction for all, a team with much work in time drained its budget, and was outbid by long
-    tasks without an objective.
+    Jobs with an objective first get the slots that keep them on time; all others share what is
+    left. With one auction for all, a team drained its budget on much work that had to be on time,
+    and was outbid by long tasks without an objective.
     """
 
     def __init__(self, shard: Shard, reserve_price: float) -> None:
@@ -35,8 +35,8 @@
         self._reserve_price = reserve_price
 
     def run(self, arrays: Sequence[JobState]) -> AuctionResult:
-        """Share the present capacity. Jobs with an objective want what keeps them in time, others
-        slots for all their tasks."""
+        """Allocate the present capacity. Jobs with an objective want the slots that keep them on
+        time, others want slots for all their tasks."""
         with_objective = [self._bid(job_state) for job_state in arrays if job_state.has_objective]
         others = [job_state for job_state in arrays if not job_state.has_objective]
         capacity = self._capacity()
@@ -48,10 +48,11 @@
         return AuctionResult(slots, price(all_bids, capacity))
 
     def _share_remainder(self, job_states: list[JobState], capacity: float) -> dict[str, int]:
-        """Slots for jobs without an objective: each team's share by the sum of its bids.
+        """Slots for jobs without an objective: each team's share is in proportion to the sum of its
+        bids.
 
-        Within a team the job that is nearest to its end comes first: shared evenly, long jobs of
-        the same size would all end last. Every job has one slot, so that it begins.
+        Within a team the job with the least work left comes first: with even shares, long jobs of
+        the same size would all end late. Every job gets one slot before that, so that it begins.
         """
         teams: dict[str, list[JobState]] = {}
         for job_state in job_states:
@@ -86,10 +87,10 @@
         return Bid(job.ref, max(job_state.bid, self._reserve_price), job.size, max_slots)
 
     def _capacity(self) -> float:
-        """CPUs that the auction gives out.
+        """CPUs that the auction allocates.
 
-        Gangs and services are placed by rank and take no part: when what they use was given out as
-        well, the shares of the jobs that come last in start order were worth nothing.
+        Gangs and services are placed by rank and take no part. When the CPUs they use were
+        allocated as well, jobs that come last in start order could not use their shares.
         """
         up = [
             machine
@@ -105,6 +106,6 @@
 
 
 def _team_bid(team: str, bids: list[Bid[str]]) -> Bid[str]:
-    """What a team wants for its jobs together, in CPUs."""
+    """The bid of a team for all its jobs, with slots of one CPU."""
     cpus = ceil(sum(bid.max_slots * bid.size for bid in bids))
     return Bid(team, sum(bid.amount for bid in bids), 1.0, cpus)
