--- a/basaltlead/core/teams.py
+++ b/basaltlead/core/teams.py
@@ -1,10 +1,10 @@
-"""What teams are guaranteed, what they may use at most, and what they use."""
+"""Quotas of teams, and what teams use."""
 
 from msgspec import Struct
 
 
 class TeamQuota(Struct, frozen=True):
-    """A team's guarantee and limit; 0: none."""
+    """What a team is guaranteed, and the most it may use; 0: no guarantee or no limit."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -13,12 +13,12 @@
 
     @property
     def is_limited(self) -> bool:
-        """Must the tasks of the team be counted together at every instant?"""
+        """Whether all tasks of the team must be counted together at all times."""
         return bool(self.cpus or self.gpus or self.cpus_max or self.gpus_max)
 
 
 class TeamUsage(Struct):
-    """What a team's attempts take, those counted that only may be on their machines."""
+    """What a team's attempts take, including those that may or may not be on their machines."""
 
     cpus: float = 0.0
     gpus: float = 0.0
