--- a/basaltlead/core/team_limits.py
+++ b/basaltlead/core/team_limits.py
@@ -1,4 +1,4 @@
-"""Whether a job fits into what its team is guaranteed, and into what its team may use at most."""
+"""Checks whether a job fits into the guarantee and the limit of its team."""
 
 from functools import cached_property
 
@@ -11,8 +11,8 @@
 
 
 def fits_guarantee(shard: Shard, job_state: JobState) -> bool:
-    """Whether the job fits into its team's guarantee on top of what the team uses. An array does
-    once another one of its tasks does, a gang or a service only as a whole."""
+    """Whether the job fits into its team's guarantee on top of what the team uses: an array if one
+    more of its tasks does, a gang or a service only as a whole."""
     job = job_state.job
     team = shard.teams.get(job.team, NO_QUOTA)
     if not team.cpus and not team.gpus:
@@ -33,22 +33,22 @@
 
 
 class TeamLimits:
-    """The limits of the teams, as one plan must keep them."""
+    """The limits of the teams that one plan must keep."""
 
     def __init__(self, shard: Shard) -> None:
         self._shard = shard
 
     @cached_property
     def _unaccounted_tasks(self) -> bool:
-        """Whether tasks may run that are not counted. Found out for teams with a limit only, and
-        once a plan: it takes a pass over the machines."""
+        """Whether tasks may run that are not counted. Computed only for teams with a limit and once
+        per plan, since it takes a pass over the machines."""
         return self._shard.has_unaccounted_tasks
 
     def allow(self, job: Job, count: int = 1) -> bool:
-        """Whether the team may have so many more tasks of the job, on top of all that may run.
+        """Whether the team may have this many more tasks of the job, on top of all that may run.
 
-        Never for a team with a limit while tasks may run that are not counted: one of them could
-        be what exceeds it.
+        A team with a limit may not while tasks may run that are not counted, because one of them
+        could be what exceeds the limit.
         """
         team = self._shard.teams.get(job.team, NO_QUOTA)
         if not team.cpus_max and not team.gpus_max:
