--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -1,9 +1,9 @@
-"""How many tasks of each open job should run now so that all jobs are done in time.
+"""How many tasks of each open job should run now so that all jobs are done on time.
 
-Jobs are considered in the order in which they are due. For every due time, the work due by then
-over the time left is the rate that the fleet must have; the greatest of these is what is wanted,
-and it is given to the jobs in the same order. Work that can wait for machines that are rented
-already waits for them.
+Jobs are considered in the order of their due times. For each due time, the work due by then divided
+by the time left is a rate that the fleet must have. The highest of these rates is the wanted one,
+and it is given to the jobs in the same order. Work that can wait for machines that are already
+rented waits for them.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,17 +13,15 @@
 from basaltlead.core.jobs import US, Job, Shape
 from basaltlead.core.offers import Offer
 
-USABLE_TIME_FRACTION = 0.85  # of the time left, since guesses are often wrong by half
-MAX_INITIAL_WAIT_US = (
-    60 * US
-)  # a job that has waited for so long is to begin, however late it is due
-LATE_JOB_SPAN_US = 120 * US  # a job that can't be in time any more is to be done within that
-MIN_REMAINING_DIVISOR = 4  # a task that outlasts its guess has this part of the guess left
-ROUND_UP_OFFSET = 0.999  # rounds a number of tasks up, but for what rounding errors add
+USABLE_TIME_FRACTION = 0.85  # of the time left, since estimates are often wrong by half
+MAX_INITIAL_WAIT_US = 60 * US  # after it a job should start, however late it is due
+LATE_JOB_SPAN_US = 120 * US  # a late job should be done within this, or two runs if longer
+MIN_REMAINING_DIVISOR = 4  # remaining time of a task: at least its estimate divided by this
+ROUND_UP_OFFSET = 0.999  # added before truncation: rounds up, but ignores rounding errors
 
 
 class Due(NamedTuple):
-    """When a job should be done, if it has an objective; late if it can't meet any of them."""
+    """When a job should be done; None without an objective, or if it is late and can meet none."""
 
     at: int | None
     late: bool = False
@@ -33,7 +31,7 @@
 
 
 class DueJob(NamedTuple):
-    """A job that should be done by some time."""
+    """A job with the time by which it should be done."""
 
     due_at: int
     run_us: int  # of one task
@@ -48,10 +46,10 @@
     lead_us: int,
     cpu_us_left: dict[str, float],
 ) -> dict[str, int]:
-    """How many tasks of each job should run, by job; those that run already count.
+    """How many tasks of each job should run, by job, including those that run already.
 
-    `estimated_run_us` tells how long a task of a job runs, `lead_us` how long a machine takes to boot, and
-    `cpu_us_left` what is left of each array (see `remaining_cpu_us`).
+    `estimated_run_us` estimates how long a task of a job runs, `lead_us` is how long a machine
+    takes to boot, and `cpu_us_left` is the remaining work of each array (see `remaining_cpu_us`).
     """
     wanted: dict[str, int] = {}
     due_jobs: list[DueJob] = []
@@ -61,7 +59,7 @@
             wanted[job_state.job.ref] = job_state.remaining
         else:
             run_us = estimated_run_us(job_state)
-            # No hurry is worth its price to a job that is late.
+            # For a job that is late anyway, more machines are not worth their price.
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_JOB_SPAN_US)
             due_jobs.append(DueJob(due_at, run_us, job_state))
     due_jobs.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
@@ -70,7 +68,7 @@
         size = job_state.job.size
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
         if now - job_state.submitted_at > MAX_INITIAL_WAIT_US:
-            running = max(running, 1)  # no job waits for ever: it takes part in the auction
+            running = max(running, 1)  # prevents starvation: the job takes part in the auction
         count = min(job_state.remaining, max(running, int(rate / size + ROUND_UP_OFFSET)))
         wanted[job_state.job.ref] = count
         rate = max(0.0, rate - count * size)
@@ -80,7 +78,8 @@
 def _needed_rate(
     due_jobs: Iterable[DueJob], now: int, lead_us: int, cpu_us_left: dict[str, float]
 ) -> float:
-    """The CPUs that must work at once for these jobs, in the order in which they are due."""
+    """The CPUs that must work at the same time for these jobs, which come in the order of their due
+    times."""
     total = 0.0
     rate = 0.0
     for due_at, run_us, job_state in due_jobs:
@@ -93,8 +92,8 @@
 def remaining_cpu_us(
     job_states: Iterable[JobState], now: int, estimated_run_us: Callable[[JobState], int]
 ) -> dict[str, float]:
-    """What is left of each array, in CPU microseconds. It passes over every running task, so it is
-    computed once a pass over the demand."""
+    """The remaining work of each array, in CPU microseconds. It takes a pass over every running
+    task, so it is computed once per pass over the demand."""
     return {
         job_state.job.ref: _cpu_us_left(job_state, estimated_run_us(job_state), now)
         for job_state in job_states
@@ -111,7 +110,8 @@
 
 
 class RentedCapacity:
-    """CPUs that arrays may use, by what decides whether a job may: counted once for all jobs."""
+    """CPUs that arrays may use, by offer, which decides whether a job may use them. They are
+    counted once for all jobs."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
         self._cpus: dict[Offer, float] = {}
@@ -123,9 +123,9 @@
 
     def drain_us(self, job: Job, backlog: float) -> float:
         """How long the machines that a job may use, booting ones included, need for a backlog in
-        CPU microseconds.
+        CPU microseconds; infinite if there are none.
 
-        A machine that boots for longer than this comes up when there is nothing left for it.
+        A machine that boots for longer than this finds no work left.
         """
         cpus = sum(cpus for offer, cpus in self._cpus.items() if offer.allows(job))
         return backlog / cpus if cpus > 0 else float("inf")
