--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -1,4 +1,4 @@
-"""The service-level objectives of job classes, and when a job is due by them."""
+"""The service-level objectives of job classes, and the due times that follow from them."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -10,11 +10,11 @@
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import US
 
-MIN_SAMPLES = 3  # tasks that must have run before their run time counts in place of the guess
+MIN_SAMPLES = 3  # tasks that must have run before their mean replaces the estimate
 
 
 class ObjectiveType(StrEnum):
-    """The kinds of objectives, as the settings name them, that decide when a job is due."""
+    """The kinds of objectives that decide when a job is due, as named in the settings."""
 
     DEADLINE = "deadline"  # jobs should be done by a multiple of their deadline
     WAIT = "wait"  # tasks should start within a span
@@ -22,7 +22,7 @@
 
 
 class Objective(Protocol):
-    """An aim on starting or finishing, as the settings give it."""
+    """An objective on starting or finishing, as given in the settings."""
 
     kind: str
     job_class: str
@@ -31,19 +31,16 @@
 
 
 class ServiceLevelObjectives(Struct, frozen=True):
-    """When jobs of each class should start or be done; for each class the tightest first."""
+    """When jobs of each class should start or be done; the tightest objective of a class comes
+    first."""
 
-    start_limits_us: dict[
-        str, list[int]
-    ] = {}  # within how long tasks should have started, in microseconds
-    finish_limits_us: dict[
-        str, list[int]
-    ] = {}  # within how long a job should be done, in microseconds
-    times: dict[str, list[float]] = {}  # of its deadline, by which a job should be done
+    start_limits_us: dict[str, list[int]] = {}  # time for tasks to start
+    finish_limits_us: dict[str, list[int]] = {}  # time for a job to be done
+    times: dict[str, list[float]] = {}  # multiples of its deadline by which a job should be done
 
     @staticmethod
     def of(objectives: Iterable[Objective]) -> "ServiceLevelObjectives":
-        """The objectives as the settings give them."""
+        """Collect objectives as given in the settings."""
         start_limits_us: dict[str, list[int]] = {}
         finish_limits_us: dict[str, list[int]] = {}
         times: dict[str, list[float]] = {}
@@ -64,8 +61,11 @@
 
     def due(self, job_state: JobState, now: int) -> Due:
         """When the job should be done: the first of its deadline and its class's objectives that it
-        can still meet. Tasks of an array that must all have started by some time are done a run
-        later. A service is never done."""
+        can still meet.
+
+        Tasks of an array that must have started by some time are done one run later. A service is
+        never done.
+        """
         job = job_state.job
         if job.service:
             return NO_DUE
@@ -85,12 +85,12 @@
             else job.estimated_run_us
         )
         for span in sorted(spans):
-            # Guesses are often wrong: what would miss it by a quarter of a run may still meet it.
+            # Estimates are often wrong: what would miss by a quarter of a run may still be on time.
             if now + run_us * 3 // 4 <= job_state.submitted_at + span:
                 return Due(job_state.submitted_at + span)
         return Due(None, late=True)
 
     def has_objective(self, job_state: JobState, now: int) -> bool:
-        """Whether the job has a deadline or an objective of its class, even if it is late by now.
-        Whoever starts a service counts on it to run."""
+        """Whether the job has a deadline or an objective of its class, even if it is late by now. A
+        service always counts as having one, since its users rely on it to run."""
         return job_state.job.service or self.due(job_state, now) != NO_DUE
