--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -1,4 +1,4 @@
-"""What to rent and what to return: the wanted tasks packed onto machines, cheapest room first."""
+"""What to rent and what to return: packs the wanted tasks onto machines, cheapest room first."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
@@ -16,12 +16,13 @@
 
     job_state: JobState
     count: int
-    drain_us: float = float("inf")  # by when what is rented will have done all open work
-    run_us: int = 0  # how long a task of the job runs
+    drain_us: float = float("inf")  # time until the rented machines have done all open work
+    run_us: int = 0  # estimated run time of a task of the job
 
 
 class WarmSpare(Struct):
-    """Room to be kept for a task like that of `job`, since its class may not wait for a boot."""
+    """Room to be kept for tasks like those of `job`, whose class can't wait for a machine to
+    boot."""
 
     job: Job
     count: int
@@ -29,14 +30,14 @@
 
 
 class FleetPlan(Struct):
-    """What to rent, and which of the rented machines have a use."""
+    """What to rent, and which of the rented machines are needed."""
 
     rentals: list[Offer]
-    needed: set[str]  # names of machines with a use
+    needed: set[str]  # names of the needed machines
 
 
 class PackingBin:
-    """A machine, rented or to be rented, while it is filled."""
+    """A machine, rented or to be rented, that is being filled."""
 
     __slots__ = ("machine", "machine_type", "offer", "room", "used", "zone")
 
@@ -53,7 +54,7 @@
         return 0 if self.machine is None else len(wanted & self.machine.images.keys())
 
     def take(self, job: Job, count: int) -> None:
-        """Give so many tasks of a job their place."""
+        """Place this many tasks of a job here."""
         self.room.take(job, count)
         self.used += count
 
@@ -66,11 +67,12 @@
     offers: Mapping[Offer, int | None],
     max_rentals: int,
 ) -> FleetPlan:
-    """Pack what is wanted, highest rank first, onto the machines there are; rent for the rest.
+    """Pack the wanted tasks onto the present machines, highest rank first, and rent machines for
+    the rest.
 
     Running tasks stay where they are unless a higher rank takes their place, in which case they
-    count as wanted elsewhere. `offers` tells how many machines of each may be had, None if that is
-    not known.
+    count as wanted elsewhere. `offers` tells how many machines of each offer are available, None if
+    that is not known.
     """
     jobs = [*(need.job_state.job for need in needs), *(spare.job for spare in spares)]
     run_us = {need.job_state.job.ref: need.run_us for need in needs}
@@ -83,20 +85,19 @@
 
 
 class Packing:
-    """One pass over what is wanted: the machines there are, as bins, and what is rented in
-    addition."""
+    """One pass over the wanted tasks, with the present machines and the rentals as bins."""
 
     def __init__(
         self, machines: Iterable[Machine], rental_choice: RentalChoice, min_cpus: float
     ) -> None:
-        """`min_cpus` is what the smallest of the tasks takes."""
+        """`min_cpus` is the CPUs of the smallest task."""
         self._rental_choice = rental_choice
         self._bins = [
             PackingBin(m.machine_type, Offer(m.machine_type.name, m.zone, m.spot), m)
             for m in machines
             if not (m.draining or m.terminating or m.lost or m.preemption_at is not None)
         ]
-        # Cheap room first, then machines that have work: what is left over at the end can go back.
+        # Cheap room first, then machines that have work: those left unused can be returned.
         self._bins.sort(
             key=lambda b: (
                 unit_price(b.machine_type, b.offer.spot) / max(b.machine_type.cpus, 0.1),
@@ -104,8 +105,8 @@
             )
         )
         self._by_name = {b.machine.name: b for b in self._bins if b.machine is not None}
-        # Those in which any task may still find room, in the same order. Room only shrinks here,
-        # and in a full fleet few are left to pass over.
+        # Bins in which any task may still find room, in the same order. Room only shrinks during a
+        # pass, so in a full fleet few bins are left to visit.
         self._min_cpus = min_cpus - EPS
         self._with_room = list(self._bins)
 
@@ -114,7 +115,7 @@
         return {b.machine.name for b in self._bins if b.machine is not None and b.used}
 
     def place_tasks(self, needs: Sequence[Demand]) -> None:
-        """Place what is wanted of one rank: first what runs stays, then the rest finds room."""
+        """Place the wanted tasks of one rank: running tasks stay, then the others are placed."""
         unplaced: list[int] = []
         for need in needs:
             live = [a for a in need.job_state.live.values() if a.stop_grace_s is None]
@@ -127,9 +128,9 @@
     def place_spares(self, spares: Sequence[WarmSpare]) -> None:
         """Find room for spares.
 
-        It may be lent to lower ranks, whose tasks are stopped when it is needed: a spare takes
-        nothing from them here. When it counted as taken, machines were rented for tasks that never
-        had to move.
+        Lower ranks may borrow this room, and their tasks are preempted when it is needed, so a
+        spare takes no room from them here. When it counted as taken, machines were rented for tasks
+        that never had to move.
         """
         spare_room = {id(packing_bin): packing_bin.room.copy() for packing_bin in self._with_room}
         for spare in spares:
@@ -145,7 +146,8 @@
     def _spare_bin(
         self, spare: WarmSpare, spare_room: dict[int, Resources], held: Counter[str]
     ) -> PackingBin | None:
-        """The machine with most of the images, in a zone that does not have its part yet."""
+        """The machine with the most of the images, in a zone that does not have its part of the
+        spares yet. One is rented if none has room."""
         job = spare.job
         cap = (spare.count + 1) // 2 if job.spread_zones else spare.count
         full = {zone for zone, count in held.items() if count >= cap}
@@ -173,7 +175,7 @@
         return True
 
     def _zone_room(self, job_state: JobState, count: int) -> dict[str, int] | None:
-        """How many more tasks of a job each zone may have; None if that does not matter."""
+        """How many more tasks of a job each zone may have; None if that is not limited."""
         job = job_state.job
         if not (job.one_zone or job.spread_zones):
             return None
@@ -183,7 +185,7 @@
         if job.one_zone:
             chosen = set(held)
             if not chosen and job.gang:
-                # One zone must hold them all: the one that needs fewest rentals.
+                # One zone must hold all tasks: choose the one that needs the fewest rentals.
                 best = self._best_zone(job, count, zones)
                 chosen = set(zones) if best is None else {best}
             zones = [zone for zone in zones if not chosen or zone in chosen]
@@ -211,7 +213,7 @@
         return slots
 
     def _may_rent_in(self, zone: str, job: Job) -> bool:
-        """Whether something that the job may use is offered in a zone."""
+        """Whether the zone has an offer that the job may use."""
         machine_types = self._rental_choice.machine_types
         return any(
             offer.zone == zone
@@ -223,8 +225,11 @@
     def _place(
         self, job: Job, count: int, zone_room: dict[str, int] | None, drain_us: float
     ) -> None:
-        """Find room for so many tasks of a job. Bins that are passed once stay full for this job:
-        one pass over those with room, then over what is rented."""
+        """Place this many tasks of a job.
+
+        Bins with room are visited first, then new rentals. No bin is visited twice: one that was
+        passed has no room left for this job.
+        """
         placed = position = full = 0
         while placed < count:
             if position == len(self._with_room):
@@ -250,7 +255,8 @@
     def _rent(
         self, job: Job, zones: set[str] | None, count: int, drain_us: float
     ) -> PackingBin | None:
-        """A further bin, to be rented for these tasks; None if nothing is worth its price."""
+        """Add a bin for a machine to be rented for these tasks; None if no offer is worth its
+        price."""
         offer = self._rental_choice.rent(job, zones, count, drain_us)
         if offer is None:
             return None
