--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -5,21 +5,24 @@
 from basaltlead.core.jobs import US, Job, MachineType
 from basaltlead.core.offers import Offer, unit_price
 
-# For how long a machine must be of use, as a multiple of the time that it takes to boot. Spot
-# machines are cheap enough to be rented early and to wait for work; ordinary ones are for backlogs
-# that last.
+# How long a machine must be of use to be rented, as a multiple of the time that it takes to boot.
+# Spot machines are cheap enough to be rented early and to wait for work; on-demand machines are for
+# backlogs that last.
 MIN_USE_BOOT_TIMES, MIN_USE_BOOT_TIMES_SPOT = 2.4, 0.6
-# For how long a machine is reckoned to be of use: the time to boot is paid for as well.
+# The span of use over which the price of the boot, which is paid for as well, is spread.
 AMORTIZATION_US = 90 * US
-SERVICE_AMORTIZATION_US = 600 * US  # the same for replicas, which stay
-# What the end of a spot machine costs a task that saves no checkpoints: a part of the price for
-# each hour that the task runs, up to a limit.
+SERVICE_AMORTIZATION_US = 600 * US  # the same for replicas, which stay longer
+# The surcharge on spot machines for tasks without checkpoints, which start over when the machine
+# ends: a part of the price for each hour that the task runs, up to a limit.
 SPOT_RISK_PER_HOUR, MAX_SPOT_RISK = 4, 0.5
 
 
 def risk_adjusted_price(job: Job, machine_type: MachineType, spot: bool, run_us: int) -> float:
-    """The price for an hour of room for one task of a job that runs for `run_us`; spot is dearer by
-    what a sudden end would have the task repeat."""
+    """The hourly price of room for one task of a job that runs for `run_us`.
+
+    It includes the time to boot and, for spot machines, the work that the task would repeat after a
+    sudden end.
+    """
     slots = max(1, machine_type.capacity_for(job))
     price = unit_price(machine_type, spot) / slots
     amortization_us = SERVICE_AMORTIZATION_US if job.service else AMORTIZATION_US
@@ -30,7 +33,7 @@
 
 
 class RentalChoice:
-    """What is rented in one pass over the demand."""
+    """The rentals chosen in one pass over the demand."""
 
     def __init__(
         self,
@@ -39,8 +42,8 @@
         run_us: Mapping[str, int],
         max_rentals: int,
     ) -> None:
-        """`offers` tells how many of each may be had, None if that is not known; `run_us` how long
-        a task runs, by job."""
+        """`offers` tells how many machines of each offer are available, None if that is not known;
+        `run_us` is how long a task runs, by job."""
         self.machine_types = machine_types
         self.offers = offers
         self.rentals: list[Offer] = []
@@ -49,10 +52,12 @@
         self._counts: dict[Offer, int] = {}  # of rentals
 
     def rent(self, job: Job, zones: set[str] | None, count: int, drain_us: float) -> Offer | None:
-        """Rent one machine for so many tasks of a job: what gives them room at the least price.
+        """Rent one machine for this many tasks of a job: the one that gives them room at the lowest
+        price.
 
-        `zones` are those where they may be, None for all; `drain_us` is when all open work will be
-        done with what is rented already. None if nothing is worth its price.
+        `zones` are the zones that they may be in, None for all; `drain_us` is the time until the
+        machines rented already have done all open work. Returns None if no offer is worth its price
+        or the maximum number of rentals is reached.
         """
         if len(self.rentals) >= self._max_rentals:
             return None
@@ -81,7 +86,8 @@
     def _is_worth_renting(
         self, job: Job, offer: Offer, zones: set[str] | None, drain_us: float
     ) -> bool:
-        """Whether the job may use such a machine, which would still be of use once it is up."""
+        """Whether the job may use such a machine, and it would still be of use once it has
+        booted."""
         machine_type = self.machine_types[offer.type_name]
         min_boot_times = MIN_USE_BOOT_TIMES_SPOT if offer.spot else MIN_USE_BOOT_TIMES
         return (
@@ -92,8 +98,8 @@
         )
 
     def _price(self, job: Job, offer: Offer, count: int) -> float:
-        """What room for a task costs. A machine far larger than what is left to place counts in
-        full."""
+        """The price of room for a task. A machine that the tasks left to place would fill less than
+        half is charged in full."""
         machine_type = self.machine_types[offer.type_name]
         slots = machine_type.capacity_for(job)
         used = min(slots, max(1, count))
