--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -1,4 +1,4 @@
-"""What the cloud rents out, at which price, and how much of it is known to be left."""
+"""What the cloud offers for rent, at which price, and how much of it is known to be available."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,19 +9,19 @@
 
 
 class Offer(Struct, frozen=True):
-    """Something the cloud may have: a type in a zone, ordinary or spot."""
+    """A machine type in a zone, spot or on-demand, that the cloud may have available."""
 
     type_name: str
     zone: str
     spot: bool
 
     def allows(self, job: Job) -> bool:
-        """Whether a task of the job may be on such a machine at all."""
+        """Whether the job's constraints allow its tasks on such a machine."""
         return allowed(job, self.type_name, self.zone, self.spot)
 
 
 def unit_price(machine_type: MachineType, spot: bool) -> float:
-    """The price of a machine for an hour."""
+    """The price of a machine per hour."""
     return (
         machine_type.spot_price
         if spot and machine_type.spot_price is not None
@@ -30,30 +30,30 @@
 
 
 class KnownCapacity(NamedTuple):
-    """How many machines of an offer can be had, and until when that is relied on."""
+    """How many machines of an offer can be held at most, and until when that is relied on."""
 
     machines: int
     until: int
 
 
 class OfferAvailability:
-    """What the cloud's refusals have shown of each offer.
+    """The capacity of offers, as far as the cloud's refusals have shown it.
 
-    A refusal shows how many machines can be had: those we hold. There is no use in asking for more
-    until some time has passed or we hold fewer.
+    A refusal shows how many machines of an offer can be held: those that are held already. Requests
+    for more are pointless until some time has passed or fewer are held.
     """
 
-    REFUSAL_VALID_US = 60 * US
+    REFUSAL_VALID_US = 60 * US  # how long a refusal is relied on
 
     def __init__(self) -> None:
         self._known: dict[Offer, KnownCapacity] = {}
 
     def record_refusal(self, offer: Offer, held: int, now: int) -> None:
-        """Note that the cloud has refused another machine while we held so many."""
+        """Record that the cloud refused another machine while this many were held."""
         self._known[offer] = KnownCapacity(held, now + self.REFUSAL_VALID_US)
 
     def _left(self, offer: Offer, held: int, now: int) -> int | None:
-        """How many more may be had; None if that is not known."""
+        """How many more machines are available; None if that is not known."""
         known = self._known.get(offer)
         if known is None or now >= known.until:
             return None
@@ -62,7 +62,8 @@
     def offers(
         self, machine_types: Iterable[MachineType], held: dict[Offer, int], now: int
     ) -> dict[Offer, int | None]:
-        """What may be asked for, and how many of it; None if that is not known."""
+        """The offers to consider, and how many machines of each are available; None if that is not
+        known."""
         out: dict[Offer, int | None] = {}
         for machine_type in machine_types:
             for zone in machine_type.zones:
