--- a/basaltlead/core/run_times.py
+++ b/basaltlead/core/run_times.py
@@ -1,21 +1,21 @@
-"""How long tasks run."""
+"""Estimates of how long tasks run."""
 
 from basaltlead.core.entities import JobState
 from basaltlead.core.jobs import SERVICE_RUN_TIME_US, US
 
-MIN_SAMPLES = 3  # from so many tasks of a job on, their mean counts more than its owner's guess
-MIN_RATIO, MAX_RATIO = 0.1, 8.0  # one job may be far off; its class is taken to be within these
-NEW_WEIGHT = 0.05  # of the newest task in the ratio of its class
+MIN_SAMPLES = 3  # after this many completed tasks of a job their mean replaces the user's estimate
+MIN_RATIO, MAX_RATIO = 0.1, 8.0  # bounds of one task's ratio, as its job may be far off
+NEW_WEIGHT = 0.05  # weight of the newest task in the ratio of its class
 
 
 class RunTimes:
-    """What guesses of run times have been worth, and what is expected of a job's next task."""
+    """How accurate users' estimates have been, and the run time expected of a job's next task."""
 
     def __init__(self) -> None:
-        self.class_ratios: dict[str, float] = {}  # measured run time over the guess, by job class
+        self.class_ratios: dict[str, float] = {}  # measured over estimated run time, by job class
 
     def record_run(self, job_state: JobState, ran_us: int) -> None:
-        """A task has completed after this run time."""
+        """Record the run time of a task that has completed."""
         job = job_state.job
         job_state.ran_us += ran_us
         job_state.ran_count += 1
@@ -27,8 +27,11 @@
             )
 
     def estimated_run_us(self, job_state: JobState) -> int:
-        """How long a task of the job will run: as its first ones did; before that by the owner's
-        guess and what guesses of its class have been worth. A replica never ends."""
+        """How long a task of the job is expected to run.
+
+        This is the mean of the job's completed tasks or, before there are enough of them, the
+        user's estimate corrected by the ratio of its class. A replica never ends.
+        """
         if job_state.job.service:
             return SERVICE_RUN_TIME_US
         if job_state.ran_count >= MIN_SAMPLES:
