--- a/basaltlead/core/quiet_times.py
+++ b/basaltlead/core/quiet_times.py
@@ -1,4 +1,4 @@
-"""Quiet times: when idle machines are retained and clean-up waits.
+"""Quiet times, during which idle machines are retained and clean-up waits.
 
 Every controller loads this module; the calendar (scaling/quiet_calendar) needs libraries that only
 deployments with quiet times have.
@@ -8,7 +8,7 @@
 
 
 class QuietTime(NamedTuple):
-    """One occurrence, in times of day in microseconds; the end is not part of it."""
+    """One occurrence of a quiet time, in microseconds of wall-clock time; the end is exclusive."""
 
     start: int
     end: int
@@ -18,4 +18,4 @@
     """The quiet times that the operators have set."""
 
     def current(self) -> QuietTime | None:
-        """The quiet time that is now, if there is one."""
+        """The quiet time in effect now, if there is one."""
