--- a/basaltlead/core/task_queue.py
+++ b/basaltlead/core/task_queue.py
@@ -1,40 +1,40 @@
-"""In which order a shard starts the tasks of one job."""
+"""The order in which a shard starts the tasks of one job."""
 
 from collections.abc import Callable, Collection
 
-TaskRange = tuple[int, int]  # the first task, and the number after the last
+TaskRange = tuple[int, int]  # the first task, and one past the last
 
 
 class TaskQueue:
-    """The tasks of a job that are assigned to this shard, and which of them is to start next.
+    """The tasks of a job that are assigned to this shard, and which of them starts next.
 
-    Each assigned task is passed once, in order; one whose attempt was lost is put back and comes
-    before those that were not passed so far.
+    Each assigned task is taken once, in order. A task whose attempt was lost is put back, and comes
+    before those that were not taken so far.
     """
 
     def __init__(self, tasks: int) -> None:
         self.ranges: list[TaskRange] = [(0, tasks)]
         self.size = tasks
-        self._position = (0, 0)  # the range, and the task in it, before which all were passed
+        self._position = (0, 0)  # a range, and a task in it: all before it were taken
         self._returned: list[int] = []
 
     def assign(self, ranges: list[TaskRange]) -> None:
-        """From now on these tasks are this shard's to start."""
+        """Replace the tasks that this shard may start."""
         self.ranges = ranges
         self.size = sum(high - low for low, high in ranges)
         self.rewind()
 
     def rewind(self) -> None:
-        """Begin again with the first task."""
+        """Start again from the first task."""
         self._position = (0, 0)
         self._returned.clear()
 
     def contains(self, index: int) -> bool:
-        """Is the task assigned to this shard?"""
+        """Whether the task is assigned to this shard."""
         return any(low <= index < high for low, high in self.ranges)
 
     def put_back(self, index: int) -> None:
-        """The task must be started once more."""
+        """Queue a task to be started once more."""
         self._returned.append(index)
 
     def next(self, live: Collection[int], is_done: Callable[[int], bool]) -> int | None:
@@ -55,7 +55,7 @@
         return None
 
     def unstarted_tail(self, touched: Collection[int]) -> TaskRange | None:
-        """The later half of the last range, if none of it was passed, put back or is `touched`."""
+        """The later half of the last range, if none of it was taken, put back or is `touched`."""
         if not self.ranges or self._position[0] >= len(self.ranges):
             return None
         low, high = self.ranges[-1]
