--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -103,9 +103,9 @@
         """
         job = job_state.job
         guaranteed = fits_guarantee(self._shard, job_state)
-        ordinary = not job.gang and job.rank < HIGH_RANK and not guaranteed
+        restricted = not job.gang and job.rank < HIGH_RANK and not guaranteed
         # A service that always fails would preempt other work with each of its attempts.
-        if job.service and (ordinary or job_state.history.trials >= TRIALS_UNTIL_JOB_IS_BLAMED):
+        if job.service and (restricted or job_state.history.trials >= TRIALS_UNTIL_JOB_IS_BLAMED):
             return lambda _: False
 
         def may_stop(other: JobState) -> bool:
@@ -116,7 +116,7 @@
                 or not exceeds_guarantee(self._shard, other.job.team)
             ):
                 return False
-            return not ordinary or is_preemptible(other)
+            return not restricted or is_preemptible(other)
 
         return may_stop
 
