--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -203,7 +203,7 @@
         return best_zone
 
     def _slots_in(self, zone: str, job: Job, count: int) -> int:
-        """How many of so many tasks fit on what is rented in a zone."""
+        """How many of these tasks fit on what is rented in a zone."""
         slots = 0
         for packing_bin in self._with_room:
             if packing_bin.zone == zone and packing_bin.offer.allows(job):
