--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -15,7 +15,7 @@
     do."""
 
     shape: Shape
-    min_concurrent_tasks: int  # tasks that must be placed at the same time
+    tasks_placed_together: int  # tasks that must be placed at the same time
     rank: int
     team: str
     cpus: float
