--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -36,28 +36,28 @@
 
     start_limits_us: dict[str, list[int]] = {}  # time for tasks to start
     finish_limits_us: dict[str, list[int]] = {}  # time for a job to be done
-    times: dict[str, list[float]] = {}  # multiples of its deadline by which a job should be done
+    deadline_factors: dict[str, list[float]] = {}  # multiples of a deadline
 
     @staticmethod
     def of(objectives: Iterable[Objective]) -> "ServiceLevelObjectives":
         """Collect objectives as given in the settings."""
         start_limits_us: dict[str, list[int]] = {}
         finish_limits_us: dict[str, list[int]] = {}
-        times: dict[str, list[float]] = {}
+        deadline_factors: dict[str, list[float]] = {}
         for objective in objectives:
             job_class = objective.job_class
             within_us = int(objective.within_s * US)
             match objective.kind:
                 case ObjectiveType.DEADLINE:
-                    times.setdefault(job_class, []).append(objective.times)
+                    deadline_factors.setdefault(job_class, []).append(objective.times)
                 case ObjectiveType.WAIT if objective.within_s > 0:
                     start_limits_us.setdefault(job_class, []).append(within_us)
                 case ObjectiveType.FINISHED if objective.within_s > 0:
                     finish_limits_us.setdefault(job_class, []).append(within_us)
-        for by_class in (start_limits_us, finish_limits_us, times):
+        for by_class in (start_limits_us, finish_limits_us, deadline_factors):
             for values in by_class.values():
                 values.sort()
-        return ServiceLevelObjectives(start_limits_us, finish_limits_us, times)
+        return ServiceLevelObjectives(start_limits_us, finish_limits_us, deadline_factors)
 
     def due(self, job_state: JobState, now: int) -> Due:
         """When the job should be done: the first of its deadline and its class's objectives that it
@@ -70,7 +70,10 @@
         if job.service:
             return NO_DUE
         if job.due_us is not None:
-            spans = [int(job.due_us * times) for times in self.times.get(job.job_class, [1.0])]
+            spans = [
+                int(job.due_us * factor)
+                for factor in self.deadline_factors.get(job.job_class, [1.0])
+            ]
         else:
             spans = list(self.finish_limits_us.get(job.job_class, ()))
         if not job.gang:
