--- a/basaltlead/core/auction.py
+++ b/basaltlead/core/auction.py
@@ -10,7 +10,7 @@
 
 K = TypeVar("K", bound=Hashable)
 
-ROUNDING_TOLERANCE = 1e-9  # of the capacity: a slot that exceeds what is left by less still fits
+ROUNDING_TOLERANCE = 1e-9  # of the capacity; a slot fits if it exceeds what is left by no more
 
 
 class Bid(NamedTuple, Generic[K]):
@@ -45,7 +45,7 @@
 def _round_shares(
     bids: Sequence[Bid[K]], shares: dict[K, float], slots: dict[K, int], left: float
 ) -> None:
-    """Add the shares, of what is left, to the slots: whole ones first, then one more each for those
+    """Turn the shares of what is left into slots: whole ones first, then one more each for those
     with the largest remainders, as far as they fit."""
     for bid in bids:
         whole = int(shares[bid.key])
