--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -110,8 +110,8 @@
 
 
 class RentedCapacity:
-    """CPUs that arrays may use, by offer, which decides whether a job may use them. They are
-    counted once for all jobs."""
+    """CPUs that arrays may use, counted once for all jobs and grouped by offer, which decides
+    whether a job may use them."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
         self._cpus: dict[Offer, float] = {}
