--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -213,7 +213,7 @@
         return slots
 
     def _may_rent_in(self, zone: str, job: Job) -> bool:
-        """Whether the zone has an offer that the job may use."""
+        """Whether the zone has an offer that the job may use and fits on."""
         machine_types = self._rental_choice.machine_types
         return any(
             offer.zone == zone
