--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -44,7 +44,7 @@
             for team in teams
         }
         self._directions: dict[str, BidDirection] = {}  # by job
-        self._stored_bids: dict[str, float] = {}  # by an earlier shard leader, by job
+        self._stored_bids: dict[str, float] = {}  # by job, stored by an earlier shard leader
         self._price = 0.0  # per CPU, in the last auction
         self._last_round_at: int | None = None
 
@@ -84,8 +84,8 @@
         budget = self.budgets.get(job_state.job.team)
         if budget is None:
             return self.parameters.reserve_price
-        # A job that can't meet any objective bids like one that has none. Spreading its budget over
-        # the time left, which is none, would outbid all jobs that can still be on time.
+        # A job that can't meet any objective bids like one that has none. If its budget were spread
+        # over the time left, which is none, it would outbid all jobs that can still be on time.
         due = self.objectives.due(job_state, now).at
         span_us = (
             self.parameters.refill_us if due is None else max(self.parameters.round_us, due - now)
