--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -11,8 +11,8 @@
 
 
 class Requirements(NamedTuple):
-    """What decides whether a job finds room: jobs with equal requirements all find it or none
-    do."""
+    """The properties that decide whether a job finds room in a plan: all jobs with equal
+    requirements do, or none does."""
 
     shape: Shape
     tasks_placed_together: int  # tasks that must be placed at the same time
