--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -1,4 +1,4 @@
-"""Which machine to rent for tasks that find no room: the one that gives it at the least price."""
+"""Which machine to rent for tasks that find no room: the one that gives them room most cheaply."""
 
 from collections.abc import Mapping
 
@@ -9,7 +9,7 @@
 # Spot machines are cheap enough to be rented early and to wait for work; on-demand machines are for
 # backlogs that last.
 MIN_USE_BOOT_TIMES, MIN_USE_BOOT_TIMES_SPOT = 2.4, 0.6
-# The span of use over which the price of the boot, which is paid for as well, is spread.
+# The time of use over which the price of booting is spread: the time to boot is paid for as well.
 AMORTIZATION_US = 90 * US
 SERVICE_AMORTIZATION_US = 600 * US  # the same for replicas, which stay longer
 # The surcharge on spot machines for tasks without checkpoints, which start over when the machine
