--- a/basaltlead/core/task_queue.py
+++ b/basaltlead/core/task_queue.py
@@ -15,7 +15,7 @@
     def __init__(self, tasks: int) -> None:
         self.ranges: list[TaskRange] = [(0, tasks)]
         self.size = tasks
-        self._position = (0, 0)  # a range, and a task in it: all before it were taken
+        self._position = (0, 0)  # index of a range, and a task in it: all before were taken
         self._returned: list[int] = []
 
     def assign(self, ranges: list[TaskRange]) -> None:
