--- a/basaltlead/core/team_limits.py
+++ b/basaltlead/core/team_limits.py
@@ -33,7 +33,7 @@
 
 
 class TeamLimits:
-    """The limits of the teams that one plan must keep."""
+    """The teams' limits, as checked in one plan."""
 
     def __init__(self, shard: Shard) -> None:
         self._shard = shard
@@ -47,8 +47,8 @@
     def allow(self, job: Job, count: int = 1) -> bool:
         """Whether the team may have this many more tasks of the job, on top of all that may run.
 
-        A team with a limit may not while tasks may run that are not counted, because one of them
-        could be what exceeds the limit.
+        Always False for a team with a limit while tasks may run that are not counted, because one
+        of them could exceed the limit.
         """
         team = self._shard.teams.get(job.team, NO_QUOTA)
         if not team.cpus_max and not team.gpus_max:
