--- a/basaltlead/core/teams.py
+++ b/basaltlead/core/teams.py
@@ -18,7 +18,7 @@
 
 
 class TeamUsage(Struct):
-    """What a team's attempts take, including those that may or may not be on their machines."""
+    """What a team's attempts take, including those that are not certain to be on their machines."""
 
     cpus: float = 0.0
     gpus: float = 0.0
