--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -16,9 +16,9 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.cluster_view import Grant, Versioned
 from basaltlead.core.jobs import US, MachineType
-from basaltlead.core.market import Market, Terms
+from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
-from basaltlead.core.offers import OfferBook
+from basaltlead.core.offers import OfferAvailability
 from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.duties.holder import DutyServices
 from basaltlead.duties.model import DUTY_KEYS
@@ -77,7 +77,7 @@
         self.router = Router(self.user_api, heartbeat_api, self._is_healthy)
         quiet_times = quiet_times_of(settings)
         self.scaling = ScalingEnvironment(
-            self.cloud, OfferBook(), self.shard_assigner.shard_of, quiet_times
+            self.cloud, OfferAvailability(), self.shard_assigner.shard_of, quiet_times
         )
         self.duties = HeldDuties(
             DutyServices(settings, self.membership, self.store, self.cloud, quiet_times),
@@ -220,7 +220,7 @@
 def new_market(settings: Settings) -> Market:
     """The market of one shard, by the operators' settings."""
     operator, facts = settings.operator, settings.facts
-    terms = Terms(
+    parameters = MarketParameters(
         int(operator.round_s * US),
         int(operator.refill_s * US),
         operator.budget / operator.shards,
@@ -229,7 +229,7 @@
         max_stored_bids(settings.store_limits.value_bytes),
     )
     teams = [team.name for team in facts.teams]
-    return Market(terms, teams, ServiceLevelObjectives.of(facts.objectives))
+    return Market(parameters, teams, ServiceLevelObjectives.of(facts.objectives))
 
 
 def quiet_times_of(settings: Settings) -> QuietTimes | None:
--- a/basaltlead/core/array_placement.py
+++ b/basaltlead/core/array_placement.py
@@ -1,13 +1,13 @@
-"""Arrays are placed task by task: each on the best machine that has room, or where others are
-stopped for it."""
+"""Placement of arrays, task by task: each on the best machine that has room, or where preemption
+wastes least."""
 
 from basaltlead.core.entities import Attempt, JobState
-from basaltlead.core.placement import Ranking, zones_open
+from basaltlead.core.placement import Ranking, eligible_zones
 from basaltlead.core.plan_context import PlanContext, requirements
 from basaltlead.core.preemption import Preemption
 
 MAX_STARTS = 2000  # of one job in one plan
-MAX_PREEMPTING_STARTS = 40  # tasks of one job for which others are stopped, in one plan
+MAX_PREEMPTING_STARTS = 40  # starts by preemption, of one job in one plan
 
 
 class ArrayPlacement:
@@ -36,33 +36,33 @@
         if limit <= 0 or context.is_unplaceable(required):
             return
         job = job_state.job
-        zones = zones_open(job_state, context.machines.zones)
+        zones = eligible_zones(job_state, context.machines.zones)
         ranking = Ranking(job, context.machines.with_room_for(job_state))
         preempting_starts = 0
         for _ in range(min(limit, MAX_STARTS)):
             if not context.limits.allow(job):
                 return
-            if job.whole:
-                zones = zones_open(job_state, context.machines.zones)
+            if job.single_shard:
+                zones = eligible_zones(job_state, context.machines.zones)
             machine = ranking.best(zones)
-            stops: list[Attempt] = []
+            preempted: list[Attempt] = []
             if machine is None:
                 if preempting_starts == MAX_PREEMPTING_STARTS:
                     return
-                opening = self._preemption.for_array_task(job_state, zones)
-                if opening is None:
+                option = self._preemption.for_array_task(job_state, zones)
+                if option is None:
                     context.note_unplaceable(required)
                     return
                 preempting_starts += 1
-                machine, stops = opening.machine, opening.stops
+                machine, preempted = option.machine, option.preempted
             elif not machine.needed and _can_wait(job_state):
                 return
-            if not context.start_next(job_state, machine, stops):
+            if not context.start_next(job_state, machine, preempted):
                 return
             ranking.rerank(machine)
 
 
 def _can_wait(job_state: JobState) -> bool:
-    """Whether the job is in time with what runs already, and so may wait for machines that the
-    fleet needs rather than use one that is left to empty."""
+    """Whether the tasks that run already keep the job on time, so that it may wait for machines
+    that the fleet needs and does not use one that is left to empty."""
     return len(job_state.live) >= (job_state.need or 0)
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -322,7 +322,7 @@
         self.done[index >> 3] |= bit
         self.done_count += 1
         self.live_unfinished_count -= index in self.live
-        self.queue_done_count += self.queue.holds(index)
+        self.queue_done_count += self.queue.contains(index)
         return True
 
     def finish(self, index: int) -> None:
@@ -361,7 +361,7 @@
     def spare_tail(self) -> TaskRange | None:
         """Tasks that another shard may start instead: the second half of the last range, if none
         of them was ever started here."""
-        return self.queue.untouched_tail((*self.live, *self.unstored))
+        return self.queue.unstarted_tail((*self.live, *self.unstored))
 
     @property
     def remaining(self) -> int:
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -1,25 +1,25 @@
-"""Gangs are placed whole: every task finds its machine, or none is started."""
+"""Placement of gangs: all tasks of a gang find a machine, or none is started."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import US, Job
-from basaltlead.core.placement import Ranking, fetch_cost, zones_open
+from basaltlead.core.placement import Ranking, eligible_zones, fetch_cost
 from basaltlead.core.plan_context import PlanContext, requirements
-from basaltlead.core.preemption import Preemption, loss, stoppable
+from basaltlead.core.preemption import Preemption, preemption_cost, stoppable
 from basaltlead.core.task_states import EXECUTING
 
-RESERVE_AFTER_US = 20 * US  # a gang that has waited for so long has machines reserved for it
+RESERVE_AFTER_US = 20 * US  # the wait after which machines are reserved for a gang
 
 
-class GangOffer(NamedTuple):
-    """Places for tasks of a gang on one machine."""
+class GangCandidate(NamedTuple):
+    """Room for tasks of a gang on one machine."""
 
-    cost: float  # of each place
+    cost: float  # per task
     machine: Machine
-    places: int
-    stops: list[Attempt]  # what has to be stopped for all of them
+    capacity: int
+    preempted: list[Attempt]  # attempts to stop to make all of this room
 
 
 class GangPart(NamedTuple):
@@ -27,11 +27,11 @@
 
     machine: Machine
     tasks: int
-    stops: list[Attempt]  # of these, as many as it takes are stopped
+    preempted: list[Attempt]  # stopped one by one until the tasks fit
 
 
 class GangSplit(NamedTuple):
-    """A way to spread a whole gang over machines."""
+    """A distribution of a whole gang over machines."""
 
     cost: float
     parts: list[GangPart]
@@ -40,9 +40,9 @@
 def place(job_state: JobState, machines: Sequence[Machine]) -> list[Machine] | None:
     """A machine for each task of the gang among those with room; None if they don't all fit."""
     job = job_state.job
-    for zones in _zone_choices(job, zones_open(job_state, {m.zone for m in machines})):
+    for zones in _zone_choices(job, eligible_zones(job_state, {m.zone for m in machines})):
         usable = [machine for machine in machines if machine.zone in zones]
-        if sum(machine.free.holds(job) for machine in usable) < job.tasks:
+        if sum(machine.free.capacity_for(job) for machine in usable) < job.tasks:
             continue
         chosen = _place_in(job, zones, usable)
         if chosen is not None:
@@ -72,10 +72,12 @@
     return chosen
 
 
-def cheapest_split(job: Job, zones: set[str], offers: Sequence[GangOffer]) -> GangSplit | None:
-    """The cheapest of the offered places that together hold the gang; all in one zone if the job
-    asks for that. None if there are too few."""
-    by_cost = sorted(offers, key=lambda offer: (offer.cost, offer.machine.name))
+def cheapest_split(
+    job: Job, zones: set[str], candidates: Sequence[GangCandidate]
+) -> GangSplit | None:
+    """The cheapest distribution of the gang over these candidates, in a single zone if the job
+    requires that; None if they have too little room."""
+    by_cost = sorted(candidates, key=lambda candidate: (candidate.cost, candidate.machine.name))
     splits = [_split(job, choice, by_cost) for choice in _zone_choices(job, zones)]
     return min(
         (split for split in splits if split is not None),
@@ -84,21 +86,22 @@
     )
 
 
-def _split(job: Job, zones: set[str], by_cost: Sequence[GangOffer]) -> GangSplit | None:
-    """The cheapest of the places in these zones that together hold the gang."""
+def _split(job: Job, zones: set[str], by_cost: Sequence[GangCandidate]) -> GangSplit | None:
+    """The cheapest distribution of the gang over the candidates in these zones; None if they have
+    too little room."""
     left = job.tasks
     held = dict.fromkeys(zones, 0)
     cost = 0.0
     parts = []
-    for offer in by_cost:
-        zone = offer.machine.zone
+    for candidate in by_cost:
+        zone = candidate.machine.zone
         if zone in zones:
-            tasks = min(offer.places, left, job.zone_cap - held[zone])
+            tasks = min(candidate.capacity, left, job.zone_cap - held[zone])
             if tasks > 0:
                 held[zone] += tasks
                 left -= tasks
-                cost += offer.cost * tasks
-                parts.append(GangPart(offer.machine, tasks, offer.stops))
+                cost += candidate.cost * tasks
+                parts.append(GangPart(candidate.machine, tasks, candidate.preempted))
     return GangSplit(cost, parts) if left == 0 else None
 
 
@@ -110,7 +113,7 @@
         self._preemption = preemption
 
     def start(self, job_state: JobState) -> None:
-        """Start all tasks of the gang, or none; replace those that it has lost before it ran."""
+        """Start all tasks of the gang or none; replace tasks that it lost before it ran."""
         if job_state.live:
             self._replace_lost(job_state)
             return
@@ -139,8 +142,7 @@
     def _replace_lost(self, job_state: JobState) -> None:
         """Replace lost tasks of a gang that does not run yet, under the same attempt number.
 
-        Once a task has run, or is to stop, the others end as well, and then the gang is placed
-        anew.
+        Once a task has run, or is to stop, the others end as well and the gang is placed anew.
         """
         live = list(job_state.live.values())
         attempt_number = live[0].attempt_number
@@ -156,7 +158,7 @@
                 continue
             if not context.limits.allow(job_state.job):
                 return
-            zones = zones_open(job_state, context.machines.zones)
+            zones = eligible_zones(job_state, context.machines.zones)
             machine = Ranking(job_state.job, machines).best(zones)
             if machine is None:
                 return
@@ -165,68 +167,72 @@
     def _machine_for_one(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> list[Machine] | None:
-        """The machine for a gang of one task, after others there were stopped for it."""
-        opening = self._preemption.for_gang_of_one(job_state, machines)
-        if opening is None:
+        """The machine for a gang of one task, after stopping the attempts there that make room for
+        it."""
+        option = self._preemption.for_gang_of_one(job_state, machines)
+        if option is None:
             return None
-        for attempt in opening.stops:
+        for attempt in option.preempted:
             self._context.shard.stop_gracefully(attempt)
-        return [opening.machine]
+        return [option.machine]
 
     def _machines_by_preemption(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> list[Machine] | None:
-        """Room for a whole gang by stopping others: only if all of it fits then, and where that
-        wastes least."""
+        """Make room for a whole gang by preemption where that wastes least; nothing is stopped
+        unless the whole gang fits."""
         job = job_state.job
         may_stop = self._preemption.may_stop_for(job_state)
-        offers: list[GangOffer] = []
+        candidates: list[GangCandidate] = []
         for machine in machines:
-            stops = stoppable(machine, may_stop)
+            preempted = stoppable(machine, may_stop)
             room = machine.free.copy()
-            for attempt in stops:
+            for attempt in preempted:
                 room.take(attempt.job_state.job, -1)
-            places = room.holds(job)
-            if places:
-                wasted = sum(loss(attempt, self._context.now) for attempt in stops)
-                cost = (wasted + fetch_cost(job, machine)) / places
-                offers.append(GangOffer(cost, machine, places, stops))
-        zones = zones_open(job_state, self._context.machines.zones)
-        split = cheapest_split(job, zones, offers)
+            capacity = room.capacity_for(job)
+            if capacity:
+                wasted = sum(preemption_cost(attempt, self._context.now) for attempt in preempted)
+                cost = (wasted + fetch_cost(job, machine)) / capacity
+                candidates.append(GangCandidate(cost, machine, capacity, preempted))
+        zones = eligible_zones(job_state, self._context.machines.zones)
+        split = cheapest_split(job, zones, candidates)
         if split is None:
             return None
         chosen: list[Machine] = []
         for part in split.parts:
-            self._preemption.make_room(part.machine, job, part.tasks, part.stops)
+            self._preemption.make_room(part.machine, job, part.tasks, part.preempted)
             chosen += [part.machine] * part.tasks
         return chosen
 
     def _reserve(self, job_state: JobState, machines: Sequence[Machine]) -> None:
         """Reserve the machines that will be empty soonest for a gang that has waited for long.
 
-        Work that comes one task at a time would else take each place as it falls free, and a large
-        gang would wait for ever. One gang at a time, the first in start order.
+        Otherwise work that comes one task at a time takes each place as it becomes free, and a
+        large gang waits forever. Only one gang at a time has a reservation, the first in start
+        order.
         """
         context = self._context
         waited_us = context.now - job_state.submitted_at
         if context.machines.has_reservation or waited_us < RESERVE_AFTER_US:
             return
         job = job_state.job
-        offers = [
-            GangOffer(float(self._busy_us(machine)), machine, machine.machine_type.holds(job), [])
+        candidates = [
+            GangCandidate(
+                float(self._busy_us(machine)), machine, machine.machine_type.capacity_for(job), []
+            )
             for machine in machines
         ]
-        split = cheapest_split(job, zones_open(job_state, context.machines.zones), offers)
+        split = cheapest_split(job, eligible_zones(job_state, context.machines.zones), candidates)
         if split is not None:
             context.machines.reserve(part.machine.name for part in split.parts)
 
     def _busy_us(self, machine: Machine) -> int:
-        """How long the tasks on a machine will still run, as far as can be guessed."""
+        """The estimated time until all tasks on a machine are done."""
         return max((self._left_us(attempt) for attempt in machine.attempts.values()), default=0)
 
     def _left_us(self, attempt: Attempt) -> int:
-        guess_us = self._context.shard.guess_us(attempt.job_state)
+        estimated_run_us = self._context.shard.estimated_run_us(attempt.job_state)
         if attempt.job_state.job.service:
-            return guess_us
+            return estimated_run_us
         now = self._context.now
-        return max(guess_us - (now - (attempt.running_since or now)), US)
+        return max(estimated_run_us - (now - (attempt.running_since or now)), US)
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -1,8 +1,7 @@
-"""Where a replica of a service is started: where it will run soonest.
+"""Placement of replicas of services: on the machine where a replica will run soonest.
 
-Users notice every second without a replica, so the time until one runs outweighs what is wasted by
-stopping others for it. That time is the fetch of its image, and the checkpoints of the tasks that
-are stopped for it.
+Users notice every second without a replica, so the time until it runs outweighs what preemption
+wastes. That time is the fetch of its image plus the checkpoints of the preempted tasks.
 """
 
 from collections.abc import Iterable
@@ -13,14 +12,14 @@
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import Job
 from basaltlead.core.plan_context import PlanContext, requirements
-from basaltlead.core.preemption import MayStop, Opening, Preemption, preemption_candidates
+from basaltlead.core.preemption import MayStop, PlacementOption, Preemption, placement_option
 
-# A second without the replica weighs as much as so many seconds of other work of its size.
+# A second without the replica costs as much as this many seconds of other work of its size.
 DELAY_WEIGHT = 20.0
 
 
-class Ranked(NamedTuple):
-    """A machine in the order of preference. Names are unique: machines are never compared."""
+class RankedCandidate(NamedTuple):
+    """A machine in order of preference. Names are unique, so machines are never compared."""
 
     cost: float
     tier: placement.Tier
@@ -29,13 +28,14 @@
     machine: Machine
 
 
-def delay_s(job: Job, machine: Machine, stops: Iterable[Attempt]) -> float:
-    """How long a replica waits on a machine until it runs: for its image, and for its room."""
+def delay_s(job: Job, machine: Machine, preempted: Iterable[Attempt]) -> float:
+    """Seconds until a replica would run on a machine: the fetch of its image, and the checkpoints
+    of the attempts that are stopped for it."""
     fetch = 0.0 if job.image in machine.images else machine.machine_type.fetch_s(job)
     saving = max(
         (
             attempt.job_state.job.checkpoint_duration_s
-            for attempt in stops
+            for attempt in preempted
             if attempt.job_state.job.checkpoint_interval_us
         ),
         default=0.0,
@@ -43,7 +43,7 @@
     return fetch + saving
 
 
-class ReplicaChoice:
+class ReplicaRanking:
     """The machines that suit a service, best first, ranked again as replicas are bound."""
 
     def __init__(self, job: Job, machines: Iterable[Machine], may_stop: MayStop, now: int) -> None:
@@ -51,26 +51,29 @@
         self._may_stop = may_stop
         self._now = now
         ranked = (self._ranked(machine) for machine in machines)
-        # What has to be stopped is not kept: in a large fleet that would be most of its tasks.
+        # The attempts to stop are not kept: in a large fleet they would be most of its tasks.
         self._heap = [found[0] for found in ranked if found is not None]
         heapify(self._heap)
 
-    def _ranked(self, machine: Machine) -> tuple[Ranked, Opening] | None:
+    def _ranked(self, machine: Machine) -> tuple[RankedCandidate, PlacementOption] | None:
         if machine.is_full:
             return None
         job = self._job
-        opening = preemption_candidates(job, machine, self._now, self._may_stop)
-        if opening is None:
+        option = placement_option(job, machine, self._now, self._may_stop)
+        if option is None:
             return None
-        cost = opening.loss + DELAY_WEIGHT * delay_s(job, machine, opening.stops) * job.size
+        cost = (
+            option.preemption_cost
+            + DELAY_WEIGHT * delay_s(job, machine, option.preempted) * job.size
+        )
         tier = placement.tier(job, machine)
-        return Ranked(round(cost, 3), tier, machine.booked, machine.name, machine), opening
+        return RankedCandidate(round(cost, 3), tier, machine.booked, machine.name, machine), option
 
-    def best(self, zones: set[str]) -> Opening | None:
-        """The machine for the next replica, and what has to be stopped there.
+    def best(self, zones: set[str]) -> PlacementOption | None:
+        """The machine for the next replica, and the attempts to stop there; None if there is none.
 
-        What was ranked before the last replica was bound is ranked again. Zones are only ever
-        closed meanwhile, so machines elsewhere are dropped for good.
+        Machines ranked before the last replica was bound are ranked again. Meanwhile zones are only
+        closed, never opened, so machines in other zones are dropped for good.
         """
         while self._heap:
             machine = heappop(self._heap).machine
@@ -79,42 +82,43 @@
             found = self._ranked(machine)
             if found is None:
                 continue
-            current, opening = found
+            current, option = found
             is_still_best = not self._heap or current[:4] <= self._heap[0][:4]
             heappush(self._heap, current)
             if is_still_best:
-                return opening
+                return option
         return None
 
 
 class ReplicaPlacement:
-    """Starts replicas of services in one plan, and moves those whose machines are about to go."""
+    """Starts replicas of services in one plan, and moves replicas off departing machines."""
 
     def __init__(self, context: PlanContext, preemption: Preemption) -> None:
         self._context = context
         self._preemption = preemption
 
     def start(self, job_state: JobState) -> None:
-        """Start replicas where they run soonest; among equals where it wastes least."""
+        """Start replicas where they will run soonest; among equals, where preemption wastes
+        least."""
         context = self._context
         job = job_state.job
         required = requirements(job_state)
         if context.is_unplaceable(required) or not context.limits.allow(job):
             return
-        choice = self._choice(job_state)
+        ranking = self._ranking(job_state)
         for _ in range(job_state.waiting):
             if not context.limits.allow(job):
                 return
-            opening = choice.best(placement.zones_open(job_state, context.machines.zones))
-            if opening is None:
+            option = ranking.best(placement.eligible_zones(job_state, context.machines.zones))
+            if option is None:
                 context.note_unplaceable(required)
                 return
-            if not context.start_next(job_state, opening.machine, opening.stops):
+            if not context.start_next(job_state, option.machine, option.preempted):
                 return
 
     def move_from_departing_machines(self) -> None:
-        """Stop replicas on machines that are about to go, each once there is a place for it. The
-        next plans start it there as soon as it is provably gone."""
+        """Stop replicas on machines that are about to go, each once there is a place for it. A
+        later plan starts it there, as soon as the old attempt is provably gone."""
         for machine in self._context.shard.machines.values():
             if machine.preemption_at is None and not machine.draining:
                 continue
@@ -124,15 +128,15 @@
 
     def _move(self, attempt: Attempt) -> None:
         context = self._context
-        zones = placement.zones_open(attempt.job_state, context.machines.zones, leaving=attempt)
-        opening = self._choice(attempt.job_state).best(zones)
-        if opening is None:
+        zones = placement.eligible_zones(attempt.job_state, context.machines.zones, leaving=attempt)
+        option = self._ranking(attempt.job_state).best(zones)
+        if option is None:
             return
         context.shard.stop(attempt, 0.0)
-        for stopped in opening.stops:
+        for stopped in option.preempted:
             context.shard.stop_gracefully(stopped)
 
-    def _choice(self, job_state: JobState) -> ReplicaChoice:
+    def _ranking(self, job_state: JobState) -> ReplicaRanking:
         machines = self._context.machines.for_job(job_state)
         may_stop = self._preemption.may_stop_for(job_state)
-        return ReplicaChoice(job_state.job, machines, may_stop, self._context.now)
+        return ReplicaRanking(job_state.job, machines, may_stop, self._context.now)
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -65,7 +65,7 @@
         self.deleted_machines = self._fleet.deleted_machines
         self.push_queue = self._signals.push_queue
         self.team_used = self._attempts.team_used
-        self.ratio = self._run_times.ratio
+        self.class_ratios = self._run_times.class_ratios
 
     @property
     def plan_needed(self) -> bool:
@@ -113,9 +113,9 @@
             or (job_state.version <= self.version and bool(self.unsynced))
         )
 
-    def guess_us(self, job_state: JobState) -> int:
+    def estimated_run_us(self, job_state: JobState) -> int:
         """The expected run time of a task of the job, in microseconds."""
-        return self._run_times.guess_us(job_state)
+        return self._run_times.estimated_run_us(job_state)
 
     # Attempts
 
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -5,7 +5,7 @@
 """
 
 from basaltlead.clients.cloud import Cloud
-from basaltlead.core.offers import Offer, OfferBook
+from basaltlead.core.offers import Offer, OfferAvailability
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import wall_us
@@ -28,9 +28,11 @@
     Its background tasks end when the shard is released.
     """
 
-    def __init__(self, context: ShardContext, cloud: Cloud, offer_book: OfferBook) -> None:
+    def __init__(
+        self, context: ShardContext, cloud: Cloud, offer_availability: OfferAvailability
+    ) -> None:
         self.context = context
-        self.requests = ScaleOutRequests(context, offer_book)
+        self.requests = ScaleOutRequests(context, offer_availability)
         self.executor = ScaleOutExecutor(context, cloud, self.requests)
         self.watch = ScaleOutWatch(context, self.requests, self.executor)
         self.sequence = 0
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -28,9 +28,9 @@
     image: Text
     image_gb: Amount
     one_zone: bool
-    apart: bool
+    spread_zones: bool
     spot: bool
-    guess_s: Amount
+    estimated_run_s: Amount
     checkpoint_interval_s: Amount
     checkpoint_duration_s: Amount
     types: list[Text] | None = None
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -3,14 +3,14 @@
 from basaltlead.config.settings import Objective
 from basaltlead.core.entities import JobState, Machine
 from basaltlead.core.jobs import US, Job, MachineType, Shape
-from basaltlead.core.market import Market, Terms
+from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.shard import Shard
 from basaltlead.core.teams import TeamQuota
 from basaltlead.core.timing import Timing
 from tests.builders import make_job
 
-TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
+PARAMETERS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
 def _objectives(*objectives: Objective) -> ServiceLevelObjectives:
@@ -25,7 +25,7 @@
     objectives = _objectives(
         Objective("deadline", "reports", times=1.5), Objective("deadline", "reports", times=1.0)
     )
-    job_state = _job_state(make_job(tasks=4, due_us=100 * US, guess_us=20 * US))
+    job_state = _job_state(make_job(tasks=4, due_us=100 * US, estimated_run_us=20 * US))
 
     assert objectives.due(job_state, 0).at == 100 * US
     assert objectives.due(job_state, 90 * US).at == 150 * US  # a task takes 20 s: the first is lost
@@ -41,7 +41,7 @@
         Objective("wait", "reports", within_s=60.0),
         Objective("finished", "reports", within_s=300.0),
     )
-    job_state = _job_state(make_job(tasks=4, guess_us=20 * US))
+    job_state = _job_state(make_job(tasks=4, estimated_run_us=20 * US))
 
     assert objectives.due(job_state, 0).at == 80 * US
     assert objectives.due(job_state, 70 * US).at == 300 * US
@@ -49,13 +49,13 @@
 
 def test_late_job_does_not_outbid_jobs_that_can_be_on_time() -> None:
     """All late jobs once bid their team's whole budget, and made the others late too."""
-    market = Market(TERMS, ["red"], _objectives())
+    market = Market(PARAMETERS, ["red"], _objectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
     late = shard.add_job(make_job(1, tasks=50, due_us=30 * US), 1, 0)
     hasty = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
 
     for second in range(10, 160, 10):
-        market.round(shard, second * US)
+        market.run_round(shard, second * US)
 
     assert hasty.bid > late.bid > 0
 
@@ -69,7 +69,7 @@
 
 def test_slots_for_objectives_are_allocated_before_the_rest_is_shared() -> None:
     """A guest team with a full budget once outbid a team that had spent its own on deadlines."""
-    market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     dated = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
@@ -77,32 +77,32 @@
 
     dated.need, guest.need = 60, 400
     dated.bid, guest.bid = 0.01, 500.0
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
     assert (dated.slots, guest.slots) == (60, 40)
     dated.need = 90  # however much they need, something is left for the others
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
     assert (dated.slots, guest.slots) == (75, 25)
     dated.need = 0
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
 
     assert (dated.slots, guest.slots) == (0, 100)
 
 
 def test_teams_share_the_remaining_slots_by_their_bids() -> None:
-    market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     idle = shard.add_job(make_job(1, tasks=90), 1, 0)
     guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
 
     idle.bid, guest.bid = 3.0, 1.0
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
 
     assert (idle.slots, guest.slots) == (75, 25)
 
 
 def test_late_jobs_share_slots_by_their_bids() -> None:
-    market = Market(TERMS, ["red", "guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     late = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
@@ -110,13 +110,13 @@
     guest = shard.add_job(make_job(3, tasks=400, team="guests"), 1, 0)
 
     late.bid, hasty.bid, guest.bid = 1.0, 2.0, 9.0
-    market.share(shard, 300 * US)
+    market.allocate_slots(shard, 300 * US)
 
     assert (late.slots, hasty.slots, guest.slots) == (25, 50, 25)
 
 
 def test_within_a_team_the_job_nearest_to_completion_comes_first_and_all_begin() -> None:
-    market = Market(TERMS, ["guests"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"guests": TeamQuota()})
     _add_machine(shard, 100.0)
 
@@ -124,6 +124,6 @@
         shard.add_job(make_job(number, tasks=tasks, team="guests"), 1, 0)
         for number, tasks in ((1, 80), (2, 60), (3, 90))
     ]
-    market.share(shard, 0)
+    market.allocate_slots(shard, 0)
 
     assert [job_state.slots for job_state in job_states] == [39, 60, 1]
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -4,22 +4,22 @@
 
 from basaltlead.core import demand
 from basaltlead.core.entities import JobState
-from basaltlead.core.jobs import RANKS, STANDING_US, US, Shape
-from basaltlead.core.market import Market, Terms
+from basaltlead.core.jobs import RANKS, SERVICE_RUN_TIME_US, US, Shape
+from basaltlead.core.market import Market, MarketParameters
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.planning import plan
 from basaltlead.storage.result_rows import ResultLayout, load_results
 from tests.builders import TIMING, Story, make_job, task_status
 
 PRODUCTION = RANKS["production"]
-TERMS = Terms(10 * US, 300 * US, 1000.0, 0.01, 0.05)
+PARAMETERS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
 def _service(story: Story, number: int = 1, **fields: object) -> JobState:
     values: dict[str, object] = {
         "shape": Shape.SERVICE,
         "rank": PRODUCTION,
-        "guess_us": 0,
+        "estimated_run_us": 0,
         "spot": False,
     }
     return story.submit(number, **(values | fields))
@@ -78,11 +78,11 @@
     story = Story(machines=1)
     service = _service(story)
 
-    assert story.shard.guess_us(service) == STANDING_US
+    assert story.shard.estimated_run_us(service) == SERVICE_RUN_TIME_US
     _run(story, service)
-    story.now += 2 * STANDING_US
+    story.now += 2 * SERVICE_RUN_TIME_US
 
-    assert story.shard.guess_us(service) == STANDING_US
+    assert story.shard.estimated_run_us(service) == SERVICE_RUN_TIME_US
     assert service.ran_count == 0
 
 
@@ -132,24 +132,24 @@
     story = Story(machines=2)
     service = _service(story, tasks=4)
     array = story.submit(2, tasks=20)
-    market = Market(TERMS, ["red"], ServiceLevelObjectives())
+    market = Market(PARAMETERS, ["red"], ServiceLevelObjectives())
 
-    market.share(story.shard, story.now)
+    market.allocate_slots(story.shard, story.now)
     assert service.slots is None
     assert array.slots == 4  # of 8 CPUs
     for _ in range(4):  # nothing runs yet: the bid rises round by round
         story.now += 10 * US
-        market.round(story.shard, story.now)
+        market.run_round(story.shard, story.now)
     risen = service.bid
-    assert risen > TERMS.reserve
+    assert risen > PARAMETERS.reserve_price
     _run(story, service)
     for _ in range(8):
         story.now += 10 * US
-        market.round(story.shard, story.now)
+        market.run_round(story.shard, story.now)
     settled = service.bid
     for _ in range(8):
         story.now += 10 * US
-        market.round(story.shard, story.now)
+        market.run_round(story.shard, story.now)
 
     assert service.bid == settled  # all that should run runs
 
@@ -159,18 +159,18 @@
     story = Story(machines=0)
     service = _service(story, tasks=5)
 
-    objectives = ServiceLevelObjectives(starts={"reports": [4 * US]})
+    objectives = ServiceLevelObjectives(start_limits_us={"reports": [4 * US]})
     job_states = list(story.shard.job_states.values())
     story.now += 500 * US
-    loads = demand.remaining_cpu_us(job_states, story.now, story.shard.guess_us)
+    loads = demand.remaining_cpu_us(job_states, story.now, story.shard.estimated_run_us)
     assert loads == {}
     wanted = demand.wanted_tasks(
-        job_states, story.now, objectives.due, story.shard.guess_us, 5 * US, loads
+        job_states, story.now, objectives.due, story.shard.estimated_run_us, 5 * US, loads
     )
 
     assert wanted == {service.job.ref: 5}
     assert objectives.due(service, story.now) == demand.NO_DUE
-    assert objectives.apply_to(service, story.now)
+    assert objectives.has_objective(service, story.now)
 
 
 def test_only_a_replica_that_failed_early_counts_against_its_machine() -> None:
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -53,7 +53,9 @@
 
 
 def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
-    count = CallCounter(monkeypatch, (Resources, "fits"), (Resources, "holds"), (placement, "tier"))
+    count = CallCounter(
+        monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
+    )
     planning.plan(story.shard, story.now)
     return count.calls
 
@@ -125,15 +127,15 @@
 
     for number in range(1000, 1300):
         story.shard.add_job(
-            make_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, guess_us=0),
+            make_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, estimated_run_us=0),
             200,
             story.now,
         )
-    looked = CallCounter(monkeypatch, (replica_placement.ReplicaChoice, "_ranked"))
+    looked = CallCounter(monkeypatch, (replica_placement.ReplicaRanking, "_ranked"))
     planning.plan(story.shard, story.now)
     assert looked.calls <= MACHINES + 300
     high = story.shard.add_job(
-        make_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], guess_us=0),
+        make_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], estimated_run_us=0),
         200,
         story.now,
     )
@@ -160,13 +162,13 @@
     machines = shard_leader.shard.machines.values()
     assert sum(machine.up and not machine.recorded for machine in machines) > 100
     rounds: list[float] = []
-    inner = shard_leader.market.round
+    inner = shard_leader.market.run_round
 
     def counted(*args: Any) -> None:
         rounds.append(loop.time())
         inner(*args)
 
-    shard_leader.market.round = counted
+    shard_leader.market.run_round = counted
     await asyncio.sleep(60)
 
     assert len(rounds) >= 5
