--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -53,7 +53,7 @@
             try:
                 if not self.membership.cluster.leader_alive:
                     pause_s = await self._claim_in_turn()
-                elif self.membership.leads:
+                elif self.membership.is_leader:
                     await self._grant_vacant()
             except PreconditionFailed as conflict:
                 log.debug("claim or grant not made: %s changed meanwhile", conflict)
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -93,7 +93,7 @@
         return self.session.cut_off
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this very incarnation is the leader."""
         leader = self.cluster.leader
         return (
@@ -148,7 +148,7 @@
         preconditions = [self.precondition(), Precondition(key, held.version)]
         free = Grant("", "", held.value.fencing_token, avoid=self.name)
         apply: list[Put | Drop] = [Put(key, free)]
-        if leader_too and self.leads and self.cluster.leader is not None:
+        if leader_too and self.is_leader and self.cluster.leader is not None:
             preconditions.append(Precondition(LEADER, self.cluster.leader.version))
             apply.append(Drop(LEADER))
         try:
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -144,7 +144,7 @@
         """On the leader, assign every open job that has no assignment; never returns."""
         while True:
             await wait_for_event(self._wake, ASSIGN_INTERVAL_S)
-            if not self.membership.holds_valid_lease or not self.membership.leads:
+            if not self.membership.holds_valid_lease or not self.membership.is_leader:
                 continue
             for ref, open_job in list(self._jobs.items()):
                 if ref not in self._assignments:
