--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -64,7 +64,7 @@
 
     async def open_rows(self, ref: str) -> list[Row]:
         """The open job's rows: itself first, then its results; empty if it is not open."""
-        if self.membership.cut_off:
+        if self.membership.store_unreachable:
             raise Unavailable("the state service does not answer")
         page = await self.store.page(OPEN + ref, most=self._max_rows)
         rows = [row for row in page.rows if split_open(row.key)[0] == ref]
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -88,9 +88,9 @@
         return self.session.version
 
     @property
-    def cut_off(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether the key-value store has been silent for too long to serve users from it."""
-        return self.session.cut_off
+        return self.session.store_unreachable
 
     @property
     def is_leader(self) -> bool:
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -67,7 +67,7 @@
         return now_us() - self.contact_at > self.ttl_us // 3
 
     @property
-    def cut_off(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether the key-value store has not answered for so long that asking it on behalf of a
         user is of no use."""
         return now_us() - self.contact_at > self.ttl_us
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -39,7 +39,7 @@
     async def answer(self, question: Question) -> Answer:
         """The answer to a question; if the store does not answer us, one that says so."""
         answer_type = DutiesAnswer if isinstance(question, DutiesQuestion) else HistoryAnswer
-        if self.membership.cut_off:
+        if self.membership.store_unreachable:
             return answer_type("the state service does not answer")
         try:
             if isinstance(question, DutiesQuestion):
