--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -137,18 +137,18 @@
         self.watch.note_member(claim, version)
         self.notify()
 
-    async def release(self, key: str, leader_too: bool) -> bool:
-        """Release a shard or duty, and with `leader_too` the leadership, for others to take; the
-        caller has stopped acting for it. False if that could not be recorded."""
+    async def release(self, key: str, release_leadership: bool) -> bool:
+        """Release a shard or duty, and with `release_leadership` the leadership, for others to
+        take; the caller has stopped acting for it. False if that could not be recorded."""
         held = self.held_grant(key)
         if held is None:
             return True
-        if leader_too:
+        if release_leadership:
             self.no_claim_until = now_us() + NO_CLAIM_US
         preconditions = [self.precondition(), Precondition(key, held.version)]
         free = Grant("", "", held.value.fencing_token, avoid=self.name)
         apply: list[Put | Drop] = [Put(key, free)]
-        if leader_too and self.is_leader and self.cluster.leader is not None:
+        if release_leadership and self.is_leader and self.cluster.leader is not None:
             preconditions.append(Precondition(LEADER, self.cluster.leader.version))
             apply.append(Drop(LEADER))
         try:
--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -64,7 +64,9 @@
         """Release the duties whose holders have stepped down, for other controllers to acquire."""
         self._step_down_without_cloud()
         for duty, holder in list(self.holders.items()):
-            if holder.stepped_down and await self.membership.release(duty.key, leader_too=False):
+            if holder.stepped_down and await self.membership.release(
+                duty.key, release_leadership=False
+            ):
                 holder.stop()
                 if self.holders.get(duty) is holder:  # else it was granted to us anew meanwhile
                     del self.holders[duty]
--- a/basaltlead/shard/registry.py
+++ b/basaltlead/shard/registry.py
@@ -52,17 +52,17 @@
                 log.info("shard %d: no heartbeat for too long, stepping down", number)
                 leader.lease.end()
             if leader.lease.stepped_down:
-                await self._release(number, leader, leader_too=True)
+                await self._release(number, leader, release_leadership=True)
 
     async def hand_over(self, key: str) -> None:
         """Release a shard that a controller without any should lead."""
         for number, leader in list(self.leaders.items()):
             if shard_key(number) == key and leader.holds_valid_lease:
                 leader.lease.end()
-                await self._release(number, leader, leader_too=False)
+                await self._release(number, leader, release_leadership=False)
 
-    async def _release(self, number: int, leader: ShardLeader, leader_too: bool) -> None:
-        if await self.membership.release(shard_key(number), leader_too):
+    async def _release(self, number: int, leader: ShardLeader, release_leadership: bool) -> None:
+        if await self.membership.release(shard_key(number), release_leadership):
             leader.stop()
             if self.leaders.get(number) is leader:  # else it was granted to us anew meanwhile
                 del self.leaders[number]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -72,7 +72,7 @@
     stale = deployment.controllers[name].duties.holders[Duty.RETURN]
     others = deployment.other_nodes(name)
 
-    assert await member.release(Duty.RETURN.key, leader_too=False)
+    assert await member.release(Duty.RETURN.key, release_leadership=False)
     for other in others:  # so that it can only come back
         deployment.crash(other)
     held = deployment.controllers[name].duties.holders
@@ -108,8 +108,8 @@
     node = deployment.controllers[name]
     release = node.membership.release
 
-    async def answered_late(key: str, leader_too: bool) -> bool:
-        done: bool = await release(key, leader_too)
+    async def answered_late(key: str, release_leadership: bool) -> bool:
+        done: bool = await release(key, release_leadership)
         await asyncio.sleep(5)
         return done
 
