--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -52,7 +52,7 @@
         self.ttl_us = settings.session_lease_us
         # A shard leader acts no longer than a session lease after its last read of the open jobs
         # was sent, so a watch must come back well within that.
-        self.watch_ms = min(LONGEST_WATCH_MS, self.ttl_us // 4000)
+        self.watch_timeout_ms = min(LONGEST_WATCH_MS, self.ttl_us // 4000)
         self.chance = chance
         self.wake = asyncio.Event()  # set when the election should look at the cluster again
         self.no_claim_until = 0
@@ -64,7 +64,7 @@
             self._joined,
             on_change,
         )
-        self.watch = ClusterWatch(store, self.watch_ms, self.session, self.notify)
+        self.watch = ClusterWatch(store, self.watch_timeout_ms, self.session, self.notify)
         self.deferrals = FailoverDeferrals(self.session, self.watch)
 
     @property
--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -58,7 +58,9 @@
 
     async def run(self) -> None:
         """Follow the recorded requests until cancelled."""
-        await follow_rows(self.store, SCALE_OUT, self.membership.watch_ms, self._put, self._drop)
+        await follow_rows(
+            self.store, SCALE_OUT, self.membership.watch_timeout_ms, self._put, self._drop
+        )
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         name = key[len(SCALE_OUT) :]
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -46,7 +46,9 @@
     async def run(self) -> None:
         """Follow the recorded returns, and carry them out, until cancelled."""
         self.background.spawn(self._carry_out(), "loop return machines")
-        await follow_rows(self.store, SCALE_IN, self.membership.watch_ms, self._put, self._drop)
+        await follow_rows(
+            self.store, SCALE_IN, self.membership.watch_timeout_ms, self._put, self._drop
+        )
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         known = self.returns.get(key)
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -170,9 +170,12 @@
     # Following the records, which the holders of duties write too
 
     async def _follow(self) -> None:
-        store, watch_ms = self.context.store.client, self.context.membership.watch_ms
+        store, watch_timeout_ms = (
+            self.context.store.client,
+            self.context.membership.watch_timeout_ms,
+        )
         known = list(self.context.intents.scale_ins)
-        await follow_rows(store, SCALE_IN, watch_ms, self._changed, self._dropped, known)
+        await follow_rows(store, SCALE_IN, watch_timeout_ms, self._changed, self._dropped, known)
 
     def _changed(self, key: str, raw: msgspec.Raw, _version: int) -> None:
         self._note_recorded(key, msgspec.json.decode(raw, type=StoredScaleIn))
--- a/basaltlead/scaling/scale_out_watch.py
+++ b/basaltlead/scaling/scale_out_watch.py
@@ -24,9 +24,12 @@
 
     async def run(self) -> None:
         """Follow the records; never returns."""
-        store, watch_ms = self.context.store.client, self.context.membership.watch_ms
+        store, watch_timeout_ms = (
+            self.context.store.client,
+            self.context.membership.watch_timeout_ms,
+        )
         known = [SCALE_OUT + name for name in self.context.intents.scale_outs]
-        await follow_rows(store, SCALE_OUT, watch_ms, self._changed, self._dropped, known)
+        await follow_rows(store, SCALE_OUT, watch_timeout_ms, self._changed, self._dropped, known)
 
     def _changed(self, key: str, raw: msgspec.Raw, version: int) -> None:
         name = key[len(SCALE_OUT) :]
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -89,7 +89,7 @@
 
     async def follow(self, prefix: str) -> None:
         """Follow the keys under one of the four prefixes; never returns."""
-        watch = KeyWatch(self.store, prefix, self.membership.watch_ms)
+        watch = KeyWatch(self.store, prefix, self.membership.watch_timeout_ms)
         await watch.run(partial(self._load, prefix), partial(self._apply, prefix))
 
     def _load(self, prefix: str, rows: list[Row]) -> None:
--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -51,8 +51,8 @@
 
     async def follow(self, revision: int) -> None:
         """Follow the rows from a revision on, until the shard is released."""
-        watch_ms = self.context.membership.watch_ms
-        watch = KeyWatch(self.context.store.client, OPEN, watch_ms, revision)
+        watch_timeout_ms = self.context.membership.watch_timeout_ms
+        watch = KeyWatch(self.context.store.client, OPEN, watch_timeout_ms, revision)
         await watch.run(self._relist, self._apply, self._after_read)
 
     def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -43,8 +43,8 @@
 
     async def follow(self) -> None:
         """Follow which of the jobs' tasks are ours to start."""
-        watch_ms = self.context.membership.watch_ms
-        watch = KeyWatch(self.context.store.client, ASSIGNMENT, watch_ms, self._watch_from)
+        watch_timeout_ms = self.context.membership.watch_timeout_ms
+        watch = KeyWatch(self.context.store.client, ASSIGNMENT, watch_timeout_ms, self._watch_from)
         await watch.run(self._take_all, self._apply)
 
     def _take_all(self, rows: list[Row]) -> None:
