--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -24,7 +24,7 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 LONGEST_WATCH_MS = 4000
-NO_CLAIM_US = 15_000_000  # after it stepped down, a controller lets others lead first
+CLAIM_COOLDOWN_US = 15_000_000  # after it stepped down, a controller lets others lead first
 
 
 class Membership:
@@ -144,7 +144,7 @@
         if held is None:
             return True
         if release_leadership:
-            self.no_claim_until = now_us() + NO_CLAIM_US
+            self.no_claim_until = now_us() + CLAIM_COOLDOWN_US
         preconditions = [self.precondition(), Precondition(key, held.version)]
         free = Grant("", "", held.value.fencing_token, avoid=self.name)
         apply: list[Put | Drop] = [Put(key, free)]
