--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -64,7 +64,10 @@
 
     async def _claim_in_turn(self) -> float:
         """Claim the leadership if it is our turn; how many seconds to wait until the next pass."""
-        if now_us() < self.membership.no_claim_until and len(self.membership.cluster.members) > 1:
+        if (
+            now_us() < self.membership.claim_cooldown_until
+            and len(self.membership.cluster.members) > 1
+        ):
             return PAUSE_S
         turn_in_us = self._turn_us() - now_us()
         if turn_in_us > 0:
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -55,7 +55,7 @@
         self.watch_timeout_ms = min(LONGEST_WATCH_MS, self.ttl_us // 4000)
         self.chance = chance
         self.wake = asyncio.Event()  # set when the election should look at the cluster again
-        self.no_claim_until = 0
+        self.claim_cooldown_until = 0
         self.session = SessionLeaseKeeper(
             self.name,
             store,
@@ -144,7 +144,7 @@
         if held is None:
             return True
         if release_leadership:
-            self.no_claim_until = now_us() + CLAIM_COOLDOWN_US
+            self.claim_cooldown_until = now_us() + CLAIM_COOLDOWN_US
         preconditions = [self.precondition(), Precondition(key, held.version)]
         free = Grant("", "", held.value.fencing_token, avoid=self.name)
         apply: list[Put | Drop] = [Put(key, free)]
