--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -23,7 +23,7 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Drop, Precondition, Put
 
-LONGEST_WATCH_MS = 4000
+MAX_WATCH_TIMEOUT_MS = 4000
 CLAIM_COOLDOWN_US = 15_000_000  # after it stepped down, a controller lets others lead first
 
 
@@ -52,7 +52,7 @@
         self.ttl_us = settings.session_lease_us
         # A shard leader acts no longer than a session lease after its last read of the open jobs
         # was sent, so a watch must come back well within that.
-        self.watch_timeout_ms = min(LONGEST_WATCH_MS, self.ttl_us // 4000)
+        self.watch_timeout_ms = min(MAX_WATCH_TIMEOUT_MS, self.ttl_us // 4000)
         self.chance = chance
         self.wake = asyncio.Event()  # set when the election should look at the cluster again
         self.claim_cooldown_until = 0
