--- a/basaltlead/cluster/cancellation_exchange.py
+++ b/basaltlead/cluster/cancellation_exchange.py
@@ -15,7 +15,7 @@
 
 # A request and its answer may be under way for this long together: the peer counts back from when
 # it reads the request, so it must include cancellations that are older by that.
-LONGEST_EXCHANGE_US = 2_000_000
+MAX_ROUND_TRIP_US = 2_000_000
 
 
 class CancellationExchange:
@@ -52,5 +52,5 @@
         if unconfirmed_us is None:
             return None
         return self.cancellations.since(
-            now_us() - unconfirmed_us - unconfirmed_us // 500 - LONGEST_EXCHANGE_US
+            now_us() - unconfirmed_us - unconfirmed_us // 500 - MAX_ROUND_TRIP_US
         )
--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -12,7 +12,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from basaltlead.cluster.cancellation_exchange import LONGEST_EXCHANGE_US, CancellationExchange
+from basaltlead.cluster.cancellation_exchange import MAX_ROUND_TRIP_US, CancellationExchange
 from basaltlead.cluster.peer_link import ConfirmedSpan, MessageReader, PeerLink, SentRequest
 from basaltlead.cluster.session_lease import SessionLeaseKeeper
 from basaltlead.config.settings import Peer
@@ -83,7 +83,7 @@
             return
         if deferral.cancelled is not None and request.cancellations_as_of is not None:
             self.exchange.learn(deferral.cancelled)
-            if now_us() - request.sent_at <= LONGEST_EXCHANGE_US:
+            if now_us() - request.sent_at <= MAX_ROUND_TRIP_US:
                 answers.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
         # Deferrals prolong a lease; they can't bring back one that another may have by now
