--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -11,7 +11,7 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Precondition, Put
 
-LONGEST_RENEWAL_US = 1_500_000  # after that a renewal is tried anew
+MAX_RENEWAL_TIMEOUT_US = 1_500_000  # after that a renewal is tried anew
 SHORTEST_RETRY_US = 200_000  # users are refused without a lease, so retries are frequent
 LONGEST_RETRY_US = 600_000
 INCARNATION_BITS = 48
@@ -98,7 +98,9 @@
                     await self._join()
                     backoff.reset()
                 sent = now_us()
-                await self.store.renew_lease(self.lease, min(LONGEST_RENEWAL_US, self.ttl_us // 4))
+                await self.store.renew_lease(
+                    self.lease, min(MAX_RENEWAL_TIMEOUT_US, self.ttl_us // 4)
+                )
                 self.renewed_until = session_validity_end(sent, self.ttl_us)
                 self.note_contact()
                 backoff.reset()
