--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -13,7 +13,7 @@
 
 MAX_RENEWAL_TIMEOUT_US = 1_500_000  # after that a renewal is tried anew
 MIN_RETRY_DELAY_US = 200_000  # users are refused without a lease, so retries are frequent
-LONGEST_RETRY_US = 600_000
+MAX_RETRY_DELAY_US = 600_000
 INCARNATION_BITS = 48
 
 
@@ -91,7 +91,7 @@
 
     async def keep(self) -> None:
         """Join, renew the session lease, and join anew whenever it is lost; never returns."""
-        backoff = Backoff(MIN_RETRY_DELAY_US, LONGEST_RETRY_US, chance)
+        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, chance)
         while True:
             try:
                 if not self.version:
