--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -48,7 +48,7 @@
         self.version = 0  # of our member key; 0: we have not joined
         self.renewed_until = 0  # how long the last renewal provably keeps the lease valid
         self.deferred_until = 0  # how long all peers have deferred our replacement
-        self.contact_at = 0  # the last good answer of the key-value store
+        self.last_contact_at = 0  # the last good answer of the key-value store
 
     @property
     def holds_valid_lease(self) -> bool:
@@ -64,13 +64,13 @@
     @property
     def partitioned(self) -> bool:
         """Whether the key-value store has been silent for a third of a lease."""
-        return now_us() - self.contact_at > self.ttl_us // 3
+        return now_us() - self.last_contact_at > self.ttl_us // 3
 
     @property
     def store_unreachable(self) -> bool:
         """Whether the key-value store has not answered for so long that asking it on behalf of a
         user is of no use."""
-        return now_us() - self.contact_at > self.ttl_us
+        return now_us() - self.last_contact_at > self.ttl_us
 
     def claim(self) -> Claim:
         """What our member key and, when we lead, the leader's key contain."""
@@ -83,7 +83,7 @@
 
     def note_contact(self) -> None:
         """Note that the key-value store has just given a good answer."""
-        self.contact_at = now_us()
+        self.last_contact_at = now_us()
 
     def defer_until(self, until: int) -> None:
         """Note until when all peers have deferred our replacement."""
