--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -20,7 +20,7 @@
     Question,
 )
 
-MOST_CONNECTIONS = 16
+MAX_CONNECTIONS = 16
 MOST_QUESTIONS = 4  # of operators that are being answered at a time; more get no answer
 
 
@@ -51,7 +51,7 @@
     def _accept(self) -> FrameProtocol:
         protocol = FrameProtocol(self._received, self.connections.discard)
         self.connections.add(protocol)
-        if len(self.connections) > MOST_CONNECTIONS:
+        if len(self.connections) > MAX_CONNECTIONS:
             self.connections.pop().close()
         return protocol
 
