--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -21,7 +21,7 @@
 )
 
 MAX_CONNECTIONS = 16
-MOST_QUESTIONS = 4  # of operators that are being answered at a time; more get no answer
+MAX_CONCURRENT_QUESTIONS = 4  # of operators that are being answered at a time; more get no answer
 
 
 class PeerServer:
@@ -78,7 +78,7 @@
         )
 
     def _start_reply(self, protocol: FrameProtocol, question: Question) -> None:
-        if len(self.answering) < MOST_QUESTIONS:
+        if len(self.answering) < MAX_CONCURRENT_QUESTIONS:
             task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
             self.answering.add(task)
             task.add_done_callback(self.answering.discard)
