--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -16,7 +16,7 @@
 
 decoder = msgspec.json.Decoder(Message)
 CONNECT_TIMEOUT_S = 1.0
-MOST_REQUESTS_KEPT = 20  # unanswered ones; an answer to an older one is of no use
+MAX_PENDING_REQUESTS = 20  # unanswered ones; an answer to an older one is of no use
 
 
 class MessageReader:
@@ -64,7 +64,7 @@
     def note_request(self, sequence: int, request: SentRequest) -> None:
         """Keep a request until its answer comes."""
         self.requests[sequence] = request
-        while len(self.requests) > MOST_REQUESTS_KEPT:
+        while len(self.requests) > MAX_PENDING_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
     def note_heard(self, partitioned: bool) -> None:
