--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -42,7 +42,7 @@
         self.exchange = exchange
         self.answer = answer
         self.connections: set[FrameProtocol] = set()
-        self.answering: set[asyncio.Task[None]] = set()
+        self.reply_tasks: set[asyncio.Task[None]] = set()
 
     async def serve(self) -> None:
         """Start to listen. Raises OSError if the address can't be used."""
@@ -78,10 +78,10 @@
         )
 
     def _start_reply(self, protocol: FrameProtocol, question: Question) -> None:
-        if len(self.answering) < MAX_CONCURRENT_QUESTIONS:
+        if len(self.reply_tasks) < MAX_CONCURRENT_QUESTIONS:
             task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
-            self.answering.add(task)
-            task.add_done_callback(self.answering.discard)
+            self.reply_tasks.add(task)
+            task.add_done_callback(self.reply_tasks.discard)
 
     async def _reply(self, protocol: FrameProtocol, question: Question) -> None:
         protocol.send(encode(await self.answer(question)))
