--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -33,14 +33,14 @@
         membership: Membership,
         reader: MessageReader,
         exchange: CancellationExchange,
-        answer: Callable[[Question], Awaitable[Answer]],
+        answer_question: Callable[[Question], Awaitable[Answer]],
     ) -> None:
         self.address = settings.internal_addr
         self.peer_names = {peer.member for peer in settings.known}
         self.membership = membership
         self.reader = reader
         self.exchange = exchange
-        self.answer = answer
+        self.answer_question = answer_question
         self.connections: set[FrameProtocol] = set()
         self.reply_tasks: set[asyncio.Task[None]] = set()
 
@@ -84,4 +84,4 @@
             task.add_done_callback(self.reply_tasks.discard)
 
     async def _reply(self, protocol: FrameProtocol, question: Question) -> None:
-        protocol.send(encode(await self.answer(question)))
+        protocol.send(encode(await self.answer_question(question)))
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -19,11 +19,11 @@
         settings: Settings,
         membership: Membership,
         exchange: CancellationExchange,
-        answer: Callable[[Question], Awaitable[Answer]],
+        answer_question: Callable[[Question], Awaitable[Answer]],
     ) -> None:
-        """`answer` answers the questions of operators."""
+        """`answer_question` answers the questions of operators."""
         reader = MessageReader()
-        self.server = PeerServer(settings, membership, reader, exchange, answer)
+        self.server = PeerServer(settings, membership, reader, exchange, answer_question)
         self.extension = LeaseExtension(settings.known, reader, membership.session, exchange)
 
     async def serve(self) -> None:
