--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -49,7 +49,7 @@
     until: int
 
 
-class PeerAnswers:
+class PeerState:
     """What the answers of one peer are good for."""
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
         self.peer = peer
         self.reader = reader
         self.on_answer = on_answer
-        self.answers = PeerAnswers()
+        self.answers = PeerState()
         self.protocol: FrameProtocol | None = None
         self.connecting = False
 
