--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -53,8 +53,8 @@
     def all_peers_partitioned(self) -> bool:
         """Whether peers have answered lately, and all of these have lost the key-value store."""
         recent = now_us() - self.session.ttl_us
-        answers = [link.answers for link in self.links if link.answers.heard_at > recent]
-        return bool(answers) and all(answer.partitioned for answer in answers)
+        states = [link.state for link in self.links if link.state.heard_at > recent]
+        return bool(states) and all(state.partitioned for state in states)
 
     async def _request(self, link: PeerLink) -> None:
         await link.connect()
@@ -62,7 +62,7 @@
             return
         self.sequence += 1
         now, as_of = now_us(), self.exchange.as_of()
-        link.answers.note_request(self.sequence, SentRequest(now, as_of))
+        link.state.note_request(self.sequence, SentRequest(now, as_of))
         link.send(
             DeferralRequest(
                 self.sequence,
@@ -74,27 +74,27 @@
         )
 
     def _answered(self, link: PeerLink, deferral: FailoverDeferral) -> None:
-        answers = link.answers
-        answers.note_heard(deferral.partitioned)
+        state = link.state
+        state.note_heard(deferral.partitioned)
         if deferral.incarnation != self.session.incarnation or not self.session.version:
             return  # the answer to an earlier incarnation of ours
-        request = answers.requests.pop(deferral.sequence, None)
+        request = state.requests.pop(deferral.sequence, None)
         if request is None:
             return
         if deferral.cancelled is not None and request.cancellations_as_of is not None:
             self.exchange.learn(deferral.cancelled)
             if now_us() - request.sent_at <= MAX_ROUND_TRIP_US:
-                answers.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
+                state.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
         # Deferrals prolong a lease; they can't bring back one that another may have by now
         # (test_deferrals_do_not_revive_an_ended_session_lease).
         if now_us() < self.session.valid_until and deferral.span_us > 0:
-            answers.note_deferral(request.sent_at, deferral)
+            state.note_deferral(request.sent_at, deferral)
             self._extend_lease()
 
     def _merge_confirmations(self) -> None:
         """Pass on the span of which *all* peers have named their cancellations, if there is one."""
-        spans = [span for link in self.links if (span := link.answers.confirmed_span) is not None]
+        spans = [span for link in self.links if (span := link.state.confirmed_span) is not None]
         if spans and len(spans) == len(self.links):
             self.exchange.on_confirmed(
                 max(span.since for span in spans), min(span.until for span in spans)
@@ -104,6 +104,6 @@
         """Extend our validity to the earliest end among all peers' deferrals: one that has granted
         none may replace us."""
         incarnation = self.session.incarnation
-        answers = [link.answers for link in self.links]
-        if answers and all(answer.deferred_incarnation == incarnation for answer in answers):
-            self.session.defer_until(min(answer.deferred_until for answer in answers))
+        states = [link.state for link in self.links]
+        if states and all(state.deferred_incarnation == incarnation for state in states):
+            self.session.defer_until(min(state.deferred_until for state in states))
--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -95,7 +95,7 @@
         self.peer = peer
         self.reader = reader
         self.on_answer = on_answer
-        self.answers = PeerState()
+        self.state = PeerState()
         self.protocol: FrameProtocol | None = None
         self.connecting = False
 
