--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -75,7 +75,7 @@
 
     def _answered(self, link: PeerLink, deferral: FailoverDeferral) -> None:
         state = link.state
-        state.note_heard(deferral.partitioned)
+        state.note_answer(deferral.partitioned)
         if deferral.incarnation != self.session.incarnation or not self.session.version:
             return  # the answer to an earlier incarnation of ours
         request = state.requests.pop(deferral.sequence, None)
--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -67,7 +67,7 @@
         while len(self.requests) > MAX_PENDING_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
-    def note_heard(self, partitioned: bool) -> None:
+    def note_answer(self, partitioned: bool) -> None:
         """Note an answer, and whether the peer has lost the key-value store."""
         self.heard_at, self.partitioned = now_us(), partitioned
 
