--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -53,7 +53,7 @@
     def all_peers_partitioned(self) -> bool:
         """Whether peers have answered lately, and all of these have lost the key-value store."""
         recent = now_us() - self.session.ttl_us
-        states = [link.state for link in self.links if link.state.heard_at > recent]
+        states = [link.state for link in self.links if link.state.answered_at > recent]
         return bool(states) and all(state.partitioned for state in states)
 
     async def _request(self, link: PeerLink) -> None:
--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -57,7 +57,7 @@
         self.deferred_until = 0
         # A deferral that was granted to an earlier incarnation of ours is worth nothing.
         self.deferred_incarnation = ""
-        self.heard_at = 0  # the last answer
+        self.answered_at = 0  # the last answer
         self.partitioned = False  # whether the peer had lost the key-value store then
         self.confirmed_span: ConfirmedSpan | None = None
 
@@ -69,7 +69,7 @@
 
     def note_answer(self, partitioned: bool) -> None:
         """Note an answer, and whether the peer has lost the key-value store."""
-        self.heard_at, self.partitioned = now_us(), partitioned
+        self.answered_at, self.partitioned = now_us(), partitioned
 
     def note_confirmed(self, span: ConfirmedSpan) -> None:
         """Note that the peer has named all cancellations of a span."""
