--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -119,7 +119,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, self.protocol = await loop.create_connection(
-                    lambda: FrameProtocol(self._received, self._lost), host, int(port)
+                    lambda: FrameProtocol(self._on_frame, self._lost), host, int(port)
                 )
         except (OSError, TimeoutError) as fault:
             log.debug("no connection to peer %s: %s", self.peer.member, fault or "no answer")
@@ -130,7 +130,7 @@
         if self.protocol is protocol:
             self.protocol = None
 
-    def _received(self, _protocol: FrameProtocol, body: bytes) -> None:
+    def _on_frame(self, _protocol: FrameProtocol, body: bytes) -> None:
         message = self.reader.read(body)
         if isinstance(message, FailoverDeferral) and message.name == self.peer.member:
             self.on_answer(self, message)
--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -49,13 +49,13 @@
         await listen(self._accept, self.address)
 
     def _accept(self) -> FrameProtocol:
-        protocol = FrameProtocol(self._received, self.connections.discard)
+        protocol = FrameProtocol(self._on_frame, self.connections.discard)
         self.connections.add(protocol)
         if len(self.connections) > MAX_CONNECTIONS:
             self.connections.pop().close()
         return protocol
 
-    def _received(self, protocol: FrameProtocol, body: bytes) -> None:
+    def _on_frame(self, protocol: FrameProtocol, body: bytes) -> None:
         match self.reader.read(body):
             case DeferralRequest() as request if request.name in self.peer_names:
                 protocol.send(encode(self._deferral(request)))
