--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -119,14 +119,14 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, self.protocol = await loop.create_connection(
-                    lambda: FrameProtocol(self._on_frame, self._lost), host, int(port)
+                    lambda: FrameProtocol(self._on_frame, self._on_connection_lost), host, int(port)
                 )
         except (OSError, TimeoutError) as fault:
             log.debug("no connection to peer %s: %s", self.peer.member, fault or "no answer")
         finally:
             self.connecting = False
 
-    def _lost(self, protocol: FrameProtocol) -> None:
+    def _on_connection_lost(self, protocol: FrameProtocol) -> None:
         if self.protocol is protocol:
             self.protocol = None
 
