--- a/basaltlead/cluster/cancellation_exchange.py
+++ b/basaltlead/cluster/cancellation_exchange.py
@@ -36,7 +36,7 @@
         self.on_cancelled = on_cancelled
         self.on_confirmed = on_confirmed
 
-    def learn(self, refs: Iterable[str]) -> None:
+    def add_reported(self, refs: Iterable[str]) -> None:
         """Take in the cancelled jobs that a peer names."""
         for ref in refs:
             if self.cancellations.add(ref, now_us()):
--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -82,7 +82,7 @@
         if request is None:
             return
         if deferral.cancelled is not None and request.cancellations_as_of is not None:
-            self.exchange.learn(deferral.cancelled)
+            self.exchange.add_reported(deferral.cancelled)
             if now_us() - request.sent_at <= MAX_ROUND_TRIP_US:
                 state.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -60,7 +60,7 @@
             case DeferralRequest() as request if request.name in self.peer_names:
                 protocol.send(encode(self._deferral(request)))
             case CancellationNotice(refs):
-                self.exchange.learn(refs)
+                self.exchange.add_reported(refs)
             case (DutiesQuestion() | HistoryQuestion()) as question:
                 self._start_reply(protocol, question)
 
