--- a/basaltlead/cluster/cancellation_exchange.py
+++ b/basaltlead/cluster/cancellation_exchange.py
@@ -24,15 +24,15 @@
     def __init__(
         self,
         cancellations: Cancellations,
-        as_of: Callable[[], int | None],
+        cancellations_as_of: Callable[[], int | None],
         on_cancelled: Callable[[str], None],
         on_confirmed: Callable[[int, int], None],
     ) -> None:
-        """`as_of` gives the time up to which all shards of this controller know all cancellations,
+        """`cancellations_as_of` gives the time up to which all shards of this controller know all cancellations,
         None without a shard. `on_cancelled` gets a job that a peer names as cancelled, and
         `on_confirmed` the beginning and end of a span of which all peers have named everything."""
         self.cancellations = cancellations
-        self.as_of = as_of
+        self.cancellations_as_of = cancellations_as_of
         self.on_cancelled = on_cancelled
         self.on_confirmed = on_confirmed
 
