--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -22,7 +22,7 @@
 # A candidate waits for that long for each one before it in the failover order: well above the time
 # by which the watches of controllers differ, well below what a failover may take.
 CLAIM_STEP_US = 150_000
-PAUSE_S = 0.5  # between two passes, should nothing have changed
+POLL_INTERVAL_S = 0.5  # between two passes, should nothing have changed
 # Pauses after a transaction that failed, drawn at random so that candidates do not collide again.
 CONFLICT_PAUSE_S = (0.02, 0.1)
 FAULT_PAUSE_S = (0.1, 0.4)
@@ -39,10 +39,10 @@
     async def run(self) -> None:
         """Claim the leader's key whenever it is vacant, and as leader grant what nobody holds;
         never returns."""
-        pause_s = PAUSE_S
+        pause_s = POLL_INTERVAL_S
         while True:
             await wait_for_event(self.membership.wake, pause_s)
-            pause_s = PAUSE_S
+            pause_s = POLL_INTERVAL_S
             if self.membership.cluster.leader_alive:
                 self.vacant_since = None
             if (
@@ -68,12 +68,12 @@
             now_us() < self.membership.claim_cooldown_until
             and len(self.membership.cluster.members) > 1
         ):
-            return PAUSE_S
+            return POLL_INTERVAL_S
         turn_in_us = self._turn_us() - now_us()
         if turn_in_us > 0:
-            return min(PAUSE_S, turn_in_us / 1e6)
+            return min(POLL_INTERVAL_S, turn_in_us / 1e6)
         await self._claim()
-        return PAUSE_S
+        return POLL_INTERVAL_S
 
     def _turn_us(self) -> int:
         """When it is this candidate's turn to claim the leadership. Every member's turn comes in
