--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -21,7 +21,7 @@
 
 # A candidate waits for that long for each one before it in the failover order: well above the time
 # by which the watches of controllers differ, well below what a failover may take.
-CLAIM_STEP_US = 150_000
+CLAIM_STAGGER_US = 150_000
 POLL_INTERVAL_S = 0.5  # between two passes, should nothing have changed
 # Pauses after a transaction that failed, drawn at random so that candidates do not collide again.
 CONFLICT_PAUSE_S = (0.02, 0.1)
@@ -83,7 +83,7 @@
         if not self.membership.cluster.previous_shard_leader:
             return self.vacant_since
         place = self.membership.cluster.failover_order().index(self.membership.name)
-        return self.vacant_since + place * CLAIM_STEP_US
+        return self.vacant_since + place * CLAIM_STAGGER_US
 
     async def _claim(self) -> None:
         cluster = self.membership.cluster
