--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -25,7 +25,7 @@
 POLL_INTERVAL_S = 0.5  # between two passes, should nothing have changed
 # Pauses after a transaction that failed, drawn at random so that candidates do not collide again.
 CONFLICT_PAUSE_S = (0.02, 0.1)
-FAULT_PAUSE_S = (0.1, 0.4)
+FAILURE_PAUSE_S = (0.1, 0.4)
 
 
 class LeaderElection:
@@ -60,7 +60,7 @@
                 await asyncio.sleep(self.membership.chance.uniform(*CONFLICT_PAUSE_S))
             except ServiceError as fault:
                 log.debug("claim or grant not made: %s", fault)
-                await asyncio.sleep(self.membership.chance.uniform(*FAULT_PAUSE_S))
+                await asyncio.sleep(self.membership.chance.uniform(*FAILURE_PAUSE_S))
 
     async def _claim_in_turn(self) -> float:
         """Claim the leadership if it is our turn; how many seconds to wait until the next pass."""
