--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -22,7 +22,7 @@
 from basaltlead.core.cluster_view import ClusterView, member_key
 from basaltlead.wire.store import Precondition
 
-SERVICES = 1  # the version that knows services
+SERVICES_VERSION = 1  # the version that knows services
 DUTIES = 2  # the version whose duties are granted on their own
 CURRENT = DUTIES
 
@@ -30,7 +30,7 @@
 def record_version(duties: bool) -> int:
     """The version that a member key names. A controller on which duties are switched off leaves
     them to the shard leaders, like one from before duties, and so names that one's version."""
-    return CURRENT if duties else SERVICES
+    return CURRENT if duties else SERVICES_VERSION
 
 
 def duties_allowed(cluster: ClusterView) -> bool:
@@ -48,7 +48,7 @@
 def services_allowed(cluster: ClusterView) -> bool:
     """Whether services may be accepted, as far as known: not alongside a member that can't read
     them."""
-    return _all_members_know(cluster, SERVICES)
+    return _all_members_know(cluster, SERVICES_VERSION)
 
 
 def member_preconditions(cluster: ClusterView, names: Iterable[str]) -> list[Precondition]:
