--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -23,8 +23,8 @@
 from basaltlead.wire.store import Precondition
 
 SERVICES_VERSION = 1  # the version that knows services
-DUTIES = 2  # the version whose duties are granted on their own
-CURRENT = DUTIES
+DUTIES_VERSION = 2  # the version whose duties are granted on their own
+CURRENT = DUTIES_VERSION
 
 
 def record_version(duties: bool) -> int:
@@ -37,7 +37,7 @@
     """Whether duties may be granted on their own, as far as known. Beside a member that does not
     know them they stay with the shard leaders: it would neither read an intent nor leave it
     alone."""
-    return _all_members_know(cluster, DUTIES)
+    return _all_members_know(cluster, DUTIES_VERSION)
 
 
 def _all_members_know(cluster: ClusterView, version: int) -> bool:
