--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -24,13 +24,13 @@
 
 SERVICES_VERSION = 1  # the version that knows services
 DUTIES_VERSION = 2  # the version whose duties are granted on their own
-CURRENT = DUTIES_VERSION
+CURRENT_VERSION = DUTIES_VERSION
 
 
 def record_version(duties: bool) -> int:
     """The version that a member key names. A controller on which duties are switched off leaves
     them to the shard leaders, like one from before duties, and so names that one's version."""
-    return CURRENT if duties else SERVICES_VERSION
+    return CURRENT_VERSION if duties else SERVICES_VERSION
 
 
 def duties_allowed(cluster: ClusterView) -> bool:
