--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -37,10 +37,10 @@
     """Whether duties may be granted on their own, as far as known. Beside a member that does not
     know them they stay with the shard leaders: it would neither read an intent nor leave it
     alone."""
-    return _all_members_know(cluster, DUTIES_VERSION)
+    return _all_members_support(cluster, DUTIES_VERSION)
 
 
-def _all_members_know(cluster: ClusterView, version: int) -> bool:
+def _all_members_support(cluster: ClusterView, version: int) -> bool:
     versions = [member.value.version for member in cluster.members.values()]
     return bool(versions) and min(versions) >= version
 
@@ -48,7 +48,7 @@
 def services_allowed(cluster: ClusterView) -> bool:
     """Whether services may be accepted, as far as known: not alongside a member that can't read
     them."""
-    return _all_members_know(cluster, SERVICES_VERSION)
+    return _all_members_support(cluster, SERVICES_VERSION)
 
 
 def member_preconditions(cluster: ClusterView, names: Iterable[str]) -> list[Precondition]:
