--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -112,7 +112,7 @@
         """The job's cancellation was confirmed to its user."""
         self.open_jobs.close(ref)
 
-    def hears_nobody(self) -> bool:
+    def is_isolated(self) -> bool:
         """Have all machines been silent for too long, while other controllers live? Then it is
         more likely our own links that fail, and another controller should lead the shard."""
         members = self.context.membership.cluster.members
--- a/basaltlead/shard/registry.py
+++ b/basaltlead/shard/registry.py
@@ -48,7 +48,7 @@
     async def release_stepped_down(self) -> None:
         """Release shards whose leader stepped down, or hears no machine, for others to acquire."""
         for number, leader in list(self.leaders.items()):
-            if not leader.lease.stepped_down and leader.hears_nobody():
+            if not leader.lease.stepped_down and leader.is_isolated():
                 log.info("shard %d: no heartbeat for too long, stepping down", number)
                 leader.lease.end()
             if leader.lease.stepped_down:
