--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -26,7 +26,7 @@
 from basaltlead.wire.workers import Heartbeat
 
 MACHINE_TYPES_PAUSE_S = 0.05  # between two checks whether the machine types are known
-MIN_HEARTBEAT_PATIENCE_US = 3 * US
+MIN_SILENCE_TIMEOUT_US = 3 * US
 FIRST_HEARTBEAT_PATIENCE_US = 9 * US  # workers that lost their controller find us within that
 
 
@@ -120,7 +120,7 @@
             return False
         now = now_us()
         heartbeat_interval_us = self.shard.timing.heartbeat_interval_us
-        patience = max(MIN_HEARTBEAT_PATIENCE_US, int(heartbeat_interval_us * 2.5))
+        patience = max(MIN_SILENCE_TIMEOUT_US, int(heartbeat_interval_us * 2.5))
         if self.dispatcher.heard_at:
             known = sum(
                 1
