--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -27,7 +27,7 @@
 
 MACHINE_TYPES_PAUSE_S = 0.05  # between two checks whether the machine types are known
 MIN_SILENCE_TIMEOUT_US = 3 * US
-FIRST_HEARTBEAT_PATIENCE_US = 9 * US  # workers that lost their controller find us within that
+FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within that
 
 
 class ShardLeader:
@@ -128,7 +128,7 @@
                 if machine.synced and not machine.lost and not machine.terminating
             )
             return known > 1 and now - self.dispatcher.heard_at > patience
-        first_patience = FIRST_HEARTBEAT_PATIENCE_US + heartbeat_interval_us
+        first_patience = FIRST_HEARTBEAT_TIMEOUT_US + heartbeat_interval_us
         return len(self.shard.unsynced) > 1 and now - self.shard.acquired_at > first_patience
 
 
