--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -120,14 +120,14 @@
             return False
         now = now_us()
         heartbeat_interval_us = self.shard.timing.heartbeat_interval_us
-        patience = max(MIN_SILENCE_TIMEOUT_US, int(heartbeat_interval_us * 2.5))
+        silence_timeout = max(MIN_SILENCE_TIMEOUT_US, int(heartbeat_interval_us * 2.5))
         if self.dispatcher.heard_at:
             known = sum(
                 1
                 for machine in self.shard.machines.values()
                 if machine.synced and not machine.lost and not machine.terminating
             )
-            return known > 1 and now - self.dispatcher.heard_at > patience
+            return known > 1 and now - self.dispatcher.heard_at > silence_timeout
         first_patience = FIRST_HEARTBEAT_TIMEOUT_US + heartbeat_interval_us
         return len(self.shard.unsynced) > 1 and now - self.shard.acquired_at > first_patience
 
