--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -128,8 +128,10 @@
                 if machine.synced and not machine.lost and not machine.terminating
             )
             return known > 1 and now - self.dispatcher.heard_at > silence_timeout
-        first_patience = FIRST_HEARTBEAT_TIMEOUT_US + heartbeat_interval_us
-        return len(self.shard.unsynced) > 1 and now - self.shard.acquired_at > first_patience
+        first_heartbeat_timeout = FIRST_HEARTBEAT_TIMEOUT_US + heartbeat_interval_us
+        return (
+            len(self.shard.unsynced) > 1 and now - self.shard.acquired_at > first_heartbeat_timeout
+        )
 
 
 def new_shard(settings: Settings, lease: ShardLease) -> Shard:
