--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -25,7 +25,7 @@
 from basaltlead.shard.results import ResultWriter
 from basaltlead.wire.workers import Heartbeat
 
-MACHINE_TYPES_PAUSE_S = 0.05  # between two checks whether the machine types are known
+MACHINE_TYPES_POLL_INTERVAL_S = 0.05  # between two checks whether the machine types are known
 MIN_SILENCE_TIMEOUT_US = 3 * US
 FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within that
 
@@ -96,7 +96,7 @@
         backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
         while True:
             if not self.context.machine_types:  # without them no machine's room is known
-                await asyncio.sleep(MACHINE_TYPES_PAUSE_S)
+                await asyncio.sleep(MACHINE_TYPES_POLL_INTERVAL_S)
                 continue
             try:
                 return await self.loader.load(self.heartbeats.answered_at)
