--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -81,7 +81,7 @@
         for address in list(self.workers.pools):
             self.workers.forget(address)
 
-    def note_heard(self, now: int) -> None:
+    def note_contact(self, now: int) -> None:
         """A machine has shown our fencing token."""
         self.last_contact_at = now
 
@@ -222,7 +222,7 @@
                 epoch = heartbeat.epoch
                 if executed and self.lease.holds_valid_lease:
                     self.shard.answer(heartbeat, now_us())
-                    self.note_heard(now_us())
+                    self.note_contact(now_us())
                     if machine.synced and not machine.recorded:
                         self.record(machine)
                     self.context.wake.set()
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -84,7 +84,7 @@
     def _after_heartbeat(self, machine: Machine, shows_token: bool, now: int) -> None:
         """Record a machine that is new, and probe one that may not receive our commands."""
         if shows_token:
-            self.dispatcher.note_heard(now)
+            self.dispatcher.note_contact(now)
             if not machine.recorded:
                 self.dispatcher.record(machine)
         if machine.unreachable_since or not machine.synced:
