--- a/basaltlead/shard/arrivals.py
+++ b/basaltlead/shard/arrivals.py
@@ -5,7 +5,7 @@
 
 from basaltlead.core.jobs import Job
 
-REMEMBERED_ARRIVALS = 200  # of each class
+MAX_ARRIVALS_PER_CLASS = 200  # of each class
 
 
 class Arrival(NamedTuple):
@@ -21,7 +21,7 @@
 
     def __init__(self, job: Job) -> None:
         self.last_job = job
-        self.recent: deque[Arrival] = deque(maxlen=REMEMBERED_ARRIVALS)
+        self.recent: deque[Arrival] = deque(maxlen=MAX_ARRIVALS_PER_CLASS)
 
 
 class ArrivalHistory:
