--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -42,7 +42,7 @@
     def load(self, rows: list[Row], requested_at: int) -> None:
         """Take in the first listing, which was requested at that time."""
         for row in rows:
-            self.take_row(row.key, row.value, row.version, now_us())
+            self.apply_row(row.key, row.value, row.version, now_us())
         self.context.lease.cancellations_listed(requested_at)
 
     def finish_loading(self) -> None:
@@ -55,7 +55,7 @@
         watch = KeyWatch(self.context.store.client, OPEN, watch_timeout_ms, revision)
         await watch.run(self._relist, self._apply, self._after_read)
 
-    def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
+    def apply_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
         """Take in a row under `open/`: a job, or results of some of its tasks."""
         ref, part = split_open(key)
         job_state = self.shard.job_states.get(ref)
@@ -89,7 +89,7 @@
 
     def _apply(self, change: Change) -> None:
         if change.put is not None:
-            self.take_row(change.put, change.value, change.version, now_us())
+            self.apply_row(change.put, change.value, change.version, now_us())
         elif change.drop is not None:
             ref, part = split_open(change.drop)
             if part is None:
@@ -98,7 +98,7 @@
     def _relist(self, rows: list[Row]) -> None:
         listed = {split_open(row.key)[0] for row in rows}
         for row in rows:
-            self.take_row(row.key, row.value, row.version, now_us())
+            self.apply_row(row.key, row.value, row.version, now_us())
         for ref in [ref for ref in self.shard.job_states if ref not in listed]:
             self.close(ref)
 
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -18,7 +18,7 @@
 class OldOpenJobsWatch(OpenJobsWatch):
     """Takes a service for an array, and of a chunk row sees an empty list."""
 
-    def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
+    def apply_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
         _, part = split_open(key)
         if part is None:
             stored = msgspec.json.decode(raw, type=old_schemas.StoredJob)
@@ -26,7 +26,7 @@
         elif part[0] >= CHUNK_SHARDS:
             assert not msgspec.json.decode(raw, type=old_schemas.Progress).done
             return
-        super().take_row(key, raw, version, now)
+        super().apply_row(key, raw, version, now)
 
 
 class OldShardLeader(ShardLeader):
