--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -39,15 +39,15 @@
     def load(self, rows: list[Row], watch_from: int) -> None:
         """Take in the stored assignments, which are to be followed from a revision on."""
         self._watch_from = watch_from
-        self._take_all(rows)
+        self._apply_rows(rows)
 
     async def follow(self) -> None:
         """Follow which of the jobs' tasks are ours to start."""
         watch_timeout_ms = self.context.membership.watch_timeout_ms
         watch = KeyWatch(self.context.store.client, ASSIGNMENT, watch_timeout_ms, self._watch_from)
-        await watch.run(self._take_all, self._apply)
+        await watch.run(self._apply_rows, self._apply)
 
-    def _take_all(self, rows: list[Row]) -> None:
+    def _apply_rows(self, rows: list[Row]) -> None:
         for row in rows:
             self._take(row.key, row.value, row.version)
 
