--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -49,15 +49,15 @@
 
     def _apply_rows(self, rows: list[Row]) -> None:
         for row in rows:
-            self._take(row.key, row.value, row.version)
+            self._apply_row(row.key, row.value, row.version)
 
     def _apply(self, change: Change) -> None:
         if change.put is not None:
-            self._take(change.put, change.value, change.version)
+            self._apply_row(change.put, change.value, change.version)
         elif change.drop is not None:
             self._assignments.pop(change.drop[len(ASSIGNMENT) :], None)
 
-    def _take(self, key: str, raw: msgspec.Raw, version: int) -> None:
+    def _apply_row(self, key: str, raw: msgspec.Raw, version: int) -> None:
         ref = key[len(ASSIGNMENT) :]
         known = self._assignments.get(ref)
         if known is not None and known.version > version:
@@ -100,7 +100,7 @@
         finally:
             self._handing_over.discard(ref)
         if row is not None and ref in self.shard.job_states:
-            self._take(row.key, row.value, row.version)
+            self._apply_row(row.key, row.value, row.version)
 
     def _has_orphaned_attempts(self, ref: str) -> bool:
         return any(
