--- a/basaltlead/shard/store.py
+++ b/basaltlead/shard/store.py
@@ -40,8 +40,8 @@
 
         Raises the errors of `KeyValueStore.compare_and_swap`.
         """
-        guarded = [*self.lease.preconditions(), *preconditions]
-        return await self.client.compare_and_swap(guarded, changes, low_priority)
+        all_preconditions = [*self.lease.preconditions(), *preconditions]
+        return await self.client.compare_and_swap(all_preconditions, changes, low_priority)
 
     async def put(self, rows: dict[str, Any], preconditions: Iterable[Precondition] = ()) -> None:
         """Write rows that are written again and again.
