--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -97,11 +97,11 @@
         rows = self.context.layout.keys(ref, job_state.job.tasks, shards)
         if self.context.sharded:
             rows.insert(0, ASSIGNMENT + ref)
-        room = self.context.store.limits.operations - FINAL_OPERATIONS
+        max_drops = self.context.store.limits.operations - FINAL_OPERATIONS
         final = Final("done", job_state.job.tasks)
         try:
             await self.context.store.commit(
-                [Put(OVER + ref, final), Drop(OPEN + ref), *map(Drop, rows[:room])],
+                [Put(OVER + ref, final), Drop(OPEN + ref), *map(Drop, rows[:max_drops])],
                 [Precondition(OPEN + ref, job_state.version), Precondition(OVER + ref, 0)],
             )
         except PreconditionFailed as conflict:
@@ -117,8 +117,8 @@
         for key in rows:
             self.context.store.versions.pop(key, None)
         self.close(job_state)
-        if rows[room:]:
-            await self._sweep(ref, rows[room:])
+        if rows[max_drops:]:
+            await self._sweep(ref, rows[max_drops:])
 
     def close(self, job_state: JobState) -> None:
         """A job is over or cancelled: stop what runs of it, and drop what is left of its rows."""
