--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -82,8 +82,8 @@
             self.vacant_since = now_us()
         if not self.membership.cluster.previous_shard_leader:
             return self.vacant_since
-        place = self.membership.cluster.failover_order().index(self.membership.name)
-        return self.vacant_since + place * CLAIM_STAGGER_US
+        position = self.membership.cluster.failover_order().index(self.membership.name)
+        return self.vacant_since + position * CLAIM_STAGGER_US
 
     async def _claim(self) -> None:
         cluster = self.membership.cluster
