--- a/basaltlead/cluster/cluster_watch.py
+++ b/basaltlead/cluster/cluster_watch.py
@@ -39,13 +39,13 @@
         watch = KeyWatch(self.store, PREFIX, self.hold_ms)
         await watch.run(self._load, self._apply, self._after_read)
 
-    def note_member(self, claim: Claim, version: int) -> None:
+    def note_member(self, member_record: Claim, version: int) -> None:
         """Take in a member record that this process has written itself."""
-        self.view.note_member(claim, version)
+        self.view.note_member(member_record, version)
 
-    def note_leader(self, claim: Claim, version: int) -> None:
+    def note_leader(self, member_record: Claim, version: int) -> None:
         """Take in a leader record that this process has written itself."""
-        self.view.note_leader(claim, version)
+        self.view.note_leader(member_record, version)
 
     def _after_read(self, _sent_at: int, has_changes: bool) -> None:
         self.session.note_contact()
--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -98,11 +98,11 @@
                 preconditions.append(
                     Precondition(member_key(previous.name), cluster.member_version(previous.name))
                 )
-        claim = self.membership.session.claim()
+        member_record = self.membership.session.member_record()
         version = await self.membership.store.compare_and_swap(
-            preconditions, [Put(LEADER, claim, self.membership.session.lease)]
+            preconditions, [Put(LEADER, member_record, self.membership.session.lease)]
         )
-        self.membership.watch.note_leader(claim, version)
+        self.membership.watch.note_leader(member_record, version)
         log.info("leading as %s/%s", self.membership.name, self.membership.incarnation)
         self.membership.wake.set()
 
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -133,8 +133,8 @@
         self.wake.set()
         self.on_change()
 
-    def _joined(self, claim: Claim, version: int) -> None:
-        self.watch.note_member(claim, version)
+    def _joined(self, member_record: Claim, version: int) -> None:
+        self.watch.note_member(member_record, version)
         self.notify()
 
     async def release(self, key: str, release_leadership: bool) -> bool:
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -72,7 +72,7 @@
         user is of no use."""
         return now_us() - self.last_contact_at > self.ttl_us
 
-    def claim(self) -> Claim:
+    def member_record(self) -> Claim:
         """What our member key and, when we lead, the leader's key contain."""
         return Claim(self.name, self.incarnation, self.record_version)
 
@@ -125,15 +125,15 @@
         lease = await self.store.create_lease(self.ttl_us)
         old = await self.store.get(member_key(self.name))
         incarnation = f"{chance.getrandbits(INCARNATION_BITS):012x}"
-        claim = Claim(self.name, incarnation, self.record_version)
+        member_record = Claim(self.name, incarnation, self.record_version)
         # On condition of what the key held, so that a late copy of this very request from an
         # earlier incarnation can't overwrite the record of a later one.
         version = await self.store.compare_and_swap(
             [Precondition(member_key(self.name), old.version if old else 0)],
-            [Put(member_key(self.name), claim, lease)],
+            [Put(member_key(self.name), member_record, lease)],
         )
         self.lease, self.incarnation, self.version = lease, incarnation, version
         self.renewed_until = session_validity_end(sent, self.ttl_us)
         self.note_contact()
         log.info("joined as %s/%s, version %d", self.name, incarnation, self.record_version)
-        self.on_joined(claim, version)
+        self.on_joined(member_record, version)
