--- a/basaltlead/cluster/cluster_watch.py
+++ b/basaltlead/cluster/cluster_watch.py
@@ -1,4 +1,4 @@
-"""The view of the cluster, kept current by a watch on its keys."""
+"""The view of the cluster, kept up to date by a watch on its keys."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class ClusterWatch:
-    """Follows the keys of the cluster; `view` is what they say."""
+    """Watches the keys of the cluster; `view` holds what they contain."""
 
     def __init__(
         self,
@@ -26,8 +26,8 @@
         session: SessionLeaseKeeper,
         on_update: Callable[[], None],
     ) -> None:
-        """`hold_ms` is how long the key-value store may hold a watch without news; `on_update` is
-        called after each change of the view that the watch brings."""
+        """`hold_ms` is how long the key-value store may hold a watch request while nothing changes;
+        `on_update` is called after each read that changes the view."""
         self.store = store
         self.hold_ms = hold_ms
         self.session = session
@@ -35,16 +35,16 @@
         self.view = ClusterView()
 
     async def follow(self) -> None:
-        """Follow the keys of the cluster; never returns."""
+        """Watch the keys of the cluster; never returns."""
         watch = KeyWatch(self.store, PREFIX, self.hold_ms)
         await watch.run(self._load, self._apply, self._after_read)
 
     def note_member(self, member_record: Claim, version: int) -> None:
-        """Take in a member record that this process has written itself."""
+        """Add a member record that this process has written itself to the view."""
         self.view.note_member(member_record, version)
 
     def note_leader(self, member_record: Claim, version: int) -> None:
-        """Take in a leader record that this process has written itself."""
+        """Add a leader record that this process has written itself to the view."""
         self.view.note_leader(member_record, version)
 
     def _after_read(self, _sent_at: int, has_changes: bool) -> None:
@@ -56,8 +56,8 @@
     def _rejoin_if_replaced(self) -> None:
         """Give up the session if our member key is gone, or another incarnation has written it.
 
-        A view that is older than our key, and so doesn't show it, proves nothing: only a key of a
-        later version does.
+        A record with an earlier version than our key comes from an outdated view and proves
+        nothing.
         """
         member = self.view.members.get(self.session.name)
         if (
@@ -65,11 +65,11 @@
             and (member is None or member.value.incarnation != self.session.incarnation)
             and (member is None or member.version > self.session.version)
         ):
-            log.info("our member key is gone, joining anew")
+            log.info("member key was deleted or overwritten, rejoining")
             self.session.leave()
 
     def _load(self, rows: list[Row]) -> None:
-        """Begin the view anew from a list of all rows, which may be older than our own key."""
+        """Rebuild the view from a listing of all rows, which may be older than our member key."""
         member = self.view.members.get(self.session.name)
         self.view = ClusterView()
         if member is not None and self.session.version:
