--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -1,4 +1,4 @@
-"""Leader election, and the grants of shards and duties that the leader makes."""
+"""Leader election, and the granting of shards and duties by the leader."""
 
 import asyncio
 
@@ -19,26 +19,26 @@
 from basaltlead.runtime.logs import log
 from basaltlead.wire.store import Precondition, Put
 
-# A candidate waits for that long for each one before it in the failover order: well above the time
-# by which the watches of controllers differ, well below what a failover may take.
+# Delay of a candidate's claim for each candidate before it in the failover order: well above the
+# time by which the watches of controllers differ, well below the time that a failover may take.
 CLAIM_STAGGER_US = 150_000
-POLL_INTERVAL_S = 0.5  # between two passes, should nothing have changed
-# Pauses after a transaction that failed, drawn at random so that candidates do not collide again.
+POLL_INTERVAL_S = 0.5  # between two passes if nothing has changed
+# Ranges of the random pause after a failed transaction: candidates must not collide again.
 CONFLICT_PAUSE_S = (0.02, 0.1)
 FAILURE_PAUSE_S = (0.1, 0.4)
 
 
 class LeaderElection:
-    """Claims the leader's key when no living controller has it, and as leader grants shards and
+    """Claims the leadership when no living controller has it, and as leader grants shards and
     duties."""
 
     def __init__(self, membership: Membership) -> None:
         self.membership = membership
-        self.vacant_since: int | None = None  # since when no leader is known to live
+        self.vacant_since: int | None = None  # None while a living leader is known
 
     async def run(self) -> None:
-        """Claim the leader's key whenever it is vacant, and as leader grant what nobody holds;
-        never returns."""
+        """Claim the leadership whenever it is vacant, and as leader grant the shards and duties
+        that nobody holds; never returns."""
         pause_s = POLL_INTERVAL_S
         while True:
             await wait_for_event(self.membership.wake, pause_s)
@@ -56,14 +56,14 @@
                 elif self.membership.is_leader:
                     await self._grant_vacant()
             except PreconditionFailed as conflict:
-                log.debug("claim or grant not made: %s changed meanwhile", conflict)
+                log.debug("claim or grant failed: %s changed concurrently", conflict)
                 await asyncio.sleep(self.membership.chance.uniform(*CONFLICT_PAUSE_S))
             except ServiceError as fault:
-                log.debug("claim or grant not made: %s", fault)
+                log.debug("claim or grant failed: %s", fault)
                 await asyncio.sleep(self.membership.chance.uniform(*FAILURE_PAUSE_S))
 
     async def _claim_in_turn(self) -> float:
-        """Claim the leadership if it is our turn; how many seconds to wait until the next pass."""
+        """Claim the leadership if it is our turn. Returns the seconds until the next pass."""
         if (
             now_us() < self.membership.claim_cooldown_until
             and len(self.membership.cluster.members) > 1
@@ -76,8 +76,8 @@
         return POLL_INTERVAL_S
 
     def _turn_us(self) -> int:
-        """When it is this candidate's turn to claim the leadership. Every member's turn comes in
-        the end, since the member key of one before it may outlive its process for a while."""
+        """When it is this candidate's turn to claim the leadership. Every candidate gets a turn,
+        since the member keys of those before it may outlive their processes for a while."""
         if self.vacant_since is None:
             self.vacant_since = now_us()
         if not self.membership.cluster.previous_shard_leader:
@@ -94,7 +94,8 @@
             previous = cluster.leader.value
             preconditions.append(Precondition(LEADER, cluster.leader.version))
             if previous.name != self.membership.name:
-                # Its member key, gone or changed, is the proof that the old leader's lease ended.
+                # Proves that the previous leader's lease has ended: this key is gone or has
+                # changed.
                 preconditions.append(
                     Precondition(member_key(previous.name), cluster.member_version(previous.name))
                 )
@@ -103,11 +104,11 @@
             preconditions, [Put(LEADER, member_record, self.membership.session.lease)]
         )
         self.membership.watch.note_leader(member_record, version)
-        log.info("leading as %s/%s", self.membership.name, self.membership.incarnation)
+        log.info("elected leader as %s/%s", self.membership.name, self.membership.incarnation)
         self.membership.wake.set()
 
     async def _grant_vacant(self) -> None:
-        """Grant the shards that no living controller holds, then such duties."""
+        """Grant the shards, then the duties, that no living controller holds."""
         keys = list(self.membership.shard_keys)
         if self.membership.duties_granted:
             keys += self.membership.duty_keys
@@ -129,12 +130,12 @@
             Precondition(FENCING_TOKEN, last_token.version),
             Precondition(key, held.version if held else 0),
         ]
-        # The old holder's lease has provably ended, and the new holder lives.
+        # The previous holder's lease has ended, and the new holder is alive.
         named = {held.value.name if held is not None else "", target} - {"", self.membership.name}
         preconditions += versions.member_preconditions(cluster, sorted(named))
         grant = Grant(target, cluster.members[target].value.incarnation, last_token.value.last + 1)
         if key in self.membership.duty_keys:
-            # An older member that joins in this very moment makes the grant fail.
+            # The grant fails if a member of an older version joins concurrently.
             preconditions += versions.member_preconditions(
                 cluster, cluster.members.keys() - named - {self.membership.name}
             )
@@ -142,11 +143,11 @@
         version = await self.membership.store.compare_and_swap(
             preconditions, [Put(FENCING_TOKEN, Counter(grant.fencing_token)), Put(key, grant)]
         )
-        # Into the view that the grant was decided on: a newer one may know a newer token.
+        # Update the view that the grant was based on: a newer view may have a newer token.
         cluster.note_fencing_token(Counter(grant.fencing_token), version)
         cluster.note_grant(key, grant, version)
         log.info(
-            "%s granted to %s with fencing token %d: revision %d, after the grant of revision %d",
+            "%s granted to %s with fencing token %d: revision %d, previous grant revision %d",
             grant_label(key),
             grant.name,
             grant.fencing_token,
