--- a/basaltlead/cluster/failover_deferrals.py
+++ b/basaltlead/cluster/failover_deferrals.py
@@ -1,8 +1,8 @@
 """The failover deferrals that this controller has granted, and when it may replace a holder.
 
 A shard leader that can't renew its session lease asks every other controller not to replace it for
-a short span (see lease_extension for the requesting side). That is safe only if this side keeps to
-what it granted: until a deferral is over, `may_replace` refuses.
+a short time (see lease_extension for the requesting side). That is safe only if this side honours
+the deferrals that it granted: until one is over, `may_replace` returns False.
 """
 
 from typing import NamedTuple
@@ -14,14 +14,14 @@
 
 
 class MemberIncarnation(NamedTuple):
-    """One run of one controller."""
+    """One session of one controller."""
 
     name: str
     incarnation: str
 
 
 class FailoverDeferrals:
-    """Grants deferrals, and knows when all that may have been granted to a holder are over."""
+    """Grants deferrals, and tracks when all that a holder may have been granted are over."""
 
     def __init__(self, session: SessionLeaseKeeper, watch: ClusterWatch) -> None:
         self.session = session
@@ -30,10 +30,11 @@
         self.deferred_until: dict[MemberIncarnation, int] = {}
 
     def defer_failover(self, name: str, incarnation: str, span_us: int) -> int:
-        """Defer the replacement of a shard leader for a span; the span granted, 0 for a refusal.
+        """Defer the replacement of a shard leader. Returns the granted span in microseconds, at
+        most `span_us`; 0 is a refusal.
 
-        While this controller reaches the key-value store it refuses: if the shard leader alone has
-        lost it, somebody else should serve its machines.
+        A controller that reaches the key-value store refuses: if only the shard leader has lost the
+        store, another controller should serve its machines.
         """
         members = self.watch.view.members
         replaced = bool(members) and not self.watch.view.is_alive(name, incarnation)
@@ -50,10 +51,10 @@
     def may_replace(self, held: Grant) -> bool:
         """Whether all deferrals granted to this holder are over.
 
-        That includes those that an earlier incarnation of this process may have granted: they last
-        a session lease at most, so a process waits that long (and a hundredth for the drift of
-        clocks) after its start. A holder that was replaced by its own next incarnation has no use
-        for any (test_deferrals_are_kept_and_possibly_forgotten_ones_are_waited_out).
+        That includes those that an earlier run of this process may have granted. They last a
+        session lease at most, so a process waits that long after its start, plus a hundredth for
+        clock drift. A holder that was replaced by its own next incarnation needs no deferral
+        (test_deferrals_are_kept_and_possibly_forgotten_ones_are_waited_out).
         """
         member = self.watch.view.members.get(held.name)
         if held.name == self.session.name or (
