--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -1,12 +1,12 @@
-"""Failover deferrals of the other controllers, which carry a shard leader over an outage of the
-key-value store.
+"""Extension of the session lease by failover deferrals during an outage of the key-value store.
 
-A shard leader that can't renew its session lease requests of every other controller not to replace
-it for a short span. Only one that has lost the key-value store too grants that, so a shard leader
-that alone is cut off is replaced as usual. The span counts from when it was requested, on the
-requester's own clock, and only prolongs a validity that has not ended yet: once it has, another may
-lead the shard. A controller that has just started, and may have forgotten a deferral, waits for the
-longest possible one before it replaces a shard leader whose lease ran out (see failover_deferrals).
+A shard leader that can't renew its session lease requests every other controller not to replace it
+for a short time. Only a controller that has lost the key-value store too grants that, so a shard
+leader that alone is partitioned from the store is replaced as usual. A deferral counts from when it
+was requested, on the requester's clock, and extends only a lease that is still valid: after its
+end, another controller may lead the shard. A controller that has just started may have forgotten a
+deferral, so it waits for the longest possible one before it replaces a shard leader whose lease has
+ended (see failover_deferrals).
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class LeaseExtension:
-    """Requests deferrals of all peers, and extends the validity of our lease by what they grant."""
+    """Requests deferrals from all peers, and extends the session lease by what they grant."""
 
     def __init__(
         self,
@@ -36,22 +36,23 @@
         self.sequence = 0  # of the last request
 
     async def request_deferrals(self) -> None:
-        """Request deferrals while our lease can't be renewed; never returns.
+        """Request deferrals while the session lease can't be renewed; never returns.
 
-        A shard leader needs them to go on. The other controllers request them since a controller is
-        as healthy as any while the key-value store is away for all, and the load balancer is slow
-        to trust one again that has called itself unhealthy.
+        A shard leader needs them to continue. The other controllers request them to stay healthy:
+        while the key-value store is unavailable to all, no controller is better than another, and
+        the load balancer is slow to use one again that has reported itself unhealthy.
         """
         while True:
             await asyncio.sleep(self.session.ttl_us / 10e6)
             if self.session.partitioned:
                 calls = [self._request(link) for link in self.links]
-            else:  # be ready to announce cancellations
+            else:  # keep the connections open for announcing cancellations
                 calls = [link.connect() for link in self.links]
             await asyncio.gather(*calls, return_exceptions=True)
 
     def all_peers_partitioned(self) -> bool:
-        """Whether peers have answered lately, and all of these have lost the key-value store."""
+        """Whether any peers have answered recently, and all of these have lost the key-value
+        store."""
         recent = now_us() - self.session.ttl_us
         states = [link.state for link in self.links if link.state.answered_at > recent]
         return bool(states) and all(state.partitioned for state in states)
@@ -79,7 +80,7 @@
         state = link.state
         state.note_answer(deferral.partitioned)
         if deferral.incarnation != self.session.incarnation or not self.session.version:
-            return  # the answer to an earlier incarnation of ours
+            return  # the answer to a request of an earlier incarnation
         request = state.requests.pop(deferral.sequence, None)
         if request is None:
             return
@@ -88,14 +89,14 @@
             if now_us() - request.sent_at <= MAX_ROUND_TRIP_US:
                 state.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
-        # Deferrals prolong a lease; they can't bring back one that another may have by now
+        # Deferrals extend a valid lease; after its end another controller may lead the shard
         # (test_deferrals_do_not_revive_an_ended_session_lease).
         if now_us() < self.session.valid_until and deferral.span_us > 0:
             state.note_deferral(request.sent_at, deferral)
             self._extend_lease()
 
     def _merge_confirmations(self) -> None:
-        """Pass on the span of which *all* peers have named their cancellations, if there is one."""
+        """Pass on the period for which *all* peers have reported cancellations, if there is one."""
         spans = [span for link in self.links if (span := link.state.confirmed_span) is not None]
         if spans and len(spans) == len(self.links):
             self.exchange.on_confirmed(
@@ -103,8 +104,8 @@
             )
 
     def _extend_lease(self) -> None:
-        """Extend our validity to the earliest end among all peers' deferrals: one that has granted
-        none may replace us."""
+        """Extend the lease to the earliest end of the deferrals of all peers. If any peer has
+        granted none, it may replace us, and the lease is not extended."""
         incarnation = self.session.incarnation
         states = [link.state for link in self.links]
         if states and all(state.deferred_incarnation == incarnation for state in states):
