--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -1,4 +1,4 @@
-"""This process among the controllers: its session lease, who leads, and what is granted to whom."""
+"""Membership of this controller in the cluster: its session lease, the leader, and the grants."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -24,14 +24,14 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 MAX_WATCH_TIMEOUT_MS = 4000
-CLAIM_COOLDOWN_US = 15_000_000  # after it stepped down, a controller lets others lead first
+CLAIM_COOLDOWN_US = 15_000_000  # after stepping down, a controller leaves the leadership to others
 
 
 class Membership:
-    """The cluster as the other parts of the controller need it, and the release of grants.
+    """The interface of the other components to the cluster, and the release of grants.
 
-    The session lease, the view of the cluster and the failover deferrals are kept by one
-    collaborator each.
+    `session` holds the session lease, `watch` the view of the cluster, and `deferrals` the failover
+    deferrals.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         on_change: Callable[[], None],
     ) -> None:
         """`duty_keys` are the keys of the duties that are granted in addition to the shards;
-        `on_change` is called whenever what is granted to this process may have changed."""
+        `on_change` is called whenever the grants of this process may have changed."""
         self.name = settings.member
         self.names = sorted({self.name, *(peer.member for peer in settings.known)})
         self.store = store
@@ -50,11 +50,11 @@
         self.on_change = on_change
         self.shard_keys = [shard_key(number) for number in range(settings.operator.shards)]
         self.ttl_us = settings.session_lease_us
-        # A shard leader acts no longer than a session lease after its last read of the open jobs
-        # was sent, so a watch must come back well within that.
+        # A shard leader may act only for a limited time after it sent its last read of the open
+        # jobs, a session lease at least, so a watch must return well within that.
         self.watch_timeout_ms = min(MAX_WATCH_TIMEOUT_MS, self.ttl_us // 4000)
         self.chance = chance
-        self.wake = asyncio.Event()  # set when the election should look at the cluster again
+        self.wake = asyncio.Event()  # set to have the election check the cluster again
         self.claim_cooldown_until = 0
         self.session = SessionLeaseKeeper(
             self.name,
@@ -69,7 +69,7 @@
 
     @property
     def cluster(self) -> ClusterView:
-        """The present view of the cluster."""
+        """The current view of the cluster."""
         return self.watch.view
 
     @property
@@ -79,22 +79,22 @@
 
     @property
     def incarnation(self) -> str:
-        """Of the present session; empty without one."""
+        """The incarnation of the current session; empty without a session."""
         return self.session.incarnation
 
     @property
     def version(self) -> int:
-        """Of our member key; 0 without a session."""
+        """The version of our member key; 0 without a session."""
         return self.session.version
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the key-value store has been silent for too long to serve users from it."""
+        """Whether the key-value store has not answered for too long to serve users from it."""
         return self.session.store_unreachable
 
     @property
     def is_leader(self) -> bool:
-        """Whether this very incarnation is the leader."""
+        """Whether this incarnation of this controller is the leader."""
         leader = self.cluster.leader
         return (
             leader is not None
@@ -104,7 +104,7 @@
 
     @property
     def duties_granted(self) -> bool:
-        """Whether duties are granted on their own, rather than carried out by the shard leaders."""
+        """Whether duties are granted separately, rather than carried out by the shard leaders."""
         return bool(self.duty_keys) and versions.duties_allowed(self.cluster)
 
     def precondition(self) -> Precondition:
@@ -112,7 +112,7 @@
         return self.session.precondition()
 
     def held_grant(self, key: str) -> Versioned[Grant] | None:
-        """The grant of a shard or duty to this very incarnation, with its version."""
+        """The grant of a shard or duty to this incarnation, with its version; None without one."""
         held = self.cluster.grants.get(key)
         if (
             held is None
@@ -124,11 +124,11 @@
         return held
 
     def shard_leader(self, shard: int) -> str | None:
-        """The name of the living leader of a shard, as far as known."""
+        """The name of the living leader of a shard; None if none is known."""
         return self.cluster.holder(shard_key(shard))
 
     def notify(self) -> None:
-        """The view of the cluster has changed: wake the election, and notify the parts that depend
+        """Handle a change of the cluster: wake the election, and notify the components that depend
         on grants."""
         self.wake.set()
         self.on_change()
@@ -138,8 +138,9 @@
         self.notify()
 
     async def release(self, key: str, release_leadership: bool) -> bool:
-        """Release a shard or duty, and with `release_leadership` the leadership, for others to
-        take; the caller has stopped acting for it. False if that could not be recorded."""
+        """Release a shard or duty, and with `release_leadership` also the leadership, for other
+        controllers. The caller must have stopped acting under the grant. Returns False if the
+        release could not be recorded."""
         held = self.held_grant(key)
         if held is None:
             return True
