--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -50,8 +50,8 @@
         self.on_change = on_change
         self.shard_keys = [shard_key(number) for number in range(settings.operator.shards)]
         self.ttl_us = settings.session_lease_us
-        # A shard leader may act only for a limited time after it sent its last read of the open
-        # jobs, a session lease at least, so a watch must return well within that.
+        # A shard leader may act for a limited time after it sent its last read of the open jobs.
+        # That time is at least a session lease, so a watch must return well within one.
         self.watch_timeout_ms = min(MAX_WATCH_TIMEOUT_MS, self.ttl_us // 4000)
         self.chance = chance
         self.wake = asyncio.Event()  # set to have the election check the cluster again
