--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -1,4 +1,4 @@
-"""Outgoing connections to other controllers, and the reading of their messages."""
+"""Outgoing connections to other controllers, and the decoding of their messages."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 decoder = msgspec.json.Decoder(Message)
 CONNECT_TIMEOUT_S = 1.0
-MAX_PENDING_REQUESTS = 20  # unanswered ones; an answer to an older one is of no use
+MAX_PENDING_REQUESTS = 20  # an answer to an older request is of no use
 
 
 class MessageReader:
@@ -31,52 +31,52 @@
             return decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
             if self.log_limiter.ok(now_us()):
-                log.info("malformed message of a peer: %s", fault)
+                log.info("malformed message from a peer: %s", fault)
             return None
 
 
 class SentRequest(NamedTuple):
-    """A deferral request that is not answered so far."""
+    """A deferral request that has not been answered yet."""
 
     sent_at: int
-    cancellations_as_of: int | None  # from when on it needs cancellations, if it does
+    cancellations_as_of: int | None  # None if it needs no cancellations
 
 
 class ConfirmedSpan(NamedTuple):
-    """From when until when a peer has named every cancellation that it confirmed."""
+    """A period for which a peer has reported every cancellation that it confirmed."""
 
     since: int
     until: int
 
 
 class PeerState:
-    """What the answers of one peer are good for."""
+    """Pending requests to a peer, and what it has answered."""
 
     def __init__(self) -> None:
         self.requests: dict[int, SentRequest] = {}  # by sequence number
         self.deferred_until = 0
-        # A deferral that was granted to an earlier incarnation of ours is worth nothing.
+        # A deferral that was granted to an earlier incarnation of this controller is void.
         self.deferred_incarnation = ""
-        self.answered_at = 0  # the last answer
+        self.answered_at = 0  # time of the last answer
         self.partitioned = False  # whether the peer had lost the key-value store then
         self.confirmed_span: ConfirmedSpan | None = None
 
     def note_request(self, sequence: int, request: SentRequest) -> None:
-        """Keep a request until its answer comes."""
+        """Keep a request until it is answered, or too many newer ones are pending."""
         self.requests[sequence] = request
         while len(self.requests) > MAX_PENDING_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
     def note_answer(self, partitioned: bool) -> None:
-        """Note an answer, and whether the peer has lost the key-value store."""
+        """Record an answer, and whether the peer has lost the key-value store."""
         self.answered_at, self.partitioned = now_us(), partitioned
 
     def note_confirmed(self, span: ConfirmedSpan) -> None:
-        """Note that the peer has named all cancellations of a span."""
+        """Record that the peer has reported all cancellations of a period."""
         self.confirmed_span = span
 
     def note_deferral(self, sent_at: int, deferral: FailoverDeferral) -> None:
-        """Note a granted deferral. Its span counts from when it was requested, on our own clock."""
+        """Record a granted deferral. It counts from when it was requested, on our own clock."""
         if self.deferred_incarnation != deferral.incarnation:
             self.deferred_incarnation, self.deferred_until = deferral.incarnation, 0
         until = session_validity_end(sent_at, deferral.span_us)
@@ -84,7 +84,7 @@
 
 
 class PeerLink:
-    """Our outgoing connection to one peer."""
+    """The outgoing connection to one peer."""
 
     def __init__(
         self,
@@ -105,12 +105,12 @@
         return self.protocol is not None
 
     def send(self, message: Message) -> None:
-        """Send a message if there is a connection. One whose other end does not read is closed."""
+        """Send a message if there is a connection; close it if the other end does not read."""
         if self.protocol is not None and not self.protocol.send(encode(message)):
             self.protocol.close()
 
     async def connect(self) -> None:
-        """Connect unless there is a connection; after a failure `connected` is still False."""
+        """Connect unless there is a connection. After a failure `connected` remains False."""
         if self.connecting or self.protocol is not None:
             return
         self.connecting = True
@@ -122,7 +122,7 @@
                     lambda: FrameProtocol(self._on_frame, self._on_connection_lost), host, int(port)
                 )
         except (OSError, TimeoutError) as fault:
-            log.debug("no connection to peer %s: %s", self.peer.member, fault or "no answer")
+            log.debug("connecting to peer %s failed: %s", self.peer.member, fault or "no answer")
         finally:
             self.connecting = False
 
