--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -1,4 +1,4 @@
-"""Messages that other controllers and operators send to this one."""
+"""The server for messages from other controllers and operators."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,11 +21,11 @@
 )
 
 MAX_CONNECTIONS = 16
-MAX_CONCURRENT_QUESTIONS = 4  # of operators that are being answered at a time; more get no answer
+MAX_CONCURRENT_QUESTIONS = 4  # of operators; further ones get no answer
 
 
 class PeerServer:
-    """Answers deferral requests and operators' questions, and takes in announced cancellations."""
+    """Answers deferral requests and operators' questions, and adds announced cancellations."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.reply_tasks: set[asyncio.Task[None]] = set()
 
     async def serve(self) -> None:
-        """Start to listen. Raises OSError if the address can't be used."""
+        """Start listening. Raises OSError if the address can't be used."""
         await listen(self._accept, self.address)
 
     def _accept(self) -> FrameProtocol:
