--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -1,4 +1,4 @@
-"""All exchange with the other controllers."""
+"""Communication with the other controllers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -27,22 +27,23 @@
         self.extension = LeaseExtension(settings.known, reader, membership.session, exchange)
 
     async def serve(self) -> None:
-        """Start to listen for other controllers and operators."""
+        """Start listening for other controllers and operators."""
         await self.server.serve()
 
     async def request_deferrals(self) -> None:
-        """Request deferrals while our lease can't be renewed; never returns."""
+        """Request deferrals while the session lease can't be renewed; never returns."""
         await self.extension.request_deferrals()
 
     def all_peers_partitioned(self) -> bool:
-        """Whether all peers that have answered lately have lost the key-value store."""
+        """Whether any peers have answered recently, and all of these have lost the key-value
+        store."""
         return self.extension.all_peers_partitioned()
 
     def announce_cancellation(self, ref: str) -> None:
         """Announce a cancellation just before it is confirmed to a user.
 
-        A shard leader that can't read the key-value store learns of it from us, if it can, before
-        it starts another task of the job.
+        It lets a shard leader that can't read the key-value store stop starting tasks of the job.
+        Delivery is not guaranteed.
         """
         for link in self.extension.links:
             link.send(CancellationNotice([ref]))
