--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -1,4 +1,4 @@
-"""The session lease of this process: how long it is provably valid, and how it is kept."""
+"""The session lease of this process: its creation, its renewal, and its provable validity."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,17 +11,16 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Precondition, Put
 
-MAX_RENEWAL_TIMEOUT_US = 1_500_000  # after that a renewal is tried anew
-MIN_RETRY_DELAY_US = 200_000  # users are refused without a lease, so retries are frequent
+MAX_RENEWAL_TIMEOUT_US = 1_500_000  # after that a renewal is retried
+MIN_RETRY_DELAY_US = 200_000  # short, since users are refused without a lease
 MAX_RETRY_DELAY_US = 600_000
 INCARNATION_BITS = 48
 
 
 class SessionLeaseKeeper:
-    """Keeps the session lease alive, and knows until when it is provably valid.
+    """Keeps the session lease alive, and tracks until when it is provably valid.
 
-    `holds_valid_lease` is the one test that everything that depends on the lease must pass at the
-    moment it is done
+    Every action that depends on the lease must check `holds_valid_lease` at the moment it is done
     (test_session_validity_ends_before_the_session_lease_on_any_clock,
     test_queued_command_is_not_sent_after_the_session_lease_has_ended).
     """
@@ -35,8 +34,8 @@
         on_joined: Callable[[Claim, int], None],
         on_left: Callable[[], None],
     ) -> None:
-        """`on_joined` gets the member record and its version once there is a new lease, `on_left`
-        is called once a lease is given up."""
+        """`on_joined` is called with the member record and its version once there is a new lease,
+        `on_left` once a lease is given up."""
         self.name = name
         self.store = store
         self.ttl_us = ttl_us
@@ -44,53 +43,53 @@
         self.on_joined = on_joined
         self.on_left = on_left
         self.incarnation = ""
-        self.lease = 0  # the store's number of our lease
-        self.version = 0  # of our member key; 0: we have not joined
-        self.renewed_until = 0  # how long the last renewal provably keeps the lease valid
-        self.deferred_until = 0  # how long all peers have deferred our replacement
-        self.last_contact_at = 0  # the last good answer of the key-value store
+        self.lease = 0  # the key-value store's number of the lease
+        self.version = 0  # of our member key; 0 without a session
+        self.renewed_until = 0  # until when the last renewal provably keeps it valid
+        self.deferred_until = 0  # until when all peers have deferred our replacement
+        self.last_contact_at = 0  # time of the last successful response of the store
 
     @property
     def holds_valid_lease(self) -> bool:
-        """Whether an action at this moment is provably covered by the lease or the deferrals."""
+        """Whether an action at this moment is provably covered by the lease or by deferrals."""
         now = now_us()
         return self.version > 0 and (now < self.renewed_until or now < self.deferred_until)
 
     @property
     def valid_until(self) -> int:
-        """The end of the validity as far as it is known now."""
+        """The end of the validity that is known so far."""
         return max(self.renewed_until, self.deferred_until)
 
     @property
     def partitioned(self) -> bool:
-        """Whether the key-value store has been silent for a third of a lease."""
+        """Whether the key-value store has not answered for a third of a session lease."""
         return now_us() - self.last_contact_at > self.ttl_us // 3
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the key-value store has not answered for so long that asking it on behalf of a
-        user is of no use."""
+        """Whether the key-value store has not answered for a session lease: requests of users that
+        need it are then refused without asking it."""
         return now_us() - self.last_contact_at > self.ttl_us
 
     def member_record(self) -> Claim:
-        """What our member key and, when we lead, the leader's key contain."""
+        """The value of our member key and, while we are the leader, of the leader's key."""
         return Claim(self.name, self.incarnation, self.record_version)
 
     def precondition(self) -> Precondition:
-        """The condition of every write of this process: our member key is still the one that we
-        joined with."""
+        """The precondition of every write of this process: our member key has not changed since we
+        joined."""
         return Precondition(member_key(self.name), self.version)
 
     def note_contact(self) -> None:
-        """Note that the key-value store has just given a good answer."""
+        """Record a successful response of the key-value store at this moment."""
         self.last_contact_at = now_us()
 
     def defer_until(self, until: int) -> None:
-        """Note until when all peers have deferred our replacement."""
+        """Record until when all peers have deferred our replacement."""
         self.deferred_until = until
 
     async def keep(self) -> None:
-        """Join, renew the session lease, and join anew whenever it is lost; never returns."""
+        """Join, renew the session lease, and rejoin whenever it is lost; never returns."""
         backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, chance)
         while True:
             try:
@@ -106,14 +105,14 @@
                 backoff.reset()
                 await asyncio.sleep(self.ttl_us / 6e6)
             except SessionLeaseExpired:
-                log.info("session lease lost, joining anew")
+                log.info("session lease expired, rejoining")
                 self.leave()
             except ServiceError as fault:
                 log.debug("session lease not renewed: %s", fault)
                 await backoff.wait()
 
     def leave(self) -> None:
-        """Give up the lease: nothing that depends on it may be done any more."""
+        """Give up the lease: no action that depends on it is allowed any more."""
         self.version = 0
         self.renewed_until = self.deferred_until = 0
         self.incarnation = ""
@@ -126,7 +125,7 @@
         old = await self.store.get(member_key(self.name))
         incarnation = f"{chance.getrandbits(INCARNATION_BITS):012x}"
         member_record = Claim(self.name, incarnation, self.record_version)
-        # On condition of what the key held, so that a late copy of this very request from an
+        # Conditional on the version that was read, so that a delayed copy of this request from an
         # earlier incarnation can't overwrite the record of a later one.
         version = await self.store.compare_and_swap(
             [Precondition(member_key(self.name), old.version if old else 0)],
