--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -1,20 +1,21 @@
 """Which versions of this program may run side by side, and what depends on it.
 
-A controller names the version of its records in its member key. Controllers from before services
-name none, which reads as 0. Whatever a controller does for the others depends on its session lease,
-and so on that key: one whose key is gone leads nothing and holds nothing, whatever its version.
+A controller stores the version of its records in its member key. Versions without services store
+none, which reads as 0. Whatever a controller does for the cluster depends on its session lease, and
+so on that key: one whose key is gone leads nothing and holds nothing, whatever its version.
 
-So a service is accepted while no member key names an older version, in a transaction that has the
-member keys of all controllers as preconditions. Its record can't be read by a version that would
-take it for an array. Should such a controller join later and get the shard, it fails to load it and
-hands it back, to one that can.
+A service is accepted only while no member key has an older version, in a transaction with the
+member keys of all controllers as preconditions. Its record can't be decoded by a version that would
+take it for an array. If such a controller joins later and is granted the shard, it fails to load it
+and releases it to one that can.
 
-Duties are granted to holders of their own while no member key names a version that does not know
-them. Beside an older member the shard leaders carry them out, as they did before; intents that the
-holders had recorded and not carried out stay recorded, and are carried out by whoever may.
+Duties are granted separately only while no member key has a version without them. While there is an
+older member the shard leaders carry them out, as older versions do. Intents that the holders of
+duties had recorded and not carried out stay recorded, and are carried out by whichever controller
+may do so then.
 
 Once no controller of version 0 is left anywhere, `services_allowed` and `member_preconditions` can
-go, and so can the chunk rows' empty field in `result_rows`.
+be removed, and so can the empty field of chunk rows in `result_rows`.
 """
 
 from collections.abc import Iterable
@@ -22,21 +23,21 @@
 from basaltlead.core.cluster_view import ClusterView, member_key
 from basaltlead.wire.store import Precondition
 
-SERVICES_VERSION = 1  # the version that knows services
-DUTIES_VERSION = 2  # the version whose duties are granted on their own
+SERVICES_VERSION = 1  # the first version with services
+DUTIES_VERSION = 2  # the first version with duties that are granted separately
 CURRENT_VERSION = DUTIES_VERSION
 
 
 def record_version(duties: bool) -> int:
-    """The version that a member key names. A controller on which duties are switched off leaves
-    them to the shard leaders, like one from before duties, and so names that one's version."""
+    """The version for the member key. A controller with duties disabled leaves them to the shard
+    leaders, as versions without duties do, and so stores the version of those."""
     return CURRENT_VERSION if duties else SERVICES_VERSION
 
 
 def duties_allowed(cluster: ClusterView) -> bool:
-    """Whether duties may be granted on their own, as far as known. Beside a member that does not
-    know them they stay with the shard leaders: it would neither read an intent nor leave it
-    alone."""
+    """Whether duties may be granted separately, as far as known. While there is a member without
+    support for them they stay with the shard leaders: that member would neither carry out recorded
+    intents nor leave them to others."""
     return _all_members_support(cluster, DUTIES_VERSION)
 
 
@@ -46,12 +47,11 @@
 
 
 def services_allowed(cluster: ClusterView) -> bool:
-    """Whether services may be accepted, as far as known: not alongside a member that can't read
-    them."""
+    """Whether services may be accepted, as far as known: only if every member can read them."""
     return _all_members_support(cluster, SERVICES_VERSION)
 
 
 def member_preconditions(cluster: ClusterView, names: Iterable[str]) -> list[Precondition]:
-    """Conditions that the member keys are still those of the view: a member of another version that
-    has joined meanwhile makes the transaction fail."""
+    """Preconditions that the member keys are still those of the view: the transaction fails if a
+    member of another version has joined since."""
     return [Precondition(member_key(name), cluster.member_version(name)) for name in names]
