--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -39,7 +39,7 @@
     """A deferral request that has not been answered yet."""
 
     sent_at: int
-    cancellations_as_of: int | None  # None if it needs no cancellations
+    cancellations_as_of: int | None  # it needs those since then; None: it needs none
 
 
 class ConfirmedSpan(NamedTuple):
