--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -42,7 +42,7 @@
     def announce_cancellation(self, ref: str) -> None:
         """Announce a cancellation just before it is confirmed to a user.
 
-        It lets a shard leader that can't read the key-value store stop starting tasks of the job.
+        This lets a shard leader that can't read the key-value store stop starting tasks of the job.
         Delivery is not guaranteed.
         """
         for link in self.extension.links:
