--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -36,8 +36,8 @@
 
 def duties_allowed(cluster: ClusterView) -> bool:
     """Whether duties may be granted separately, as far as known. While there is a member without
-    support for them they stay with the shard leaders: that member would neither carry out recorded
-    intents nor leave them to others."""
+    support for them they stay with the shard leaders: that member would neither read intents nor
+    leave them alone."""
     return _all_members_support(cluster, DUTIES_VERSION)
 
 
