--- a/basaltlead/shard/__init__.py
+++ b/basaltlead/shard/__init__.py
@@ -1,1 +1,1 @@
-"""The controller's side of a shard: its leader, and the parts that the leader runs."""
+"""The leader of a shard, and the components that it runs."""
