--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -1,7 +1,7 @@
-"""Commands that are pushed to a shard's machines, outside the answers to their heartbeats.
+"""Commands that are pushed to a shard's machines, in addition to those in heartbeat responses.
 
-It also probes machines that may not receive our commands, and writes the record that must stand
-before the first task is started on a machine.
+The dispatcher also probes machines that commands may not reach, and writes the record that must
+exist before the first task is started on a machine.
 """
 
 import asyncio
@@ -23,18 +23,18 @@
 from basaltlead.wire.store import Precondition, Put
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
 
-MIN_WORKER_SOCKETS = 8  # to workers, whoever else needs some
-WORKER_SOCKETS_DIVISOR = 5  # of our sockets, the part that may go to workers
-PUSH_BACKOFF_US = 2 * US  # a machine that did not answer gets no pushed command for so long
+MIN_WORKER_SOCKETS = 8  # always available for connections to workers
+WORKER_SOCKETS_DIVISOR = 5  # one in so many sockets may be used for workers
+PUSH_BACKOFF_US = 2 * US  # no pushes to a machine after it did not answer
 MAX_PROBES = 6
 PROBE_PAUSE_S = 0.5
 
 
 class PushedCommands(NamedTuple):
-    """Commands for a machine, and the agent epoch that they were decided for.
+    """Commands for a machine, and the agent epoch for which they were decided.
 
-    The epoch is part of the decision: by the time they are sent the machine may be known to be in
-    the next one, in which nothing accounts for what they would start
+    By the time they are sent the machine may be known to be in the next epoch, in which the tasks
+    that they would start are not accounted for
     (test_push_decided_in_one_epoch_is_not_executed_in_the_next).
     """
 
@@ -44,15 +44,15 @@
 
 
 def to_worker_command(command: TaskCommand) -> WorkerCommand:
-    """A task command as it is sent to a worker."""
+    """Convert a task command to the form in which it is sent to a worker."""
     task = f"{command.ref}/{command.index}"
     return WorkerCommand(command.verb, task, command.attempt_number, command.grace_s)
 
 
 def worker_sockets(settings: Settings) -> int:
-    """How many of our sockets may go to workers at most.
+    """The maximum number of sockets for connections to workers.
 
-    They share the limit with incoming connections, and give way to them.
+    They share the limit with incoming connections, which take precedence.
     """
     return max(MIN_WORKER_SOCKETS, settings.facts.quota.fd_limit // WORKER_SOCKETS_DIVISOR)
 
@@ -65,8 +65,8 @@
         self.lease = context.lease
         self.shard = context.shard
         self.workers = context.workers
-        # Probes of silent machines take their whole timeout: with hundreds of those, commands for
-        # the others would have to wait behind them.
+        # A probe of a silent machine takes its whole timeout: without this limit, hundreds of them
+        # would delay the commands for other machines.
         self._probe_slots = asyncio.Semaphore(max(2, worker_sockets(context.settings) // 2))
         self._pushing: set[str] = set()  # names of machines with pushed commands in flight
         self._probing: set[str] = set()
@@ -82,11 +82,11 @@
             self.workers.forget(address)
 
     def note_contact(self, now: int) -> None:
-        """A machine has shown our fencing token."""
+        """Record that a machine has shown our fencing token."""
         self.last_contact_at = now
 
     def push_all(self, now: int) -> None:
-        """Push what can't wait for the next heartbeat."""
+        """Push the commands that can't wait for the next heartbeat."""
         shard = self.shard
         for name in list(shard.urgent):
             machine = shard.machines.get(name)
@@ -106,7 +106,7 @@
 
     async def _push(self, machine: Machine, push: PushedCommands) -> None:
         starts = push.starts
-        executed: bool | None = None  # None: nobody knows
+        executed: bool | None = None  # None: unknown
         try:
             executed, heartbeat = await self._send(machine, push)
             if self.lease.stepped_down or heartbeat.machine != machine.name:
@@ -114,19 +114,20 @@
             else:
                 self.shard.answer(heartbeat, now_us(), starts if executed else ())
         except RequestFailed as fault:
-            log.debug("pushing commands to %s: %s", machine.name, fault)
+            log.debug("pushing commands to %s failed: %s", machine.name, fault)
             executed = None if fault.sent else False
         finally:
             self._pushing.discard(machine.name)
             self.shard.acknowledge_starts(starts, executed)
-            if executed is not True:  # its heartbeats still reach us, if it is alive
+            if executed is not True:  # if it is alive, its heartbeats still arrive
                 machine.push_backoff_until = now_us() + PUSH_BACKOFF_US
             if executed is None:
                 self.shard.mark_unreachable(machine, now_us())
             self.context.wake.set()
 
     async def _send(self, machine: Machine, push: PushedCommands) -> CommandAnswer:
-        """Send commands; whether they were executed, and the machine's report after them."""
+        """Send commands. Returns whether they were executed, and the machine's report after
+        them."""
         worker_commands = [to_worker_command(command) for command in push.commands]
         request = DirectCommand(self.lease.fencing_token, push.epoch, worker_commands)
         return await self.workers.command(machine.address, request, self._holds_valid_lease)
@@ -134,9 +135,9 @@
     def record(self, machine: Machine) -> None:
         """Record a machine that has shown our fencing token.
 
-        A machine must stand in the key-value store before its first task, so that the next shard
-        leader knows where tasks may be. A late heartbeat must not bring back a machine that is
-        gone: hence only one that has shown the token
+        A machine must be recorded in the key-value store before its first task, so that the next
+        shard leader knows where tasks may be. It must have shown the token, since a delayed
+        heartbeat must not bring back a machine that was deleted
         (test_no_task_starts_on_a_machine_that_is_not_recorded).
         """
         if machine.name not in self._recording:
@@ -155,15 +156,16 @@
         )
         store = self.context.store
         try:
-            # It depends on there being no such record: a machine belongs to the first shard that
-            # records it.
+            # Fails if there is such a record: a machine belongs to the first shard that records it.
             changes, unrecorded = [Put(key, stored)], [Precondition(key, 0)]
             store.versions[key] = await store.commit(changes, unrecorded, low_priority=True)
         except PreconditionFailed as conflict:
             if key not in conflict.failed or not await self._recorded_by_us(machine):
                 return
         except ServiceError as fault:
-            log.info("machine %s not recorded, its next heartbeat retries: %s", machine.name, fault)
+            log.info(
+                "machine %s not recorded, retry on its next heartbeat: %s", machine.name, fault
+            )
             return
         finally:
             self._recording.discard(machine.name)
@@ -176,8 +178,8 @@
             )
 
     async def _recorded_by_us(self, machine: Machine) -> bool:
-        """Does the record that stands name this shard? An unanswered write of ours may have been
-        executed. A machine of another shard is dropped."""
+        """Whether the existing record names this shard, since an unanswered write of ours may have
+        been executed. A machine of another shard is dropped."""
         try:
             row = await self.context.store.get(MACHINE + machine.name)
         except ServiceError:
@@ -192,8 +194,8 @@
         return False
 
     def probe(self, machine: Machine) -> None:
-        """Ask a machine directly, so that it shows our fencing token, and that our commands reach
-        it, before its next heartbeat."""
+        """Push an empty list of commands to a machine, so that it shows our fencing token, and that
+        commands reach it, before its next heartbeat."""
         if machine.name not in self._probing and now_us() >= machine.push_backoff_until:
             self._probing.add(machine.name)
             self.context.spawn(self._probe(machine), f"probe {machine.name}")
@@ -214,7 +216,7 @@
                 except RequestFailed:
                     if machine.name not in self.shard.unsynced:
                         machine.push_backoff_until = now_us() + PUSH_BACKOFF_US
-                        return  # its next heartbeat has it probed again
+                        return  # its next heartbeat triggers another probe
                     await asyncio.sleep(PROBE_PAUSE_S)
                     continue
                 if heartbeat.machine != machine.name:
