--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Answers to the heartbeats of a shard's workers."""
+"""The handling of heartbeats from a shard's workers."""
 
 from basaltlead.clients.codec import encode
 from basaltlead.core.commands import TaskCommand
@@ -13,7 +13,7 @@
 
 
 class HeartbeatHandler:
-    """Takes in heartbeats; each answer renews the worker's lease and carries its commands."""
+    """Processes heartbeats; each response renews the worker's lease and carries its commands."""
 
     def __init__(self, context: ShardContext, dispatcher: WorkerDispatcher) -> None:
         self.context = context
@@ -21,15 +21,16 @@
         self.shard = context.shard
         self.dispatcher = dispatcher
         self._loaded = False
-        # When machines were answered before the shard was loaded.
+        # When machines were last answered before the shard was loaded, by machine name.
         self.answered_at: dict[str, int] = {}
 
     def finish_loading(self) -> None:
-        """The shard is loaded: from now on heartbeats are taken in."""
+        """Process heartbeats from now on, since the shard is loaded."""
         self._loaded = True
 
     def handle(self, heartbeat: Heartbeat) -> Response | None:
-        """The answer to a worker, or None when another controller must give it."""
+        """Handle a heartbeat. Returns the response, or None if another controller must answer
+        it."""
         if not self.lease.holds_valid_lease:
             return None
         now = now_us()
@@ -43,11 +44,11 @@
         return self._handle_unknown(heartbeat, now)
 
     def _handle_unknown(self, heartbeat: Heartbeat, now: int) -> Response | None:
-        """Answer a machine that stands in no record: one of a scale-out request that was executed
-        late, or a late copy from a machine that an earlier shard leader returned.
+        """Answer a machine without a record: one of a scale-out request that was executed late, or
+        a delayed copy of a heartbeat from a machine that an earlier shard leader returned.
 
-        Tasks are started on recorded machines only, so it holds none that is wanted. That it exists
-        is certain only once it shows our fencing token.
+        Tasks are started on recorded machines only, so it has none that is still wanted. Only once
+        it shows our fencing token is it certain that the machine exists.
         """
         if heartbeat.machine in self.shard.gone:
             return None
@@ -60,7 +61,7 @@
         commands = self.shard.heartbeat(heartbeat, now)
         if commands is None:
             log.debug(
-                "heartbeat of %s refused: epoch %d, sequence %d, fencing token %d",
+                "heartbeat from %s refused: epoch %d, sequence %d, fencing token %d",
                 heartbeat.machine,
                 heartbeat.epoch,
                 heartbeat.sequence,
@@ -69,7 +70,7 @@
             return None
         machine = self.shard.machines[heartbeat.machine]
         log_commands(self.shard, machine, commands, pushed=False, now=now)
-        if machine.heard_at == now:  # else it was outdated or unproven
+        if machine.heard_at == now:  # else the heartbeat was outdated or unproven
             shows_token = heartbeat.fencing_token == self.lease.fencing_token
             self._after_heartbeat(machine, shows_token, now)
         if self.shard.dirty:
@@ -82,7 +83,7 @@
         self.shard.add_machine(machine)
 
     def _after_heartbeat(self, machine: Machine, shows_token: bool, now: int) -> None:
-        """Record a machine that is new, and probe one that may not receive our commands."""
+        """Record a new machine, and probe one that commands may not reach."""
         if shows_token:
             self.dispatcher.note_contact(now)
             if not machine.recorded:
