--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -1,4 +1,4 @@
-"""The leader of a shard: acquires it, runs its parts, and stops them when the grant is lost."""
+"""The leader of a shard: loads it, runs its components, and stops them when the grant is lost."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,13 +25,14 @@
 from basaltlead.shard.results import ResultWriter
 from basaltlead.wire.workers import Heartbeat
 
-MACHINE_TYPES_POLL_INTERVAL_S = 0.05  # between two checks whether the machine types are known
+MACHINE_TYPES_POLL_INTERVAL_S = 0.05  # between two checks for the machine types
 MIN_SILENCE_TIMEOUT_US = 3 * US
-FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within that
+FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers find a new shard leader within that
 
 
 class ShardLeader:
-    """Lives from the grant of a shard until it is lost; a new grant means a new ShardLeader."""
+    """Acts for a shard from its grant until the grant is lost; a new grant has a new
+    ShardLeader."""
 
     open_jobs_watch_class = OpenJobsWatch
 
@@ -62,12 +63,12 @@
         return self.lease.holds_valid_lease
 
     def start(self, on_loaded: Callable[[], None]) -> None:
-        """Load the shard's records, then run its loops; `on_loaded` starts what depends on it."""
+        """Load the shard's records, then call `on_loaded` and run the loops of the shard."""
         self.on_loaded = on_loaded
         self.context.spawn(self._run(on_loaded), "loop load")
 
     def stop(self) -> None:
-        """The grant is lost, or was released: stop acting."""
+        """Stop acting, since the grant was lost or released."""
         self.lease.end()
         self.context.tasks.cancel()
         self.dispatcher.close()
@@ -95,7 +96,7 @@
     async def _load(self) -> int:
         backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
         while True:
-            if not self.context.machine_types:  # without them no machine's room is known
+            if not self.context.machine_types:  # without them no machine's capacity is known
                 await asyncio.sleep(MACHINE_TYPES_POLL_INTERVAL_S)
                 continue
             try:
@@ -105,16 +106,17 @@
                 await backoff.wait()
 
     def heartbeat(self, heartbeat: Heartbeat) -> Response | None:
-        """The answer to a worker, or None when another controller must give it."""
+        """Handle a heartbeat. Returns the response, or None if another controller must answer
+        it."""
         return self.heartbeats.handle(heartbeat)
 
     def close_job(self, ref: str) -> None:
-        """The job's cancellation was confirmed to its user."""
+        """Close a job whose cancellation was confirmed to its user."""
         self.open_jobs.close(ref)
 
     def is_isolated(self) -> bool:
-        """Have all machines been silent for too long, while other controllers live? Then it is
-        more likely our own links that fail, and another controller should lead the shard."""
+        """Whether no machine has been heard from for too long, while other controllers are alive.
+        The likely cause is this controller's own network, so another one should lead the shard."""
         members = self.context.membership.cluster.members
         if not self.loaded or len(members) < 2 or not self.holds_valid_lease:
             return False
@@ -135,7 +137,7 @@
 
 
 def new_shard(settings: Settings, lease: ShardLease) -> Shard:
-    """The picture of a shard that has just been granted: nothing is known of it so far."""
+    """The state of a shard that has just been granted, without jobs or machines yet."""
     workers = settings.facts.workers
     timing = Timing(int(workers.lease_s * US), int(workers.report_s * US))
     return Shard(
@@ -149,7 +151,7 @@
 
 
 def team_quotas(settings: Settings) -> dict[str, TeamQuota]:
-    """Each team's guarantee and limit."""
+    """The guarantee and limit of each team, by its name."""
     return {
         team.name: TeamQuota(team.cpus, team.gpus, team.cpus_max, team.gpus_max)
         for team in settings.facts.teams
