--- a/basaltlead/shard/arrivals.py
+++ b/basaltlead/shard/arrivals.py
@@ -1,4 +1,4 @@
-"""When jobs of each class arrived lately: the autoscaler derives warm spares from it."""
+"""Recent arrivals of jobs by class, from which the autoscaler derives warm spares."""
 
 from collections import deque
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Arrival(NamedTuple):
-    """A job that was submitted: when, with which image, and for how many tasks to keep room."""
+    """A submitted job: when, with which image, and for how many tasks to keep capacity."""
 
     at: int
     image: str
@@ -17,7 +17,7 @@
 
 
 class ClassArrivals:
-    """What was lately submitted of a class."""
+    """The recent arrivals of a class."""
 
     def __init__(self, job: Job) -> None:
         self.last_job = job
@@ -31,11 +31,11 @@
         self._classes: dict[str, ClassArrivals] = {}
 
     def note(self, job: Job, at: int) -> None:
-        """Note a job that was submitted at a time of the steady clock."""
+        """Record a job that was submitted at `at`, a time of the monotonic clock."""
         arrivals = self._classes.setdefault(job.job_class, ClassArrivals(job))
         arrivals.last_job = job
         arrivals.recent.append(Arrival(at, job.image, job.tasks if job.service else 1))
 
     def of_class(self, job_class: str) -> ClassArrivals | None:
-        """What is known of a class, if a job of it was ever seen."""
+        """The arrivals of a class; None if no job of it was seen."""
         return self._classes.get(job_class)
