--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -1,5 +1,5 @@
-"""Several shards: the leader assigns the tasks of new jobs to shards, and every controller knows to
-which shard a machine belongs."""
+"""Assignment to several shards: the leader assigns the tasks of new jobs to shards, and every
+controller tracks to which shard a machine belongs."""
 
 import asyncio
 import zlib
@@ -33,7 +33,7 @@
 from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
-ASSIGN_INTERVAL_S = 0.5  # between two passes, should nothing have changed
+ASSIGN_INTERVAL_S = 0.5  # between two passes if nothing has changed
 
 
 class OpenJob(NamedTuple):
@@ -44,17 +44,17 @@
 
 
 def home_shard(team: str, shards: int) -> int:
-    """The shard of a team whose tasks must be counted together."""
+    """The shard of a team with a quota, whose tasks must be counted together."""
     return zlib.crc32(team.encode()) % shards
 
 
 def assignment_parts(
     job: Job, quota: TeamQuota, shards: int, loads: dict[int, float]
 ) -> list[AssignedRange]:
-    """Which shard gets which tasks of a new job.
+    """Assign the tasks of a new job to shards.
 
-    A team with a quota has one shard for all its jobs, jobs that must be placed as a whole go to
-    the least loaded one, and other arrays are divided evenly.
+    All jobs of a team with a quota go to one shard. Other jobs that are small or must be placed as
+    a whole go to the least loaded shard, and the rest are divided evenly.
     """
     least_loaded = min(range(shards), key=lambda shard: (loads.get(shard, 0.0), shard))
     if quota.is_limited:
@@ -66,8 +66,8 @@
 
 
 class ShardAssigner:
-    """Follows open jobs, assignments, machines and scale-out requests on every controller, if there
-    are several shards; the leader acts on them."""
+    """Watches open jobs, assignments, machines and scale-out requests on every controller, if there
+    are several shards, and assigns jobs on the leader."""
 
     def __init__(
         self, membership: Membership, store: KeyValueStore, teams: dict[str, TeamQuota], shards: int
@@ -78,8 +78,8 @@
         self.shards = shards
         self._jobs: dict[str, OpenJob] = {}
         self._assignments: dict[str, TaskAssignment] = {}
-        self._recorded_machines: dict[str, int] = {}  # to shards
-        self._rented_machines: dict[str, int] = {}  # to shards; bounded
+        self._recorded_machines: dict[str, int] = {}  # shard by machine name
+        self._rented_machines: dict[str, int] = {}  # the same, bounded
         self._wake = asyncio.Event()
 
     def shard_of(self, machine: str) -> int | None:
@@ -88,7 +88,7 @@
         return self._rented_machines.get(machine) if shard is None else shard
 
     async def follow(self, prefix: str) -> None:
-        """Follow the keys under one of the four prefixes; never returns."""
+        """Watch the keys under one of the four prefixes; never returns."""
         watch = KeyWatch(self.store, prefix, self.membership.watch_timeout_ms)
         await watch.run(partial(self._load, prefix), partial(self._apply, prefix))
 
