--- a/basaltlead/shard/command_log.py
+++ b/basaltlead/shard/command_log.py
@@ -1,4 +1,4 @@
-"""Log lines that tell why a command was allowed: at `debug`, one for each start or halt."""
+"""Log lines at `debug` that show why a command was allowed, one for each start or halt."""
 
 import logging
 from collections.abc import Iterable
