--- a/basaltlead/shard/context.py
+++ b/basaltlead/shard/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a shard leader share."""
+"""The state that the components of a shard leader share."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -45,7 +45,9 @@
     tasks: BackgroundTasks
     workers: Workers
     intents: ScalingIntents = field(default_factory=ScalingIntents)
-    wake: asyncio.Event = field(default_factory=asyncio.Event)  # something may be startable now
+    wake: asyncio.Event = field(
+        default_factory=asyncio.Event
+    )  # set when tasks may be ready to start
 
     @property
     def number(self) -> int:
@@ -54,15 +56,15 @@
 
     @property
     def sharded(self) -> bool:
-        """Is the work divided among several shards?"""
+        """Whether the work is divided among several shards."""
         return self.settings.operator.shards > 1
 
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
-        """Run something until it ends or the shard is released."""
+        """Run a coroutine in the background until it ends or the shard is released."""
         return self.tasks.spawn(coroutine, name)
 
     def machine_type(self, name: str) -> MachineType:
-        """The machine type of that name. One that the cloud has not listed holds no task."""
+        """The machine type of that name. One that the cloud has not listed has no capacity."""
         known = self.machine_types.get(name)
         if known is not None:
             return known
