--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -1,4 +1,4 @@
-"""Failover: what a new shard leader reads from the key-value store before it acts."""
+"""Failover: loads the records that a new shard leader needs before it acts."""
 
 import asyncio
 from collections.abc import Mapping
@@ -28,7 +28,7 @@
 
 
 class ShardLoader:
-    """Reads the records of a shard once, in an order that misses nothing."""
+    """Reads the records of a shard once, in an order in which none is missed."""
 
     def __init__(
         self,
@@ -43,15 +43,15 @@
         self.market = market
 
     async def load(self, answered_at: Mapping[str, int]) -> int:
-        """Read everything; the revision from which the open jobs are to be followed.
+        """Read all records. Returns the revision from which to watch the open jobs.
 
-        `answered_at` tells when machines were answered before they were loaded. Raises
-        ServiceError: the caller tries again.
+        `answered_at` holds the time of the last response to each machine before it was loaded.
+        Raises ServiceError; the caller retries.
         """
         store, intents = self.context.store, self.context.intents
         requested_at = now_us()
-        # Scale-ins concurrently with the jobs, so that they cost a failover no time, and before the
-        # machines: one that is returned meanwhile stands in neither listing or in both.
+        # Scale-ins are read concurrently with the jobs, so that they don't prolong a failover, and
+        # before the machines: one that is returned meanwhile is in neither listing or in both.
         (jobs, revision), (scale_ins, _) = await asyncio.gather(
             store.rows(OPEN), store.rows(SCALE_IN)
         )
