--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -1,4 +1,4 @@
-"""The open jobs of a shard: taken in from the key-value store, and closed when they are over."""
+"""The open jobs of a shard: loaded from the key-value store, and closed when they are over."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class OpenJobsWatch:
-    """Follows the rows under `open/`: jobs, and results that any shard has recorded."""
+    """Watches the rows under `open/`: jobs, and results that any shard has recorded."""
 
     def __init__(
         self,
@@ -40,23 +40,23 @@
         self.orphaned_rows: list[str] = []  # results of jobs that are over, found while loading
 
     def load(self, rows: list[Row], requested_at: int) -> None:
-        """Take in the first listing, which was requested at that time."""
+        """Apply the first listing, which was requested at `requested_at`."""
         for row in rows:
             self.apply_row(row.key, row.value, row.version, now_us())
         self.context.lease.cancellations_listed(requested_at)
 
     def finish_loading(self) -> None:
-        """From now on our own results are not taken in again, and no more rows are orphaned."""
+        """From now on ignore the results of this shard, and collect no more orphaned rows."""
         self._loaded = True
 
     async def follow(self, revision: int) -> None:
-        """Follow the rows from a revision on, until the shard is released."""
+        """Watch the rows from a revision on, until the shard is released."""
         watch_timeout_ms = self.context.membership.watch_timeout_ms
         watch = KeyWatch(self.context.store.client, OPEN, watch_timeout_ms, revision)
         await watch.run(self._relist, self._apply, self._after_read)
 
     def apply_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
-        """Take in a row under `open/`: a job, or results of some of its tasks."""
+        """Apply a row under `open/`: a job, or results of some of its tasks."""
         ref, part = split_open(key)
         job_state = self.shard.job_states.get(ref)
         if part is None:
@@ -67,7 +67,7 @@
         if job_state is None:
             if not self._loaded:
                 self.orphaned_rows.append(key)
-        elif not (self._loaded and own):  # else we wrote it ourselves
+        elif not (self._loaded and own):  # else this shard leader wrote it
             if own:
                 self.context.store.versions[key] = version
             load_results(job_state, self.context.number, *part, raw, self.context.layout)
@@ -75,7 +75,7 @@
     def _add_job(self, ref: str, raw: msgspec.Raw, version: int, now: int) -> None:
         stored = msgspec.json.decode(raw, type=StoredJob)
         if self.is_cancelled(ref):
-            return  # its user was told so already, and the watch will show it too
+            return  # already confirmed to its user; the watch will report it too
         age = age_us(stored.at)
         job = job_of(stored.sent)
         job_state = self.shard.add_job(job, version, now, age)
@@ -106,7 +106,8 @@
         self.context.lease.cancellations_read(sent_at)
 
     def close(self, ref: str) -> None:
-        """A job is over or cancelled: stop what runs of it, and clean up after it."""
+        """Close a job that is over or cancelled: stop its tasks, and drop what is left of its
+        rows."""
         job_state = self.shard.job_states.get(ref)
         if job_state is not None:
             self.results.close(job_state)
