--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -14,11 +14,11 @@
 from basaltlead.shard.results import attempt_write
 from basaltlead.storage.records import TEAM
 
-PLAN_INTERVAL_US = US // 2  # some starts become possible by the mere passing of time
-ADVANCE_INTERVAL_US = US // 10  # how exactly lease expiries are noticed
+PLAN_INTERVAL_US = US // 2  # some starts only depend on the time
+ADVANCE_INTERVAL_US = US // 10  # resolution of the detection of lease expiry
 WAKE_TIMEOUT_S = 0.25
-MIN_PAUSE_S = 0.04  # machines come and go many times a second: passes over all of them are spaced
-PAUSE_FACTOR = 3  # a large plan leaves that many times what it takes to everything else
+MIN_PAUSE_S = 0.04  # between passes over all machines, which may change many times a second
+PAUSE_FACTOR = 3  # pause as a multiple of the time that the plan took, for other work
 
 
 class PlanningLoop:
@@ -65,8 +65,8 @@
             await asyncio.sleep(self.market.terms.round_us / US)
 
     def _store_teams(self) -> None:
-        """Store concurrently with the rounds: behind the records of a growing fleet it may take a
-        while."""
+        """Store concurrently with the rounds: the writes may be queued for a while behind the
+        records of a growing fleet."""
         if self._storing is not None and not self._storing.done():
             return
         rows = {
@@ -84,7 +84,7 @@
             await attempt_write(store.put({key: rows[key] for key in keys}))
 
     def _log_round(self) -> None:
-        """One line a round: how full the fleet is, and what waits."""
+        """Log the usage of the fleet and the waiting tasks, one line a round."""
         shard = self.context.shard
         machines = [machine for machine in shard.machines.values() if machine.synced]
         open_jobs = [job for job in shard.job_states.values() if not job.closed]
