--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -1,4 +1,4 @@
-"""Several shards: which of the jobs' tasks this shard starts, and handing some over to another."""
+"""Rebalancing of several shards: which tasks this shard starts, and which it hands to another."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class Rebalancer:
-    """Follows the assignments of jobs, and moves waiting tasks to shards with free machines."""
+    """Watches the assignments of jobs, and moves waiting tasks to shards with free machines."""
 
     def __init__(self, context: ShardContext, round_us: int) -> None:
         self.context = context
@@ -37,12 +37,12 @@
         return known.value.ranges_of(self.context.number) if known is not None else []
 
     def load(self, rows: list[Row], watch_from: int) -> None:
-        """Take in the stored assignments, which are to be followed from a revision on."""
+        """Apply the stored assignments, which are to be watched from a revision on."""
         self._watch_from = watch_from
         self._apply_rows(rows)
 
     async def follow(self) -> None:
-        """Follow which of the jobs' tasks are ours to start."""
+        """Watch which tasks are assigned to this shard; never returns."""
         watch_timeout_ms = self.context.membership.watch_timeout_ms
         watch = KeyWatch(self.context.store.client, ASSIGNMENT, watch_timeout_ms, self._watch_from)
         await watch.run(self._apply_rows, self._apply)
@@ -61,7 +61,7 @@
         ref = key[len(ASSIGNMENT) :]
         known = self._assignments.get(ref)
         if known is not None and known.version > version:
-            return  # an old message: we have changed the assignment ourselves meanwhile
+            return  # outdated: this shard leader has changed the assignment since
         assignment = msgspec.json.decode(raw, type=TaskAssignment)
         self._assignments[ref] = Versioned(assignment, version)
         job_state = self.shard.job_states.get(ref)
@@ -73,9 +73,9 @@
     async def _hand_over(self, job_state: JobState, target: int) -> None:
         """Hand the later half of a job's unstarted tasks to another shard.
 
-        They stop being ours before the request is sent, and until the assignment's record has
-        changed: an unanswered request may still be executed later, so it is repeated until it
-        was executed, or can't be any more since the record is a newer one.
+        This shard stops starting them before the request is sent, and until the record of the
+        assignment has changed. An unanswered request may still be executed later, so it is repeated
+        until it was executed, or can't be executed any more because the record has changed.
         """
         ref = job_state.job.ref
         tail = job_state.spare_tail()
@@ -88,7 +88,7 @@
         self._handing_over.add(ref)
         job_state.assign(changed.ranges_of(self.context.number))
         preconditions = [
-            *self.context.lease.preconditions(),  # once: a retry after a new session must fail
+            *self.context.lease.preconditions(),  # evaluated once: retries after a new session fail
             Precondition(OPEN + ref, job_state.version),
             Precondition(ASSIGNMENT + ref, known.version),
         ]
@@ -110,7 +110,7 @@
         )
 
     def _split(self, assignment: TaskAssignment, tail: TaskRange, target: int) -> TaskAssignment:
-        """The assignment once the tasks of `tail` are another shard's."""
+        """The assignment with the tasks of `tail` moved to shard `target`."""
         low, high = tail
         parts: list[AssignedRange] = []
         for part in assignment.parts:
@@ -127,7 +127,7 @@
     async def _record(
         self, ref: str, changed: TaskAssignment, preconditions: list[Precondition]
     ) -> None:
-        """Write the new assignment until it is certain whether it stands."""
+        """Retry writing the new assignment until it is certain whether it was written."""
         backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
         store, key = self.context.store.client, ASSIGNMENT + ref
         while not self.context.lease.stepped_down:
@@ -135,7 +135,7 @@
                 version = await store.compare_and_swap(preconditions, [Put(key, changed)])
             except PreconditionFailed as conflict:
                 if key in conflict.failed or OPEN + ref in conflict.failed:
-                    return  # the record is another one: the watch shows it
+                    return  # the record has changed: the watch reports it
                 await backoff.wait()
             except TransactionTooLarge:
                 return  # it can never be written: the tasks stay here
@@ -147,8 +147,8 @@
                 return
 
     async def balance(self) -> None:
-        """Publish each round how much waits here and how much is free, and hand waiting tasks to
-        the shard with most free room."""
+        """Publish the load of this shard, and hand waiting tasks to the shard with the most free
+        capacity, twice a market round."""
         while True:
             await asyncio.sleep(self._interval_s)
             if self.context.lease.holds_valid_lease:
