--- a/basaltlead/shard/registry.py
+++ b/basaltlead/shard/registry.py
@@ -1,4 +1,4 @@
-"""The shards that this controller leads at the moment."""
+"""The shards that this controller leads."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class ShardRegistry:
-    """Keeps one shard leader for each shard that is granted to this very incarnation."""
+    """Keeps a shard leader for each shard that is granted to this incarnation of the controller."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
     # Grants
 
     def apply_grants(self) -> None:
-        """The cluster has changed: acquire shards that are ours, release those that are not."""
+        """Start leaders for the shards that are granted to us, and stop those of all others."""
         for number in range(self.shards):
             grant = (
                 self.membership.held_grant(shard_key(number)) if self.membership.version else None
@@ -46,7 +46,7 @@
                 self.leaders[number] = self.start_leader(number, grant)
 
     async def release_stepped_down(self) -> None:
-        """Release shards whose leader stepped down, or hears no machine, for others to acquire."""
+        """Release shards whose leader has stepped down or is isolated, for others to acquire."""
         for number, leader in list(self.leaders.items()):
             if not leader.lease.stepped_down and leader.is_isolated():
                 log.info("shard %d: no heartbeat for too long, stepping down", number)
@@ -55,7 +55,7 @@
                 await self._release(number, leader, release_leadership=True)
 
     async def hand_over(self, key: str) -> None:
-        """Release a shard that a controller without any should lead."""
+        """Release a shard, so that a controller without one can lead it."""
         for number, leader in list(self.leaders.items()):
             if shard_key(number) == key and leader.holds_valid_lease:
                 leader.lease.end()
@@ -64,18 +64,18 @@
     async def _release(self, number: int, leader: ShardLeader, release_leadership: bool) -> None:
         if await self.membership.release(shard_key(number), release_leadership):
             leader.stop()
-            if self.leaders.get(number) is leader:  # else it was granted to us anew meanwhile
+            if self.leaders.get(number) is leader:  # else it was granted to us again
                 del self.leaders[number]
 
     # Cancellations
 
     def close_job(self, ref: str) -> None:
-        """A job is cancelled: stop what runs of it."""
+        """Close a cancelled job: stop its tasks."""
         for leader in self.leaders.values():
             leader.close_job(ref)
 
     def cancellations_as_of(self) -> int | None:
-        """The time up to which all shards know the cancellations; None if no shard was loaded."""
+        """The time up to which all shards know the cancellations; None if no shard knows any."""
         times = [leader.lease.cancellations_as_of for leader in self.leaders.values()]
         return min((time for time in times if time is not None), default=None)
 
