--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -1,4 +1,4 @@
-"""Results of tasks, on their way into the key-value store."""
+"""Storing the results of tasks in the key-value store."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,27 +15,28 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 SCAN_INTERVAL_S = 0.1
-FLUSH_INTERVAL_US = 2 * US  # results of unfinished jobs wait so long: their workers keep them
+FLUSH_INTERVAL_US = 2 * US  # for results of unfinished jobs: workers keep them meanwhile
 CONFLICT_PAUSE_S = 0.05
 FAILURE_PAUSE_S = 0.2
-# Changes that move a job from open to over, in addition to its rows of results.
+# Operations that move a job from open to over, in addition to those on its rows of results.
 FINAL_OPERATIONS = 2
 
 
 async def attempt_write(write: Coroutine[Any, Any, None]) -> None:
-    """Await a write that its caller repeats anyway: a failure is logged, then there is a pause."""
+    """Await a write that the caller repeats anyway; after a failure, log it and pause."""
     try:
         await write
     except PreconditionFailed as conflict:
-        log.debug("storing results: %s", conflict)  # cancelled meanwhile: the watch shows it
+        # The job was cancelled concurrently: the watch reports it.
+        log.debug("write failed: %s changed concurrently", conflict)
         await asyncio.sleep(CONFLICT_PAUSE_S)
     except ServiceError as fault:
-        log.debug("storing results: %s", fault)
+        log.debug("write failed: %s", fault)
         await asyncio.sleep(FAILURE_PAUSE_S)
 
 
 class ResultWriter:
-    """Stores results: those that complete a job at once, others now and then."""
+    """Stores results: those that complete a job at once, others periodically."""
 
     def __init__(self, context: ShardContext) -> None:
         self.context = context
@@ -43,12 +44,12 @@
         self._flushed_at: dict[str, int] = {}
 
     def forget(self, ref: str) -> None:
-        """The job is over: nothing of it is stored any more."""
+        """Forget a job that is over, of which nothing is stored any more."""
         self._stored_running.pop(ref, None)
         self._flushed_at.pop(ref, None)
 
     async def finish_jobs(self) -> None:
-        """Store at once what completes a job, since users wait for it."""
+        """Store the results that complete a job at once, since users wait for them."""
         while True:
             await asyncio.sleep(SCAN_INTERVAL_S)
             if self.context.lease.holds_valid_lease:
@@ -57,7 +58,7 @@
                     await attempt_write(self._finish(job_state))
 
     async def flush_progress(self) -> None:
-        """Store the results of unfinished jobs now and then."""
+        """Store the results of unfinished jobs periodically."""
         while True:
             await asyncio.sleep(SCAN_INTERVAL_S)
             if not self.context.lease.holds_valid_lease:
@@ -73,13 +74,13 @@
                     await attempt_write(self._store_progress(job_state))
 
     def _shown_count_is_stale(self, job_state: JobState) -> bool:
-        """Do users see a wrong number of running tasks? Tasks of arrays come and go all the time:
-        of them it is enough to show that some run."""
+        """Whether users see a wrong number of running tasks. Tasks of arrays start and end all the
+        time, so of an array it is enough to show that some run."""
         stored = self._stored_running.get(job_state.job.ref)
         if not job_state.job.service:
             return bool(job_state.running) and not stored
         if stored is None and job_state.version > self.context.shard.version:
-            stored = 0  # accepted under this lease: nobody else can have written any
+            stored = 0  # accepted under this lease: no other leader can have stored a count
         return stored != job_state.running
 
     async def _store_progress(self, job_state: JobState) -> None:
@@ -105,8 +106,8 @@
                 [Precondition(OPEN + ref, job_state.version), Precondition(OVER + ref, 0)],
             )
         except PreconditionFailed as conflict:
-            # An earlier, unanswered attempt of ours may have been executed, or the job was
-            # cancelled: either way it is no longer open.
+            # An earlier, unanswered attempt was executed, or the job was cancelled: in either case
+            # it is no longer open.
             if OPEN + ref in conflict.failed:
                 self.close(job_state)
                 return
@@ -121,23 +122,24 @@
             await self._sweep(ref, rows[max_drops:])
 
     def close(self, job_state: JobState) -> None:
-        """A job is over or cancelled: stop what runs of it, and drop what is left of its rows."""
+        """Close a job that is over or cancelled: stop its tasks, and drop what is left of its
+        rows."""
         ref = job_state.job.ref
         if ref not in self.context.shard.job_states:
-            return  # closed while its end was being stored
+            return  # closed while its final state was being stored
         self.context.shard.close_job(ref)
         self.forget(ref)
         versions = self.context.store.versions
         rows = self.context.layout.keys(ref, job_state.job.tasks, [self.context.number])
         stored = [key for key in rows if versions.pop(key, None) is not None]
-        # The transaction that ended the job took so many rows along.
+        # The transaction that ended the job has dropped up to this many rows.
         if len(stored) > self.context.store.limits.operations - FINAL_OPERATIONS:
             self.context.spawn(self._sweep(ref, stored), f"sweep {ref}")
         self.context.wake.set()
 
     async def _sweep(self, ref: str, keys: list[str]) -> None:
-        """Drop rows of a job that is over. This depends on its not being open: a listing that was
-        read page by page may show rows of a job that is."""
+        """Drop rows of a job that is over. The write fails if the job is open: in a listing that
+        was read page by page, rows of an open job may look orphaned."""
         if self.context.membership.duties_granted:
             return  # the holder of the clean-up duty does it
         preconditions = [*self.context.lease.preconditions(), Precondition(OPEN + ref, 0)]
@@ -149,7 +151,7 @@
         await self.context.store.client.compare_and_swap(preconditions, drops, low_priority=True)
 
     async def sweep_orphaned_rows(self, keys: list[str]) -> None:
-        """Drop the rows that an earlier shard leader left behind when their jobs ended."""
+        """Drop the rows that an earlier shard leader left when their jobs ended."""
         keys_by_job: dict[str, list[str]] = {}
         for key in keys:
             keys_by_job.setdefault(split_open(key)[0], []).append(key)
