--- a/basaltlead/shard/store.py
+++ b/basaltlead/shard/store.py
@@ -36,7 +36,7 @@
         preconditions: Iterable[Precondition] = (),
         low_priority: bool = False,
     ) -> int:
-        """Make changes that depend on the lease and on `preconditions`; the new revision.
+        """Make changes that depend on the lease and on `preconditions`. Returns the new revision.
 
         Raises the errors of `KeyValueStore.compare_and_swap`.
         """
@@ -44,11 +44,11 @@
         return await self.client.compare_and_swap(all_preconditions, changes, low_priority)
 
     async def put(self, rows: dict[str, Any], preconditions: Iterable[Precondition] = ()) -> None:
-        """Write rows that are written again and again.
+        """Write rows that are written repeatedly.
 
-        Each depends on the last version that is known of it: a write that went unanswered may be
-        carried out after a newer one, and would undo that. If it was carried out before, the
-        conflict tells its version, and the next attempt succeeds
+        Each write depends on the last known version of its row: an unanswered write may be executed
+        after a newer one, and would undo it. If it was executed before, the newer one fails, its
+        version is read, and the next attempt succeeds
         (test_late_write_of_results_does_not_undo_a_newer_one).
         """
         known = [Precondition(key, self.versions.get(key, 0)) for key in rows]
@@ -63,6 +63,6 @@
         self.versions |= dict.fromkeys(rows, version)
 
     async def refresh_version(self, key: str) -> None:
-        """Read the version of a row anew; 0 if it does not exist."""
+        """Read the current version of a row; 0 if it does not exist."""
         row = await self.client.get(key)
         self.versions[key] = row.version if row is not None else 0
