--- a/basaltlead/cluster/cluster_watch.py
+++ b/basaltlead/cluster/cluster_watch.py
@@ -56,8 +56,7 @@
     def _rejoin_if_replaced(self) -> None:
         """Give up the session if our member key is gone, or another incarnation has written it.
 
-        A record with an earlier version than our key comes from an outdated view and proves
-        nothing.
+        A record that is older than our key comes from an outdated view and proves nothing.
         """
         member = self.view.members.get(self.session.name)
         if (
