--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -94,8 +94,7 @@
             previous = cluster.leader.value
             preconditions.append(Precondition(LEADER, cluster.leader.version))
             if previous.name != self.membership.name:
-                # Proves that the previous leader's lease has ended: this key is gone or has
-                # changed.
+                # Proves that the previous leader's lease has ended: the key is gone or changed.
                 preconditions.append(
                     Precondition(member_key(previous.name), cluster.member_version(previous.name))
                 )
@@ -130,7 +129,7 @@
             Precondition(FENCING_TOKEN, last_token.version),
             Precondition(key, held.version if held else 0),
         ]
-        # The previous holder's lease has ended, and the new holder is alive.
+        # They fail unless the previous holder's lease has ended and the new holder is alive.
         named = {held.value.name if held is not None else "", target} - {"", self.membership.name}
         preconditions += versions.member_preconditions(cluster, sorted(named))
         grant = Grant(target, cluster.members[target].value.incarnation, last_token.value.last + 1)
