--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -53,8 +53,8 @@
 ) -> list[AssignedRange]:
     """Assign the tasks of a new job to shards.
 
-    All jobs of a team with a quota go to one shard. Other jobs that are small or must be placed as
-    a whole go to the least loaded shard, and the rest are divided evenly.
+    All jobs of a team with a quota go to one shard. Other jobs go to the least loaded shard if they
+    must be placed as a whole or have fewer than two tasks a shard; the rest are divided evenly.
     """
     least_loaded = min(range(shards), key=lambda shard: (loads.get(shard, 0.0), shard))
     if quota.is_limited:
