--- a/basaltlead/shard/context.py
+++ b/basaltlead/shard/context.py
@@ -45,9 +45,8 @@
     tasks: BackgroundTasks
     workers: Workers
     intents: ScalingIntents = field(default_factory=ScalingIntents)
-    wake: asyncio.Event = field(
-        default_factory=asyncio.Event
-    )  # set when tasks may be ready to start
+    # Set when tasks may be ready to start.
+    wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def number(self) -> int:
