--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -24,7 +24,7 @@
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
 
 MIN_WORKER_SOCKETS = 8  # always available for connections to workers
-WORKER_SOCKETS_DIVISOR = 5  # one in so many sockets may be used for workers
+WORKER_SOCKETS_DIVISOR = 5  # at most one socket in so many is used for workers
 PUSH_BACKOFF_US = 2 * US  # no pushes to a machine after it did not answer
 MAX_PROBES = 6
 PROBE_PAUSE_S = 0.5
@@ -126,8 +126,7 @@
             self.context.wake.set()
 
     async def _send(self, machine: Machine, push: PushedCommands) -> CommandAnswer:
-        """Send commands. Returns whether they were executed, and the machine's report after
-        them."""
+        """Send commands. Returns whether they were executed, and the machine's next report."""
         worker_commands = [to_worker_command(command) for command in push.commands]
         request = DirectCommand(self.lease.fencing_token, push.epoch, worker_commands)
         return await self.workers.command(machine.address, request, self._holds_valid_lease)
@@ -164,7 +163,7 @@
                 return
         except ServiceError as fault:
             log.info(
-                "machine %s not recorded, retry on its next heartbeat: %s", machine.name, fault
+                "machine %s not recorded, retrying on its next heartbeat: %s", machine.name, fault
             )
             return
         finally:
