--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -29,8 +29,7 @@
         self._loaded = True
 
     def handle(self, heartbeat: Heartbeat) -> Response | None:
-        """Handle a heartbeat. Returns the response, or None if another controller must answer
-        it."""
+        """Answer a heartbeat. Returns None if another controller must answer it."""
         if not self.lease.holds_valid_lease:
             return None
         now = now_us()
@@ -44,11 +43,11 @@
         return self._handle_unknown(heartbeat, now)
 
     def _handle_unknown(self, heartbeat: Heartbeat, now: int) -> Response | None:
-        """Answer a machine without a record: one of a scale-out request that was executed late, or
-        a delayed copy of a heartbeat from a machine that an earlier shard leader returned.
+        """Answer a heartbeat from a machine without a record: one of a scale-out request that was
+        executed late or, if it is a delayed copy, one that an earlier shard leader returned.
 
-        Tasks are started on recorded machines only, so it has none that is still wanted. Only once
-        it shows our fencing token is it certain that the machine exists.
+        Tasks are started on recorded machines only, so it has none that is still wanted. It exists
+        for certain only once it shows our fencing token.
         """
         if heartbeat.machine in self.shard.gone:
             return None
