--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -27,12 +27,11 @@
 
 MACHINE_TYPES_POLL_INTERVAL_S = 0.05  # between two checks for the machine types
 MIN_SILENCE_TIMEOUT_US = 3 * US
-FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers find a new shard leader within that
+FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within that
 
 
 class ShardLeader:
-    """Acts for a shard from its grant until the grant is lost; a new grant has a new
-    ShardLeader."""
+    """Leads a shard from its grant until the grant is lost; each grant has its own instance."""
 
     open_jobs_watch_class = OpenJobsWatch
 
@@ -106,8 +105,7 @@
                 await backoff.wait()
 
     def heartbeat(self, heartbeat: Heartbeat) -> Response | None:
-        """Handle a heartbeat. Returns the response, or None if another controller must answer
-        it."""
+        """Answer a heartbeat. Returns None if another controller must answer it."""
         return self.heartbeats.handle(heartbeat)
 
     def close_job(self, ref: str) -> None:
