--- a/basaltlead/shard/lease.py
+++ b/basaltlead/shard/lease.py
@@ -23,7 +23,7 @@
         self.grant = grant
         self.version = version
         self.staleness_us = staleness_us
-        self.stepped_down = False  # permanently: a new grant has a new lease
+        self.stepped_down = False  # permanent: a new grant has a new lease
         # The time up to which all confirmed cancellations are known. None until the open jobs have
         # been listed once: tasks of jobs that were cancelled since the previous leader's last read
         # may still be running, for an unknown time already, so no worker's lease may be renewed yet
