--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -1,4 +1,4 @@
-"""Failover: loads the records that a new shard leader needs before it acts."""
+"""Loading of a shard's records by a new shard leader, before it acts."""
 
 import asyncio
 from collections.abc import Mapping
