--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -106,8 +106,7 @@
         self.context.lease.cancellations_read(sent_at)
 
     def close(self, ref: str) -> None:
-        """Close a job that is over or cancelled: stop its tasks, and drop what is left of its
-        rows."""
+        """Close a job that is over or cancelled: stop its tasks, and drop its remaining rows."""
         job_state = self.shard.job_states.get(ref)
         if job_state is not None:
             self.results.close(job_state)
