--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -14,11 +14,11 @@
 from basaltlead.shard.results import attempt_write
 from basaltlead.storage.records import TEAM
 
-PLAN_INTERVAL_US = US // 2  # some starts only depend on the time
-ADVANCE_INTERVAL_US = US // 10  # resolution of the detection of lease expiry
+PLAN_INTERVAL_US = US // 2  # some starts become possible by the passing of time alone
+ADVANCE_INTERVAL_US = US // 10  # how soon an expired lease is detected
 WAKE_TIMEOUT_S = 0.25
 MIN_PAUSE_S = 0.04  # between passes over all machines, which may change many times a second
-PAUSE_FACTOR = 3  # pause as a multiple of the time that the plan took, for other work
+PAUSE_FACTOR = 3  # pause after a pass, in multiples of its duration, for other work
 
 
 class PlanningLoop:
