--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -88,7 +88,7 @@
         self._handing_over.add(ref)
         job_state.assign(changed.ranges_of(self.context.number))
         preconditions = [
-            *self.context.lease.preconditions(),  # evaluated once: retries after a new session fail
+            *self.context.lease.preconditions(),  # once: a retry in a new session must fail
             Precondition(OPEN + ref, job_state.version),
             Precondition(ASSIGNMENT + ref, known.version),
         ]
