--- a/basaltlead/shard/registry.py
+++ b/basaltlead/shard/registry.py
@@ -26,7 +26,8 @@
     # Grants
 
     def apply_grants(self) -> None:
-        """Start leaders for the shards that are granted to us, and stop those of all others."""
+        """Start leaders for shards granted to us, and stop those whose grant was lost or
+        renewed."""
         for number in range(self.shards):
             grant = (
                 self.membership.held_grant(shard_key(number)) if self.membership.version else None
@@ -75,7 +76,7 @@
             leader.close_job(ref)
 
     def cancellations_as_of(self) -> int | None:
-        """The time up to which all shards know the cancellations; None if no shard knows any."""
+        """The time up to which all shards know the cancellations; None if no shard was loaded."""
         times = [leader.lease.cancellations_as_of for leader in self.leaders.values()]
         return min((time for time in times if time is not None), default=None)
 
