--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -27,11 +27,11 @@
     try:
         await write
     except PreconditionFailed as conflict:
-        # The job was cancelled concurrently: the watch reports it.
-        log.debug("write failed: %s changed concurrently", conflict)
+        # A job whose results are stored was cancelled: the watch reports it.
+        log.debug("write to the key-value store failed: %s changed concurrently", conflict)
         await asyncio.sleep(CONFLICT_PAUSE_S)
     except ServiceError as fault:
-        log.debug("write failed: %s", fault)
+        log.debug("write to the key-value store failed: %s", fault)
         await asyncio.sleep(FAILURE_PAUSE_S)
 
 
@@ -122,8 +122,7 @@
             await self._sweep(ref, rows[max_drops:])
 
     def close(self, job_state: JobState) -> None:
-        """Close a job that is over or cancelled: stop its tasks, and drop what is left of its
-        rows."""
+        """Close a job that is over or cancelled: stop its tasks, and drop its remaining rows."""
         ref = job_state.job.ref
         if ref not in self.context.shard.job_states:
             return  # closed while its final state was being stored
