--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -51,8 +51,7 @@
             await asyncio.gather(*calls, return_exceptions=True)
 
     def all_peers_partitioned(self) -> bool:
-        """Whether any peers have answered recently, and all of these have lost the key-value
-        store."""
+        """Whether peers have answered recently, and all of these lost the key-value store."""
         recent = now_us() - self.session.ttl_us
         states = [link.state for link in self.links if link.state.answered_at > recent]
         return bool(states) and all(state.partitioned for state in states)
