--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -39,7 +39,8 @@
     """A deferral request that has not been answered yet."""
 
     sent_at: int
-    cancellations_as_of: int | None  # it needs those since then; None: it needs none
+    # All cancellations up to then were known; None if the request needs none.
+    cancellations_as_of: int | None
 
 
 class ConfirmedSpan(NamedTuple):
