--- a/basaltlead/shard/registry.py
+++ b/basaltlead/shard/registry.py
@@ -26,8 +26,7 @@
     # Grants
 
     def apply_grants(self) -> None:
-        """Start leaders for shards granted to us, and stop those whose grant was lost or
-        renewed."""
+        """Start leaders for granted shards, and stop those whose grant was lost or renewed."""
         for number in range(self.shards):
             grant = (
                 self.membership.held_grant(shard_key(number)) if self.membership.version else None
