--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -27,7 +27,7 @@
     try:
         await write
     except PreconditionFailed as conflict:
-        # A job whose results are stored was cancelled: the watch reports it.
+        # Usually the job was cancelled concurrently, which the watch reports.
         log.debug("write to the key-value store failed: %s changed concurrently", conflict)
         await asyncio.sleep(CONFLICT_PAUSE_S)
     except ServiceError as fault:
