--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -1,4 +1,4 @@
-"""Messages that other controllers and operators send to this one."""
+"""The server for messages from other controllers and operators."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -20,12 +20,12 @@
     Question,
 )
 
-MOST_CONNECTIONS = 16
-MOST_QUESTIONS = 4  # of operators that are being answered at a time; more get no answer
+MAX_CONNECTIONS = 16
+MAX_CONCURRENT_QUESTIONS = 4  # of operators; further ones get no answer
 
 
 class PeerServer:
-    """Answers deferral requests and operators' questions, and takes in announced cancellations."""
+    """Answers deferral requests and operators' questions, and adds announced cancellations."""
 
     def __init__(
         self,
@@ -33,34 +33,34 @@
         membership: Membership,
         reader: MessageReader,
         exchange: CancellationExchange,
-        answer: Callable[[Question], Awaitable[Answer]],
+        answer_question: Callable[[Question], Awaitable[Answer]],
     ) -> None:
         self.address = settings.internal_addr
         self.peer_names = {peer.member for peer in settings.known}
         self.membership = membership
         self.reader = reader
         self.exchange = exchange
-        self.answer = answer
+        self.answer_question = answer_question
         self.connections: set[FrameProtocol] = set()
-        self.answering: set[asyncio.Task[None]] = set()
+        self.reply_tasks: set[asyncio.Task[None]] = set()
 
     async def serve(self) -> None:
-        """Start to listen. Raises OSError if the address can't be used."""
+        """Start listening. Raises OSError if the address can't be used."""
         await listen(self._accept, self.address)
 
     def _accept(self) -> FrameProtocol:
-        protocol = FrameProtocol(self._received, self.connections.discard)
+        protocol = FrameProtocol(self._on_frame, self.connections.discard)
         self.connections.add(protocol)
-        if len(self.connections) > MOST_CONNECTIONS:
+        if len(self.connections) > MAX_CONNECTIONS:
             self.connections.pop().close()
         return protocol
 
-    def _received(self, protocol: FrameProtocol, body: bytes) -> None:
+    def _on_frame(self, protocol: FrameProtocol, body: bytes) -> None:
         match self.reader.read(body):
             case DeferralRequest() as request if request.name in self.peer_names:
                 protocol.send(encode(self._deferral(request)))
             case CancellationNotice(refs):
-                self.exchange.learn(refs)
+                self.exchange.add_reported(refs)
             case (DutiesQuestion() | HistoryQuestion()) as question:
                 self._start_reply(protocol, question)
 
@@ -78,10 +78,10 @@
         )
 
     def _start_reply(self, protocol: FrameProtocol, question: Question) -> None:
-        if len(self.answering) < MOST_QUESTIONS:
+        if len(self.reply_tasks) < MAX_CONCURRENT_QUESTIONS:
             task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
-            self.answering.add(task)
-            task.add_done_callback(self.answering.discard)
+            self.reply_tasks.add(task)
+            task.add_done_callback(self.reply_tasks.discard)
 
     async def _reply(self, protocol: FrameProtocol, question: Question) -> None:
-        protocol.send(encode(await self.answer(question)))
+        protocol.send(encode(await self.answer_question(question)))
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -1,4 +1,4 @@
-"""All exchange with the other controllers."""
+"""Communication with the other controllers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -19,30 +19,30 @@
         settings: Settings,
         membership: Membership,
         exchange: CancellationExchange,
-        answer: Callable[[Question], Awaitable[Answer]],
+        answer_question: Callable[[Question], Awaitable[Answer]],
     ) -> None:
-        """`answer` answers the questions of operators."""
+        """`answer_question` answers the questions of operators."""
         reader = MessageReader()
-        self.server = PeerServer(settings, membership, reader, exchange, answer)
+        self.server = PeerServer(settings, membership, reader, exchange, answer_question)
         self.extension = LeaseExtension(settings.known, reader, membership.session, exchange)
 
     async def serve(self) -> None:
-        """Start to listen for other controllers and operators."""
+        """Start listening for other controllers and operators."""
         await self.server.serve()
 
     async def request_deferrals(self) -> None:
-        """Request deferrals while our lease can't be renewed; never returns."""
+        """Request deferrals while the session lease can't be renewed; never returns."""
         await self.extension.request_deferrals()
 
     def all_peers_partitioned(self) -> bool:
-        """Whether all peers that have answered lately have lost the key-value store."""
+        """Whether peers have answered recently, and all of these lost the key-value store."""
         return self.extension.all_peers_partitioned()
 
     def announce_cancellation(self, ref: str) -> None:
         """Announce a cancellation just before it is confirmed to a user.
 
-        A shard leader that can't read the key-value store learns of it from us, if it can, before
-        it starts another task of the job.
+        This lets a shard leader that can't read the key-value store stop starting tasks of the job.
+        Delivery is not guaranteed.
         """
         for link in self.extension.links:
             link.send(CancellationNotice([ref]))
--- a/basaltlead/shard/arrivals.py
+++ b/basaltlead/shard/arrivals.py
@@ -1,15 +1,15 @@
-"""When jobs of each class arrived lately: the autoscaler derives warm spares from it."""
+"""Recent arrivals of jobs by class, from which the autoscaler derives warm spares."""
 
 from collections import deque
 from typing import NamedTuple
 
 from basaltlead.core.jobs import Job
 
-REMEMBERED_ARRIVALS = 200  # of each class
+MAX_ARRIVALS_PER_CLASS = 200  # of each class
 
 
 class Arrival(NamedTuple):
-    """A job that was submitted: when, with which image, and for how many tasks to keep room."""
+    """A submitted job: when, with which image, and for how many tasks to keep capacity."""
 
     at: int
     image: str
@@ -17,11 +17,11 @@
 
 
 class ClassArrivals:
-    """What was lately submitted of a class."""
+    """The recent arrivals of a class."""
 
     def __init__(self, job: Job) -> None:
         self.last_job = job
-        self.recent: deque[Arrival] = deque(maxlen=REMEMBERED_ARRIVALS)
+        self.recent: deque[Arrival] = deque(maxlen=MAX_ARRIVALS_PER_CLASS)
 
 
 class ArrivalHistory:
@@ -31,11 +31,11 @@
         self._classes: dict[str, ClassArrivals] = {}
 
     def note(self, job: Job, at: int) -> None:
-        """Note a job that was submitted at a time of the steady clock."""
+        """Record a job that was submitted at `at`, a time of the monotonic clock."""
         arrivals = self._classes.setdefault(job.job_class, ClassArrivals(job))
         arrivals.last_job = job
         arrivals.recent.append(Arrival(at, job.image, job.tasks if job.service else 1))
 
     def of_class(self, job_class: str) -> ClassArrivals | None:
-        """What is known of a class, if a job of it was ever seen."""
+        """The arrivals of a class; None if no job of it was seen."""
         return self._classes.get(job_class)
--- a/basaltlead/shard/registry.py
+++ b/basaltlead/shard/registry.py
@@ -1,4 +1,4 @@
-"""The shards that this controller leads at the moment."""
+"""The shards that this controller leads."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class ShardRegistry:
-    """Keeps one shard leader for each shard that is granted to this very incarnation."""
+    """Keeps a shard leader for each shard that is granted to this incarnation of the controller."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
     # Grants
 
     def apply_grants(self) -> None:
-        """The cluster has changed: acquire shards that are ours, release those that are not."""
+        """Start leaders for granted shards, and stop those whose grant was lost or renewed."""
         for number in range(self.shards):
             grant = (
                 self.membership.held_grant(shard_key(number)) if self.membership.version else None
@@ -46,31 +46,31 @@
                 self.leaders[number] = self.start_leader(number, grant)
 
     async def release_stepped_down(self) -> None:
-        """Release shards whose leader stepped down, or hears no machine, for others to acquire."""
+        """Release shards whose leader has stepped down or is isolated, for others to acquire."""
         for number, leader in list(self.leaders.items()):
-            if not leader.lease.stepped_down and leader.hears_nobody():
+            if not leader.lease.stepped_down and leader.is_isolated():
                 log.info("shard %d: no heartbeat for too long, stepping down", number)
                 leader.lease.end()
             if leader.lease.stepped_down:
-                await self._release(number, leader, leader_too=True)
+                await self._release(number, leader, release_leadership=True)
 
     async def hand_over(self, key: str) -> None:
-        """Release a shard that a controller without any should lead."""
+        """Release a shard, so that a controller without one can lead it."""
         for number, leader in list(self.leaders.items()):
             if shard_key(number) == key and leader.holds_valid_lease:
                 leader.lease.end()
-                await self._release(number, leader, leader_too=False)
+                await self._release(number, leader, release_leadership=False)
 
-    async def _release(self, number: int, leader: ShardLeader, leader_too: bool) -> None:
-        if await self.membership.release(shard_key(number), leader_too):
+    async def _release(self, number: int, leader: ShardLeader, release_leadership: bool) -> None:
+        if await self.membership.release(shard_key(number), release_leadership):
             leader.stop()
-            if self.leaders.get(number) is leader:  # else it was granted to us anew meanwhile
+            if self.leaders.get(number) is leader:  # else it was granted to us again
                 del self.leaders[number]
 
     # Cancellations
 
     def close_job(self, ref: str) -> None:
-        """A job is cancelled: stop what runs of it."""
+        """Close a cancelled job: stop its tasks."""
         for leader in self.leaders.values():
             leader.close_job(ref)
 
