--- a/basaltlead/duties/machine_deletion.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -8,7 +8,7 @@
 from basaltlead.errors import RequestRejected
 from basaltlead.runtime.logs import log
 
-MOST_NAMES = 100  # machines that the cloud deletes in one call
+MAX_DELETIONS_PER_CALL = 100  # machines that the cloud deletes in one call
 REJECTED_PAUSE_US = 60 * US  # before a deletion that the cloud has rejected is sent once more
 
 
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -10,7 +10,7 @@
 from basaltlead.core.offers import Offer
 from basaltlead.duties.history import Action, Event
 from basaltlead.duties.holder import DutyHolder, DutyServices
-from basaltlead.duties.machine_deletion import MOST_NAMES
+from basaltlead.duties.machine_deletion import MAX_DELETIONS_PER_CALL
 from basaltlead.duties.model import Duty
 from basaltlead.duties.unknown_machines import FAILED, UnknownMachines, patience_us
 from basaltlead.errors import PreconditionFailed, RequestFailed, ServiceError, Unavailable
@@ -147,7 +147,7 @@
             for machine in rented
             if machine.stage == FAILED and machine.name not in records.returned
         ]
-        most = min(MOST_NAMES, self.store.limits.preconditions // 2)
+        most = min(MAX_DELETIONS_PER_CALL, self.store.limits.preconditions // 2)
         for low in range(0, len(failed), most):
             batch = failed[low : low + most]
             await self._record_return(batch, ReturnReason.FAILED, records.preconditions(batch))
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -9,7 +9,7 @@
 from basaltlead.core.cluster_view import Grant
 from basaltlead.duties.history import Action, Event
 from basaltlead.duties.holder import DutyHolder, DutyServices
-from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
+from basaltlead.duties.machine_deletion import MAX_DELETIONS_PER_CALL, MachineDeletion
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
@@ -81,7 +81,9 @@
         """Delete as many machines as one call takes, of several returns together."""
         now = now_us()
         undeleted = [name for found in self.returns.values() for name in found.undeleted]
-        batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[:MOST_NAMES]
+        batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[
+            :MAX_DELETIONS_PER_CALL
+        ]
         if not batch:
             return
         deleted = set(await self.machine_deletion.delete(batch, now))
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -10,7 +10,7 @@
 
 from basaltlead.clients.backoff import Backoff
 from basaltlead.clients.cloud import Cloud
-from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
+from basaltlead.duties.machine_deletion import MAX_DELETIONS_PER_CALL, MachineDeletion
 from basaltlead.errors import (
     PreconditionFailed,
     RequestFailed,
@@ -106,7 +106,7 @@
         return max(
             1,
             min(
-                MOST_NAMES,
+                MAX_DELETIONS_PER_CALL,
                 limits.preconditions - OTHER_PRECONDITIONS,
                 (limits.value_bytes - RECORD_BYTES) // NAME_BYTES,
             ),
@@ -124,7 +124,7 @@
     async def _delete(self, names: list[str]) -> None:
         """Delete machines, and forget those that the cloud confirms as deleted."""
         now = now_us()
-        due = self.machine_deletion.due(names, now)[:MOST_NAMES]
+        due = self.machine_deletion.due(names, now)[:MAX_DELETIONS_PER_CALL]
         if not due:
             return
         deleted = await self.machine_deletion.delete(due, now)
