--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -21,7 +21,7 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 PAGES = 64  # in the ring of each duty
-MOST_NAMES = 8  # machines that an event lists; the others are only counted
+MAX_NAMES_PER_EVENT = 8  # machines that an event lists; the others are only counted
 PAGE_ENVELOPE_BYTES = 64  # what is reserved in a page in addition to its encoded events
 MOST_ATTEMPTS = 3  # at a transaction that fails only because the page has changed
 
@@ -53,7 +53,7 @@
     @staticmethod
     def of(action: str, about: str = "", since: int = 0, names: Sequence[str] = ()) -> "Event":
         """An event that concerns these machines. `History.commit` adds time, token and holder."""
-        return Event(0, 0, "", action, about, since, len(names), list(names[:MOST_NAMES]))
+        return Event(0, 0, "", action, about, since, len(names), list(names[:MAX_NAMES_PER_EVENT]))
 
     @staticmethod
     def of_rows(action: str, count: int) -> "Event":
