--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -23,7 +23,7 @@
 
 LEASE_CHECK_PAUSE_S = 0.5  # between two checks whether the lease is valid again
 REJECTED_PAUSE_S = 60.0  # before a request that the cloud has rejected is sent once more
-MOST_REASON = 80  # characters of the cloud's reason that are recorded
+MAX_REASON_CHARS = 80  # characters of the cloud's reason that are recorded
 MOST_RECORDING_ATTEMPTS = 8
 
 # Makes changes under preconditions; a duty's holder adds an event to its history.
--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -8,7 +8,7 @@
 from basaltlead.core.cluster_view import Grant
 from basaltlead.duties.history import Action, Event
 from basaltlead.duties.holder import DutyHolder, DutyServices
-from basaltlead.duties.machine_rental import MOST_REASON, MachineRental
+from basaltlead.duties.machine_rental import MAX_REASON_CHARS, MachineRental
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.logs import log
@@ -130,7 +130,7 @@
         offer."""
         if stored.refused is not msgspec.UNSET:
             return
-        stored.refused = reason[:MOST_REASON]
+        stored.refused = reason[:MAX_REASON_CHARS]
         preconditions = [Precondition(SCALE_OUT + name, self.versions.get(name, 0))]
         changes = [Put(SCALE_OUT + name, stored)]
         event = Event.of(Action.REFUSED, name, stored.at)
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -21,7 +21,7 @@
 
 PASS_INTERVAL_S = 0.5  # between two passes over the open returns, if none is added
 RETRY_PAUSE_S = 0.2  # after the outcome of a return could not be recorded
-MOST_REASON = 200  # characters of the cloud's reason that are recorded
+MAX_REASON_CHARS = 200  # characters of the cloud's reason that are recorded
 
 
 class OpenReturn(Struct):
@@ -130,7 +130,7 @@
             reasons = [rejected[name].reason for name in found.undeleted if name in rejected]
             if not reasons or found.stored.refused:
                 continue
-            changed = msgspec.structs.replace(found.stored, refused=reasons[0][:MOST_REASON])
+            changed = msgspec.structs.replace(found.stored, refused=reasons[0][:MAX_REASON_CHARS])
             try:
                 await self.history.commit(
                     [Precondition(key, found.version)],
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -4,7 +4,7 @@
 
 from basaltlead.core.entities import Machine
 from basaltlead.core.offers import Offer, OfferBook
-from basaltlead.duties.machine_rental import MOST_REASON
+from basaltlead.duties.machine_rental import MAX_REASON_CHARS
 from basaltlead.runtime.clock import age_us, now_us
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import SCALE_OUT, StoredScaleOut
@@ -81,7 +81,7 @@
 
         Its machines no longer count as expected, so that another offer is requested instead.
         """
-        self.context.intents.scale_outs[name].refused = reason[:MOST_REASON]
+        self.context.intents.scale_outs[name].refused = reason[:MAX_REASON_CHARS]
         self.expect_no_more(name)
 
     def add_machines(self, stored: StoredScaleOut, names: list[str]) -> None:
