--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -24,7 +24,7 @@
 LEASE_CHECK_PAUSE_S = 0.5  # between two checks whether the lease is valid again
 REJECTED_PAUSE_S = 60.0  # before a request that the cloud has rejected is sent once more
 MAX_REASON_CHARS = 80  # characters of the cloud's reason that are recorded
-MOST_RECORDING_ATTEMPTS = 8
+MAX_RECORDING_ATTEMPTS = 8
 
 # Makes changes under preconditions; a duty's holder adds an event to its history.
 Commit = Callable[[list[Precondition], Sequence[Put | Drop]], Awaitable[None]]
@@ -102,7 +102,7 @@
         key = SCALE_OUT + name
         change: Put | Drop = Drop(key) if stored is None else Put(key, stored)
         backoff = Backoff(200_000, 4_000_000, self.chance)
-        for _ in range(MOST_RECORDING_ATTEMPTS):
+        for _ in range(MAX_RECORDING_ATTEMPTS):
             try:
                 await (commit or self._write)([Precondition(key, version)], [change])
             except PreconditionFailed as conflict:
