--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -23,7 +23,7 @@
 PAGES = 64  # in the ring of each duty
 MAX_NAMES_PER_EVENT = 8  # machines that an event lists; the others are only counted
 PAGE_ENVELOPE_BYTES = 64  # what is reserved in a page in addition to its encoded events
-MOST_ATTEMPTS = 3  # at a transaction that fails only because the page has changed
+MAX_COMMIT_ATTEMPTS = 3  # at a transaction that fails only because the page has changed
 
 
 class Action(StrEnum):
@@ -118,7 +118,7 @@
             event, at=wall_us(), token=self.fencing_token, holder=self.controller
         )
         async with self.commit_lock:
-            for _ in range(MOST_ATTEMPTS):
+            for _ in range(MAX_COMMIT_ATTEMPTS):
                 if await self._commit_once(preconditions, changes, event, low_priority):
                     return
         raise Unavailable(f"history of duty {self.duty}: its page changed at each attempt")
