--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -16,7 +16,7 @@
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Precondition, Put
 
-MOST_REQUESTS = 6  # that are under way at once
+MAX_CONCURRENT_REQUESTS = 6  # that are under way at once
 RETRY_PAUSE_S = 1.0  # before a request whose outcome could not be recorded is sent again
 
 
@@ -54,7 +54,7 @@
         # Requests whose outcome is being recorded. The watch may show the record before the
         # store's answer arrives, and must not cancel the task then.
         self.recording: set[str] = set()
-        self.slots = asyncio.Semaphore(MOST_REQUESTS)
+        self.slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
     async def run(self) -> None:
         """Follow the recorded requests until cancelled."""
--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -203,7 +203,7 @@
 async def test_requests_that_the_cloud_always_refuses_are_shown_and_delay_no_others(
     loop: Loop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("basaltlead.duties.rent_duty.MOST_REQUESTS", 1)
+    monkeypatch.setattr("basaltlead.duties.rent_duty.MAX_CONCURRENT_REQUESTS", 1)
 
     deployment = await start_with_duties(loop)
 
