--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -30,7 +30,7 @@
 LEAST_PAUSE_S = 4.0  # between two lists
 ADOPTED_PREFIX = "a-"  # of the names of records under which machines are adopted
 RECORDS_VALID_US = 60 * US  # for how long a machine in the records that were read counts as known
-MOST_ADOPTED = 20  # in one pass
+MAX_ADOPTIONS_PER_PASS = 20  # in one pass
 FIRST_SHARD = 0  # adopted machines become its machines
 
 
@@ -112,7 +112,7 @@
         self.known = records.known
         self.unknown_machines.update(rented, self.known, listed_at)
         abandoned = self.unknown_machines.abandoned(rented, records.in_progress, listed_at)
-        for machine in abandoned[:MOST_ADOPTED]:
+        for machine in abandoned[:MAX_ADOPTIONS_PER_PASS]:
             await self._adopt(machine)
         await self._return_failed(records, rented)
         await self._return_ownerless(records)
