--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -26,7 +26,7 @@
 )
 from basaltlead.wire.store import Row
 
-MOST_INTENTS = 500  # in one answer, the oldest
+MAX_INTENTS = 500  # in one answer, the oldest
 
 
 class DutyReports:
@@ -62,7 +62,7 @@
         return DutiesAnswer(
             granted=duties_allowed(cluster),
             duties=[_held_duty(cluster, duty) for duty in Duty],
-            intents=intents[:MOST_INTENTS],
+            intents=intents[:MAX_INTENTS],
             open_count=len(intents),
         )
 
