--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -27,7 +27,7 @@
 from basaltlead.wire.cloud import RentedMachine
 from basaltlead.wire.store import Precondition, Put, Row
 
-LEAST_PAUSE_S = 4.0  # between two lists
+MIN_PAUSE_S = 4.0  # between two lists
 ADOPTED_PREFIX = "a-"  # of the names of records under which machines are adopted
 RECORDS_VALID_US = 60 * US  # for how long a machine in the records that were read counts as known
 MAX_ADOPTIONS_PER_PASS = 20  # in one pass
@@ -80,7 +80,7 @@
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
         list_lag_s = self.settings.facts.cloud.list_lag_s
-        self.pause_s = max(LEAST_PAUSE_S, list_lag_s)
+        self.pause_s = max(MIN_PAUSE_S, list_lag_s)
         self.unknown_machines = UnknownMachines(patience_us(list_lag_s))
         self.known: set[str] = set()  # machines in the records that were read last
         self.records_read_at = -RECORDS_VALID_US
