--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -23,7 +23,7 @@
 LEADER_PAUSE_S = 30.0  # between two reads by a controller that leads a shard: prices change
 STANDBY_PAUSE_S = 180.0  # the same for one that leads none
 MIN_RETRY_DELAY_US = 200_000
-LONGEST_RETRY_US = 2_000_000
+MAX_RETRY_DELAY_US = 2_000_000
 PAGE_PREFIX = TYPES + "/"
 PAGE_ENVELOPE_BYTES = 64  # of a page, in addition to its types
 
@@ -73,7 +73,7 @@
 
     async def follow(self) -> None:
         """Read the types and their present prices again and again; never returns."""
-        backoff = Backoff(MIN_RETRY_DELAY_US, LONGEST_RETRY_US, self.membership.chance)
+        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.membership.chance)
         while True:
             try:
                 types = await self.cloud.types()
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -27,7 +27,7 @@
 
 PAUSE_S = 0.3  # between two checks for terminating machines
 MIN_RETRY_DELAY_US = 500_000
-LONGEST_RETRY_US = 4_000_000
+MAX_RETRY_DELAY_US = 4_000_000
 OTHER_PRECONDITIONS = 4  # of a scale-in record's transaction, in addition to one for each machine
 RECORD_BYTES = 512  # of a scale-in record, in addition to the names of its machines
 NAME_BYTES = 32  # of each machine's name in the record
@@ -54,7 +54,7 @@
 
     async def _return_terminating(self) -> None:
         """Record or delete the machines that are marked as terminating; never returns."""
-        backoff = Backoff(MIN_RETRY_DELAY_US, LONGEST_RETRY_US, self.context.membership.chance)
+        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.context.membership.chance)
         while True:
             await asyncio.sleep(PAUSE_S)
             names = [m.name for m in self.context.shard.machines.values() if m.terminating]
