--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -16,7 +16,7 @@
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
-LOAD_SHORTEST_RETRY_US = 200_000
+MIN_LOAD_RETRY_DELAY_US = 200_000
 LOAD_LONGEST_RETRY_US = 2_000_000
 
 
@@ -39,7 +39,7 @@
     async def load(self) -> None:
         """Read what earlier shard leaders have reserved; tries until it succeeds."""
         backoff = Backoff(
-            LOAD_SHORTEST_RETRY_US, LOAD_LONGEST_RETRY_US, self.context.membership.chance
+            MIN_LOAD_RETRY_DELAY_US, LOAD_LONGEST_RETRY_US, self.context.membership.chance
         )
         while not self.loaded:
             try:
