--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -17,7 +17,7 @@
 from basaltlead.storage.records import QUIET
 
 MIN_LOAD_RETRY_DELAY_US = 200_000
-LOAD_LONGEST_RETRY_US = 2_000_000
+MAX_LOAD_RETRY_DELAY_US = 2_000_000
 
 
 class IdleRetention:
@@ -39,7 +39,7 @@
     async def load(self) -> None:
         """Read what earlier shard leaders have reserved; tries until it succeeds."""
         backoff = Backoff(
-            MIN_LOAD_RETRY_DELAY_US, LOAD_LONGEST_RETRY_US, self.context.membership.chance
+            MIN_LOAD_RETRY_DELAY_US, MAX_LOAD_RETRY_DELAY_US, self.context.membership.chance
         )
         while not self.loaded:
             try:
