--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -19,7 +19,7 @@
 from basaltlead.runtime.clock import wall_us
 from basaltlead.runtime.logs import log
 
-LONGEST = timedelta(hours=24)  # that a quiet time may last
+MAX_EVENT_DURATION = timedelta(hours=24)  # that a quiet time may last
 HORIZON = timedelta(hours=6)  # occurrences are computed so far ahead
 HORIZON_US = HORIZON // timedelta(microseconds=1)
 CHECK_INTERVAL_US = 60 * US  # between two checks whether the file has changed
@@ -123,8 +123,12 @@
         field, span = DURATION, event[DURATION].dt
     else:
         return [Fault(END, "is missing")]
-    if not timedelta(0) < span <= LONGEST:
-        return [Fault(field, f"a quiet time lasts longer than nothing, and {LONGEST} at most")]
+    if not timedelta(0) < span <= MAX_EVENT_DURATION:
+        return [
+            Fault(
+                field, f"a quiet time lasts longer than nothing, and {MAX_EVENT_DURATION} at most"
+            )
+        ]
     return []
 
 
@@ -177,7 +181,9 @@
 
     def _compute_occurrences(self, now: int) -> None:
         at = datetime.fromtimestamp(now / US, UTC)
-        found = recurring_ical_events.of(self.calendar).between(at - LONGEST, at + HORIZON)
+        found = recurring_ical_events.of(self.calendar).between(
+            at - MAX_EVENT_DURATION, at + HORIZON
+        )
         self.occurrences = sorted(
             QuietTime(_to_us(event[START].dt), _to_us(event[END].dt)) for event in found
         )
