--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -23,7 +23,7 @@
 HORIZON = timedelta(hours=6)  # occurrences are computed so far ahead
 HORIZON_US = HORIZON // timedelta(microseconds=1)
 CHECK_INTERVAL_US = 60 * US  # between two checks whether the file has changed
-MOST_BYTES = 1 << 20  # of a calendar
+MAX_CALENDAR_BYTES = 1 << 20  # of a calendar
 MOST_NAME_CHARACTERS = 40  # of a malformed line, shown in place of the name of its field
 
 EVENT = "VEVENT"
@@ -102,8 +102,8 @@
         raise SettingsError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise SettingsError(f"{path}: not UTF-8") from None
-    if len(raw) > MOST_BYTES:
-        raise SettingsError(f"{path}: larger than {MOST_BYTES} bytes")
+    if len(raw) > MAX_CALENDAR_BYTES:
+        raise SettingsError(f"{path}: larger than {MAX_CALENDAR_BYTES} bytes")
     return text
 
 
