--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -24,7 +24,7 @@
 HORIZON_US = HORIZON // timedelta(microseconds=1)
 CHECK_INTERVAL_US = 60 * US  # between two checks whether the file has changed
 MAX_CALENDAR_BYTES = 1 << 20  # of a calendar
-MOST_NAME_CHARACTERS = 40  # of a malformed line, shown in place of the name of its field
+MAX_SHOWN_CHARS = 40  # of a malformed line, shown in place of the name of its field
 
 EVENT = "VEVENT"
 EVENT_BEGINS = f"BEGIN:{EVENT}"
@@ -79,7 +79,7 @@
         try:
             Contentline(line.text).parts()  # type: ignore[no-untyped-call]
         except ValueError:
-            fault = Fault(line.text[:MOST_NAME_CHARACTERS], "not a content line")
+            fault = Fault(line.text[:MAX_SHOWN_CHARS], "not a content line")
             raise _error(path, line.number, fault) from None
     try:
         calendar = icalendar.Calendar.from_ical(text)
