--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -38,14 +38,14 @@
     text: str
 
 
-class Fault(NamedTuple):
+class EventProblem(NamedTuple):
     """What makes an event unusable."""
 
     field: str
     reason: str
 
 
-def _error(path: str, line: int, fault: Fault) -> SettingsError:
+def _error(path: str, line: int, fault: EventProblem) -> SettingsError:
     return SettingsError(f"{path}: line {line}: {fault.field}: {fault.reason}")
 
 
@@ -79,15 +79,15 @@
         try:
             Contentline(line.text).parts()  # type: ignore[no-untyped-call]
         except ValueError:
-            fault = Fault(line.text[:MAX_SHOWN_CHARS], "not a content line")
+            fault = EventProblem(line.text[:MAX_SHOWN_CHARS], "not a content line")
             raise _error(path, line.number, fault) from None
     try:
         calendar = icalendar.Calendar.from_ical(text)
     except (ValueError, IndexError) as error:
-        raise _error(path, 1, Fault("VCALENDAR", str(error))) from None
+        raise _error(path, 1, EventProblem("VCALENDAR", str(error))) from None
     events = calendar.walk(EVENT)
     if not events:
-        raise _error(path, 1, Fault(EVENT, "no quiet time"))
+        raise _error(path, 1, EventProblem(EVENT, "no quiet time"))
     for place, event in enumerate(events):
         for fault in _faults(event):
             raise _error(path, _line_number(lines, place, fault.field), fault)
@@ -107,25 +107,25 @@
     return text
 
 
-def _faults(event: Any) -> list[Fault]:
+def _faults(event: Any) -> list[EventProblem]:
     """What makes an event unusable; empty if it can be used."""
     if event.errors:
-        return [Fault(str(field), str(reason)) for field, reason in event.errors]
+        return [EventProblem(str(field), str(reason)) for field, reason in event.errors]
     start = event.get(START)
     if start is None or not isinstance(start.dt, datetime):
-        return [Fault(START, "needs a date and a time of day")]
+        return [EventProblem(START, "needs a date and a time of day")]
     if start.dt.tzinfo is None:
         zone = start.params.get("TZID", "none")
-        return [Fault(START, f"needs a known time zone, not {zone}")]
+        return [EventProblem(START, f"needs a known time zone, not {zone}")]
     if END in event:
         field, span = END, event[END].dt - start.dt
     elif DURATION in event:
         field, span = DURATION, event[DURATION].dt
     else:
-        return [Fault(END, "is missing")]
+        return [EventProblem(END, "is missing")]
     if not timedelta(0) < span <= MAX_EVENT_DURATION:
         return [
-            Fault(
+            EventProblem(
                 field, f"a quiet time lasts longer than nothing, and {MAX_EVENT_DURATION} at most"
             )
         ]
