--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -89,7 +89,7 @@
     if not events:
         raise _error(path, 1, EventProblem(EVENT, "no quiet time"))
     for place, event in enumerate(events):
-        for fault in _faults(event):
+        for fault in _event_problems(event):
             raise _error(path, _line_number(lines, place, fault.field), fault)
     return calendar
 
@@ -107,7 +107,7 @@
     return text
 
 
-def _faults(event: Any) -> list[EventProblem]:
+def _event_problems(event: Any) -> list[EventProblem]:
     """What makes an event unusable; empty if it can be used."""
     if event.errors:
         return [EventProblem(str(field), str(reason)) for field, reason in event.errors]
