--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -45,8 +45,8 @@
     reason: str
 
 
-def _error(path: str, line: int, fault: EventProblem) -> SettingsError:
-    return SettingsError(f"{path}: line {line}: {fault.field}: {fault.reason}")
+def _error(path: str, line: int, problem: EventProblem) -> SettingsError:
+    return SettingsError(f"{path}: line {line}: {problem.field}: {problem.reason}")
 
 
 def _content_lines(text: str) -> list[Line]:
@@ -79,8 +79,8 @@
         try:
             Contentline(line.text).parts()  # type: ignore[no-untyped-call]
         except ValueError:
-            fault = EventProblem(line.text[:MAX_SHOWN_CHARS], "not a content line")
-            raise _error(path, line.number, fault) from None
+            problem = EventProblem(line.text[:MAX_SHOWN_CHARS], "not a content line")
+            raise _error(path, line.number, problem) from None
     try:
         calendar = icalendar.Calendar.from_ical(text)
     except (ValueError, IndexError) as error:
@@ -89,8 +89,8 @@
     if not events:
         raise _error(path, 1, EventProblem(EVENT, "no quiet time"))
     for place, event in enumerate(events):
-        for fault in _event_problems(event):
-            raise _error(path, _line_number(lines, place, fault.field), fault)
+        for problem in _event_problems(event):
+            raise _error(path, _line_number(lines, place, problem.field), problem)
     return calendar
 
 
