--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -11,7 +11,7 @@
 from basaltlead.core.jobs import US
 from basaltlead.core.quiet_times import QuietTime
 
-PARTS = 10  # of the bound, reserved one after the other
+RESERVATION_CHUNKS = 10  # of the bound, reserved one after the other
 HOUR_US = 3600 * US
 # Between two passes. A process that was suspended for longer has retained no machine meanwhile.
 LONGEST_STEP_US = 5 * US
@@ -50,13 +50,13 @@
             return False
         if quiet.start != self.start:
             self.start, self.reserved, self.spent = quiet.start, 0.0, 0.0
-        part = self.most / PARTS
+        part = self.most / RESERVATION_CHUNKS
         return self.reserved < self.most and self.spent > self.reserved - part / 2
 
     async def reserve_more(self) -> None:
         """Reserve another part. If that is not recorded, nothing more can be spent."""
         start = self.start
-        wanted = min(self.most, self.reserved + self.most / PARTS)
+        wanted = min(self.most, self.reserved + self.most / RESERVATION_CHUNKS)
         if await self.reserve(StoredQuiet(start, wanted)) and self.start == start:
             self.reserved = wanted
 
