--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -50,8 +50,8 @@
             return False
         if quiet.start != self.start:
             self.start, self.reserved, self.spent = quiet.start, 0.0, 0.0
-        part = self.most / RESERVATION_CHUNKS
-        return self.reserved < self.most and self.spent > self.reserved - part / 2
+        chunk = self.most / RESERVATION_CHUNKS
+        return self.reserved < self.most and self.spent > self.reserved - chunk / 2
 
     async def reserve_more(self) -> None:
         """Reserve another part. If that is not recorded, nothing more can be spent."""
