--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -36,7 +36,7 @@
         self.reserved = 0.0
         self.spent = 0.0
         self.passed_at = 0  # when the last pass began, on the steady clock
-        self.step_us = 0  # from the last pass to the present one
+        self.charged_interval_us = 0  # from the last pass to the present one
 
     def load(self, stored: StoredQuiet) -> None:
         """Continue after an earlier shard leader."""
@@ -44,7 +44,9 @@
 
     def begin(self, quiet: QuietTime | None, now: int) -> bool:
         """Begin a pass over the machines. True if more should be reserved."""
-        self.step_us = min(LONGEST_STEP_US, now - self.passed_at) if self.passed_at else 0
+        self.charged_interval_us = (
+            min(LONGEST_STEP_US, now - self.passed_at) if self.passed_at else 0
+        )
         self.passed_at = now
         if quiet is None:
             return False
@@ -62,7 +64,7 @@
 
     def keeps(self, price_per_hour: float) -> bool:
         """Spend what an idle machine costs until the next pass; False if there is no money."""
-        cost = price_per_hour * self.step_us / HOUR_US
+        cost = price_per_hour * self.charged_interval_us / HOUR_US
         if self.reserved <= 0 or self.spent + cost > self.reserved:
             return False
         self.spent += cost
