--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -14,7 +14,7 @@
 RESERVATION_CHUNKS = 10  # of the bound, reserved one after the other
 HOUR_US = 3600 * US
 # Between two passes. A process that was suspended for longer has retained no machine meanwhile.
-LONGEST_STEP_US = 5 * US
+MAX_CHARGED_INTERVAL_US = 5 * US
 
 
 class StoredQuiet(Struct):
@@ -45,7 +45,7 @@
     def begin(self, quiet: QuietTime | None, now: int) -> bool:
         """Begin a pass over the machines. True if more should be reserved."""
         self.charged_interval_us = (
-            min(LONGEST_STEP_US, now - self.passed_at) if self.passed_at else 0
+            min(MAX_CHARGED_INTERVAL_US, now - self.passed_at) if self.passed_at else 0
         )
         self.passed_at = now
         if quiet is None:
