--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -35,7 +35,7 @@
         self.start = 0  # of the quiet time that the following amounts are for
         self.reserved = 0.0
         self.spent = 0.0
-        self.passed_at = 0  # when the last pass began, on the steady clock
+        self.last_pass_at = 0  # when the last pass began, on the steady clock
         self.charged_interval_us = 0  # from the last pass to the present one
 
     def load(self, stored: StoredQuiet) -> None:
@@ -45,9 +45,9 @@
     def begin(self, quiet: QuietTime | None, now: int) -> bool:
         """Begin a pass over the machines. True if more should be reserved."""
         self.charged_interval_us = (
-            min(MAX_CHARGED_INTERVAL_US, now - self.passed_at) if self.passed_at else 0
+            min(MAX_CHARGED_INTERVAL_US, now - self.last_pass_at) if self.last_pass_at else 0
         )
-        self.passed_at = now
+        self.last_pass_at = now
         if quiet is None:
             return False
         if quiet.start != self.start:
