--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -27,10 +27,10 @@
 class QuietBudget:
     """The money of one shard for the present quiet time."""
 
-    def __init__(self, most: float, reserve: Callable[[StoredQuiet], Awaitable[bool]]) -> None:
-        """Spend at most `most` in each quiet time. `reserve` records what is reserved, and returns
+    def __init__(self, limit: float, reserve: Callable[[StoredQuiet], Awaitable[bool]]) -> None:
+        """Spend at most `limit` in each quiet time. `reserve` records what is reserved, and returns
         whether that succeeded."""
-        self.most = most
+        self.limit = limit
         self.reserve = reserve
         self.start = 0  # of the quiet time that the following amounts are for
         self.reserved = 0.0
@@ -52,13 +52,13 @@
             return False
         if quiet.start != self.start:
             self.start, self.reserved, self.spent = quiet.start, 0.0, 0.0
-        chunk = self.most / RESERVATION_CHUNKS
-        return self.reserved < self.most and self.spent > self.reserved - chunk / 2
+        chunk = self.limit / RESERVATION_CHUNKS
+        return self.reserved < self.limit and self.spent > self.reserved - chunk / 2
 
     async def reserve_more(self) -> None:
         """Reserve another part. If that is not recorded, nothing more can be spent."""
         start = self.start
-        wanted = min(self.most, self.reserved + self.most / RESERVATION_CHUNKS)
+        wanted = min(self.limit, self.reserved + self.limit / RESERVATION_CHUNKS)
         if await self.reserve(StoredQuiet(start, wanted)) and self.start == start:
             self.reserved = wanted
 
