--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -62,7 +62,7 @@
         if await self.reserve(StoredQuiet(start, wanted)) and self.start == start:
             self.reserved = wanted
 
-    def keeps(self, price_per_hour: float) -> bool:
+    def charge(self, price_per_hour: float) -> bool:
         """Spend what an idle machine costs until the next pass; False if there is no money."""
         cost = price_per_hour * self.charged_interval_us / HOUR_US
         if self.reserved <= 0 or self.spent + cost > self.reserved:
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -325,7 +325,7 @@
             now += SECOND
             if allowance.begin(QuietTime(1, HOUR_US), now):
                 await allowance.reserve_more()
-            spent += 3.0 / 3600 * allowance.keeps(3.0)
+            spent += 3.0 / 3600 * allowance.charge(3.0)
 
     assert 0.5 < spent <= 2.0 + 1e-9
 
