--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -60,11 +60,11 @@
             self.reserving = True
             self.context.spawn(self._reserve_more(), "reserve for a quiet time")
 
-    def keeps(self, machine: Machine) -> bool:
+    def retain(self, machine: Machine) -> bool:
         """Is an idle machine retained until the next pass? If so, that is charged."""
         if not self.loaded or self.quiet_times.current() is None:
             return False
-        return self.budget.keeps(unit_price(machine.machine_type, machine.spot))
+        return self.budget.charge(unit_price(machine.machine_type, machine.spot))
 
     async def _reserve_more(self) -> None:
         try:
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -106,7 +106,7 @@
     def _retained(self, machine: Machine) -> bool:
         """Is an idle machine kept for a quiet time? Asked only for those that would be returned,
         since keeping one is charged to the quiet time's budget."""
-        return self.idle_retention is not None and self.idle_retention.keeps(machine)
+        return self.idle_retention is not None and self.idle_retention.retain(machine)
 
     def _unreachable_for_long(self, machine: Machine, now: int) -> bool:
         since = max(machine.unreachable_since, machine.back_at)
