--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -53,10 +53,10 @@
                 self.budget.load(msgspec.json.decode(row.value, type=StoredQuiet))
             self.loaded = True
 
-    def begin(self, now: int) -> None:
+    def begin_pass(self, now: int) -> None:
         """Begin a pass over the machines at `now` (steady clock); may reserve more money."""
         quiet = self.quiet_times.current() if self.loaded else None
-        if self.budget.begin(quiet, now) and not self.reserving:
+        if self.budget.begin_pass(quiet, now) and not self.reserving:
             self.reserving = True
             self.context.spawn(self._reserve_more(), "reserve for a quiet time")
 
--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -42,7 +42,7 @@
         """Continue after an earlier shard leader."""
         self.start, self.reserved, self.spent = stored.start, stored.reserved, stored.reserved
 
-    def begin(self, quiet: QuietTime | None, now: int) -> bool:
+    def begin_pass(self, quiet: QuietTime | None, now: int) -> bool:
         """Begin a pass over the machines. True if more should be reserved."""
         self.charged_interval_us = (
             min(MAX_CHARGED_INTERVAL_US, now - self.last_pass_at) if self.last_pass_at else 0
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -78,7 +78,7 @@
         """Mark the machines that are to be returned, given the names of those that are needed."""
         may_return_lost = self.reachability.lost_for_certain(now)
         if self.idle_retention is not None:
-            self.idle_retention.begin(now)
+            self.idle_retention.begin_pass(now)
         for machine in list(self.context.shard.machines.values()):
             if machine.attempts or machine.terminating:
                 continue
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -323,7 +323,7 @@
             allowance.load(stored[-1])
         for _ in range(200):
             now += SECOND
-            if allowance.begin(QuietTime(1, HOUR_US), now):
+            if allowance.begin_pass(QuietTime(1, HOUR_US), now):
                 await allowance.reserve_more()
             spent += 3.0 / 3600 * allowance.charge(3.0)
 
