--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -12,7 +12,7 @@
 from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuiet
+from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuietReservation
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
@@ -50,7 +50,7 @@
                 continue
             if row is not None:
                 self.context.store.versions[self.key] = row.version
-                self.budget.load(msgspec.json.decode(row.value, type=StoredQuiet))
+                self.budget.load(msgspec.json.decode(row.value, type=StoredQuietReservation))
             self.loaded = True
 
     def begin_pass(self, now: int) -> None:
@@ -72,7 +72,7 @@
         finally:
             self.reserving = False
 
-    async def _reserve(self, stored: StoredQuiet) -> bool:
+    async def _reserve(self, stored: StoredQuietReservation) -> bool:
         """Record a reservation; False if that is not confirmed."""
         try:
             await self.context.store.put({self.key: stored})
--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -17,7 +17,7 @@
 MAX_CHARGED_INTERVAL_US = 5 * US
 
 
-class StoredQuiet(Struct):
+class StoredQuietReservation(Struct):
     """How much is reserved for the quiet time that began at `start`."""
 
     start: int  # time of day in microseconds
@@ -27,7 +27,9 @@
 class QuietBudget:
     """The money of one shard for the present quiet time."""
 
-    def __init__(self, limit: float, reserve: Callable[[StoredQuiet], Awaitable[bool]]) -> None:
+    def __init__(
+        self, limit: float, reserve: Callable[[StoredQuietReservation], Awaitable[bool]]
+    ) -> None:
         """Spend at most `limit` in each quiet time. `reserve` records what is reserved, and returns
         whether that succeeded."""
         self.limit = limit
@@ -38,7 +40,7 @@
         self.last_pass_at = 0  # when the last pass began, on the steady clock
         self.charged_interval_us = 0  # from the last pass to the present one
 
-    def load(self, stored: StoredQuiet) -> None:
+    def load(self, stored: StoredQuietReservation) -> None:
         """Continue after an earlier shard leader."""
         self.start, self.reserved, self.spent = stored.start, stored.reserved, stored.reserved
 
@@ -59,7 +61,7 @@
         """Reserve another part. If that is not recorded, nothing more can be spent."""
         start = self.start
         wanted = min(self.limit, self.reserved + self.limit / RESERVATION_CHUNKS)
-        if await self.reserve(StoredQuiet(start, wanted)) and self.start == start:
+        if await self.reserve(StoredQuietReservation(start, wanted)) and self.start == start:
             self.reserved = wanted
 
     def charge(self, price_per_hour: float) -> bool:
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -19,7 +19,7 @@
 from basaltlead.errors import SettingsError
 from basaltlead.operators import client
 from basaltlead.operators.audit_export import export
-from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuiet
+from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuietReservation
 from basaltlead.scaling.quiet_calendar import QuietCalendar, read_calendar
 from basaltlead.wire.peers import (
     DutiesAnswer,
@@ -309,9 +309,9 @@
 
 @simulated
 async def test_quiet_budget_holds_across_failovers(loop: Loop) -> None:
-    stored: list[StoredQuiet] = []
+    stored: list[StoredQuietReservation] = []
 
-    async def reserve(one: StoredQuiet) -> bool:
+    async def reserve(one: StoredQuietReservation) -> bool:
         stored.append(one)
         return True
 
