--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -26,7 +26,7 @@
 RETENTION_US = 1800 * US
 
 
-def is_spent(scale_out: StoredScaleOut, recorded: set[str]) -> bool:
+def is_obsolete(scale_out: StoredScaleOut, recorded: set[str]) -> bool:
     """Whether nobody reads a request's record any more: each machine that it brought has been
     recorded by its shard, or the request is old."""
     if scale_out.names is None:
@@ -83,7 +83,7 @@
         awaited: set[str] = set()  # machines of the requests that are kept
         for row in rows:
             scale_out = msgspec.json.decode(row.value, type=StoredScaleOut)
-            if is_spent(scale_out, self.recorded):
+            if is_obsolete(scale_out, self.recorded):
                 spent.append(row.key)
             else:
                 awaited.update(scale_out.names or ())
