--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -79,16 +79,16 @@
             return
         machines, _ = await self.store.rows(MACHINE)
         self.recorded |= {row.key[len(MACHINE) :] for row in machines}
-        spent: list[str] = []
+        obsolete: list[str] = []
         awaited: set[str] = set()  # machines of the requests that are kept
         for row in rows:
             scale_out = msgspec.json.decode(row.value, type=StoredScaleOut)
             if is_obsolete(scale_out, self.recorded):
-                spent.append(row.key)
+                obsolete.append(row.key)
             else:
                 awaited.update(scale_out.names or ())
         self.recorded &= awaited
-        await self._drop("spent requests", spent, [])
+        await self._drop("spent requests", obsolete, [])
 
     async def _drop_orphaned_results(self) -> None:
         rows, _ = await self.store.rows(OPEN)
