--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -34,7 +34,7 @@
     return recorded.issuperset(scale_out.names) or age_us(scale_out.at) > RETENTION_US
 
 
-def orphaned(rows: Iterable[Row]) -> dict[str, list[str]]:
+def orphaned_results(rows: Iterable[Row]) -> dict[str, list[str]]:
     """Keys of results of jobs that are not open any more, by job."""
     open_jobs: set[str] = set()
     results: dict[str, list[str]] = {}
@@ -92,7 +92,7 @@
 
     async def _drop_orphaned_results(self) -> None:
         rows, _ = await self.store.rows(OPEN)
-        for ref, keys in orphaned(rows).items():
+        for ref, keys in orphaned_results(rows).items():
             # The rows were listed page by page, so the job may be open all the same: it must have
             # no row when its results are dropped.
             await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
