--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -14,7 +14,7 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 
-HOLDERS: dict[Duty, type[DutyHolder]] = {
+HOLDER_TYPES: dict[Duty, type[DutyHolder]] = {
     holder.duty: holder for holder in (RentDuty, ReturnDuty, ReclaimDuty, CleanUpDuty)
 }
 
@@ -43,7 +43,9 @@
                 self.holders.pop(duty).stop()
                 holder = None
             if holder is None and held is not None:
-                holder = self.holders[duty] = HOLDERS[duty](self.services, held.value, held.version)
+                holder = self.holders[duty] = HOLDER_TYPES[duty](
+                    self.services, held.value, held.version
+                )
                 # The new holder gets the whole limit to reach the cloud.
                 self.cloud.reset_unanswered()
                 holder.start()
