--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -22,12 +22,12 @@
 class HeldDuties:
     """Keeps one holder for each duty that is granted to this incarnation of the controller."""
 
-    def __init__(self, services: DutyServices, callers: int) -> None:
-        """Without granted duties, `callers` controllers share the cloud's rate of calls."""
+    def __init__(self, services: DutyServices, controller_count: int) -> None:
+        """Without granted duties, `controller_count` controllers share the cloud's rate of calls."""
         self.services = services
         self.membership = services.membership
         self.cloud = services.cloud
-        self.callers = callers
+        self.controller_count = controller_count
         self.cloud_rate = 0.0  # calls a second that are ours at the moment
         self.holders: dict[Duty, DutyHolder] = {}
 
@@ -53,7 +53,7 @@
 
     def _update_cloud_rate(self) -> None:
         """Take our share of the cloud's rate: it counts the calls of all controllers together."""
-        share = 1 / self.callers
+        share = 1 / self.controller_count
         if self.membership.duties_granted:
             duty_shares = (CLOUD_RATE_SHARES.get(duty, 0.0) for duty in self.holders)
             share = BASE_CLOUD_RATE_SHARE + sum(duty_shares)
