--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -12,7 +12,7 @@
 from basaltlead.duties.holder import DutyHolder, DutyServices
 from basaltlead.duties.machine_deletion import MAX_DELETIONS_PER_CALL
 from basaltlead.duties.model import Duty
-from basaltlead.duties.unknown_machines import FAILED, UnknownMachines, patience_us
+from basaltlead.duties.unknown_machines import FAILED, UnknownMachines, compute_grace_period_us
 from basaltlead.errors import PreconditionFailed, RequestFailed, ServiceError, Unavailable
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
@@ -81,7 +81,7 @@
         super().__init__(services, grant, version)
         list_lag_s = self.settings.facts.cloud.list_lag_s
         self.pause_s = max(MIN_PAUSE_S, list_lag_s)
-        self.unknown_machines = UnknownMachines(patience_us(list_lag_s))
+        self.unknown_machines = UnknownMachines(compute_grace_period_us(list_lag_s))
         self.known: set[str] = set()  # machines in the records that were read last
         self.records_read_at = -RECORDS_VALID_US
         self.sequence = 0  # of the returns that are recorded under this grant
--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -17,7 +17,7 @@
 FAILED = "failed"  # the stage of a machine that has stopped by itself, in the cloud's list
 
 
-def patience_us(list_lag_s: float) -> int:
+def compute_grace_period_us(list_lag_s: float) -> int:
     """For how long a machine must be listed, and stand in no record, to count as abandoned."""
     return int(LAG_FACTOR * list_lag_s * US) + MARGIN_US
 
