--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -25,9 +25,9 @@
 class UnknownMachines:
     """Machines that are listed and stand in no record, and since when."""
 
-    def __init__(self, patience: int) -> None:
+    def __init__(self, grace_period_us: int) -> None:
         """Machines count as abandoned after so many microseconds."""
-        self.patience = patience
+        self.grace_period_us = grace_period_us
         self.since: dict[str, int] = {}
 
     def update(
@@ -47,6 +47,6 @@
             machine
             for machine in machines
             if machine.name in self.since
-            and listed_at - self.since[machine.name] > self.patience
+            and listed_at - self.since[machine.name] > self.grace_period_us
             and Offer(machine.type, machine.zone, machine.spot) not in in_progress
         ]
--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -24,7 +24,7 @@
 
 
 def test_lagging_machine_list_makes_no_machine_abandoned() -> None:
-    unknown_machines = UnknownMachines(patience=6 * US)
+    unknown_machines = UnknownMachines(grace_period_us=6 * US)
     offer = Offer("small", "a", True)
     for second in range(0, 21, 4):
         unknown_machines.update([_listed("m-1")], known=(), listed_at=second * US)
