--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -13,13 +13,13 @@
 from basaltlead.wire.cloud import RentedMachine
 
 LAG_FACTOR = 2  # a list is up to so many times as old as the settings say
-MARGIN_US = 2 * US
+GRACE_MARGIN_US = 2 * US
 FAILED = "failed"  # the stage of a machine that has stopped by itself, in the cloud's list
 
 
 def compute_grace_period_us(list_lag_s: float) -> int:
     """For how long a machine must be listed, and stand in no record, to count as abandoned."""
-    return int(LAG_FACTOR * list_lag_s * US) + MARGIN_US
+    return int(LAG_FACTOR * list_lag_s * US) + GRACE_MARGIN_US
 
 
 class UnknownMachines:
