--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -46,13 +46,13 @@
 
     def __init__(self, machines: list[Row], scale_outs: list[Row], scale_ins: list[Row]) -> None:
         self.machines = {row.key[len(MACHINE) :]: row for row in machines}
-        self.in_progress: set[Offer] = set()  # offers of requests without an outcome
+        self.pending_offers: set[Offer] = set()  # offers of requests without an outcome
         self.rented: set[str] = set()
         self.returned: set[str] = set()
         for row in scale_outs:
             scale_out = msgspec.json.decode(row.value, type=StoredScaleOut)
             if scale_out.names is None and scale_out.refused is msgspec.UNSET:
-                self.in_progress.add(Offer(scale_out.type_name, scale_out.zone, scale_out.spot))
+                self.pending_offers.add(Offer(scale_out.type_name, scale_out.zone, scale_out.spot))
             self.rented.update(scale_out.names or ())
         for row in scale_ins:
             self.returned.update(msgspec.json.decode(row.value, type=StoredScaleIn).names)
@@ -111,7 +111,7 @@
         self.records_read_at = listed_at
         self.known = records.known
         self.unknown_machines.update(rented, self.known, listed_at)
-        abandoned = self.unknown_machines.abandoned(rented, records.in_progress, listed_at)
+        abandoned = self.unknown_machines.abandoned(rented, records.pending_offers, listed_at)
         for machine in abandoned[:MAX_ADOPTIONS_PER_PASS]:
             await self._adopt(machine)
         await self._return_failed(records, rented)
--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -39,7 +39,7 @@
         self.since = {name: self.since.get(name, listed_at) for name in unknown}
 
     def abandoned(
-        self, machines: Iterable[RentedMachine], in_progress: Collection[Offer], listed_at: int
+        self, machines: Iterable[RentedMachine], pending_offers: Collection[Offer], listed_at: int
     ) -> list[RentedMachine]:
         """Those machines of the list that no shard will ever record. An offer that is requested at
         the moment may have brought any machine of its type, zone and kind."""
@@ -48,5 +48,5 @@
             for machine in machines
             if machine.name in self.since
             and listed_at - self.since[machine.name] > self.grace_period_us
-            and Offer(machine.type, machine.zone, machine.spot) not in in_progress
+            and Offer(machine.type, machine.zone, machine.spot) not in pending_offers
         ]
--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -29,11 +29,11 @@
     for second in range(0, 21, 4):
         unknown_machines.update([_listed("m-1")], known=(), listed_at=second * US)
         abandoned = unknown_machines.abandoned(
-            [_listed("m-1")], in_progress=[offer], listed_at=second * US
+            [_listed("m-1")], pending_offers=[offer], listed_at=second * US
         )
         assert abandoned == []  # a request in progress may have brought it
         abandoned = unknown_machines.abandoned(
-            [_listed("m-1")], in_progress=[], listed_at=second * US
+            [_listed("m-1")], pending_offers=[], listed_at=second * US
         )
         assert bool(abandoned) == (second > 6)  # it may be one that was deleted
     unknown_machines.update([_listed("m-1")], known=["m-1"], listed_at=24 * US)
