--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -12,7 +12,11 @@
 from basaltlead.duties.holder import DutyHolder, DutyServices
 from basaltlead.duties.machine_deletion import MAX_DELETIONS_PER_CALL
 from basaltlead.duties.model import Duty
-from basaltlead.duties.unknown_machines import FAILED, UnknownMachines, compute_grace_period_us
+from basaltlead.duties.unknown_machines import (
+    FAILED_STAGE,
+    UnknownMachines,
+    compute_grace_period_us,
+)
 from basaltlead.errors import PreconditionFailed, RequestFailed, ServiceError, Unavailable
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
@@ -101,7 +105,7 @@
         listed_at = now_us()
         rented = await self.cloud.machines()
         all_known = all(
-            machine.name in self.known and machine.stage != FAILED for machine in rented
+            machine.name in self.known and machine.stage != FAILED_STAGE for machine in rented
         )
         if all_known and listed_at - self.records_read_at < RECORDS_VALID_US:
             return
@@ -145,7 +149,7 @@
         failed = [
             machine.name
             for machine in rented
-            if machine.stage == FAILED and machine.name not in records.returned
+            if machine.stage == FAILED_STAGE and machine.name not in records.returned
         ]
         most = min(MAX_DELETIONS_PER_CALL, self.store.limits.preconditions // 2)
         for low in range(0, len(failed), most):
--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -14,7 +14,7 @@
 
 LAG_FACTOR = 2  # a list is up to so many times as old as the settings say
 GRACE_MARGIN_US = 2 * US
-FAILED = "failed"  # the stage of a machine that has stopped by itself, in the cloud's list
+FAILED_STAGE = "failed"  # the stage of a machine that has stopped by itself, in the cloud's list
 
 
 def compute_grace_period_us(list_lag_s: float) -> int:
--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -6,7 +6,7 @@
 from basaltlead.clients.cloud import Cloud
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
-from basaltlead.duties.unknown_machines import FAILED
+from basaltlead.duties.unknown_machines import FAILED_STAGE
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
@@ -68,7 +68,7 @@
                 if self._left_to_others(listed):
                     continue
                 machine = self._add(listed, now)
-            if listed.stage == FAILED and not machine.terminating:
+            if listed.stage == FAILED_STAGE and not machine.terminating:
                 mark_terminating(machine, TerminationReason.FAILED)
 
     def _left_to_others(self, listed: RentedMachine) -> bool:
