--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -8,7 +8,7 @@
 
 LOST_LEASES = 4  # machines that are silent for so many leases count as gone in any case
 WORKER_REQUEST_TIMEOUT_US = 4 * US  # how long a worker waits for a controller's answer
-NEXT_CONTROLLER_US = US  # between a worker's attempts to reach the next controller
+CONTROLLER_RETRY_INTERVAL_US = US  # between a worker's attempts to reach the next controller
 UNREACHABLE_US = 4 * US  # a machine that our commands do not reach for so long is no capacity
 # A heartbeat is recent for so many heartbeat intervals, or for that long if that is longer.
 RECENT_HEARTBEATS = 3
@@ -71,7 +71,7 @@
         return_us = (
             timing.heartbeat_interval_us * 5 // 4
             + WORKER_REQUEST_TIMEOUT_US
-            + nodes * NEXT_CONTROLLER_US
+            + nodes * CONTROLLER_RETRY_INTERVAL_US
         )
         lost = [m for m in self.context.shard.machines.values() if m.lost]
         return now - self.all_silent_at > return_us or all(
