--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -57,7 +57,7 @@
                 heard.setdefault(machine.zone, []).append(still_heard)
         return heard
 
-    def lost_for_certain(self, now: int) -> bool:
+    def losses_confirmed(self, now: int) -> bool:
         """Is it certain enough that lost machines are gone, rather than cut off with all others?
 
         So it is if other machines have been heard for as long as a worker may need to find us
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -76,7 +76,7 @@
 
     def apply(self, needed: set[str], now: int) -> None:
         """Mark the machines that are to be returned, given the names of those that are needed."""
-        may_return_lost = self.reachability.lost_for_certain(now)
+        may_return_lost = self.reachability.losses_confirmed(now)
         if self.idle_retention is not None:
             self.idle_retention.begin_pass(now)
         for machine in list(self.context.shard.machines.values()):
