--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -6,7 +6,7 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.context import ShardContext
 
-LOST_LEASES = 4  # machines that are silent for so many leases count as gone in any case
+LOST_AFTER_LEASES = 4  # machines that are silent for so many leases count as gone in any case
 WORKER_REQUEST_TIMEOUT_US = 4 * US  # how long a worker waits for a controller's answer
 CONTROLLER_RETRY_INTERVAL_US = US  # between a worker's attempts to reach the next controller
 UNREACHABLE_US = 4 * US  # a machine that our commands do not reach for so long is no capacity
@@ -31,12 +31,14 @@
         """Have several machines fallen silent, so that none is heard any more?
 
         That is more likely trouble of our own network, in which we would not hear of new machines
-        either. False again once it has lasted for `LOST_LEASES`.
+        either. False again once it has lasted for `LOST_AFTER_LEASES`.
         """
         machines = self.context.shard.machines.values()
         heard_at = [m.heard_at for m in machines if m.up and m.heard_at]
         silent = len(heard_at) >= SILENT_COUNT and not self.any_heard(now)
-        return silent and now - max(heard_at) < LOST_LEASES * self.context.shard.timing.lease_us
+        return (
+            silent and now - max(heard_at) < LOST_AFTER_LEASES * self.context.shard.timing.lease_us
+        )
 
     def recently_heard(self, machine: Machine, now: int) -> bool:
         """Has the machine sent a heartbeat lately? A few missing ones do not matter."""
@@ -62,7 +64,7 @@
 
         So it is if other machines have been heard for as long as a worker may need to find us
         again: when all were silent at once, those that do not return with the first of them are
-        not lost for that. In any case it is after `LOST_LEASES` of silence.
+        not lost for that. In any case it is after `LOST_AFTER_LEASES` of silence.
         """
         if not self.any_heard(now):
             self.all_silent_at = now
@@ -75,5 +77,5 @@
         )
         lost = [m for m in self.context.shard.machines.values() if m.lost]
         return now - self.all_silent_at > return_us or all(
-            now - m.heard_at > LOST_LEASES * timing.lease_us for m in lost
+            now - m.heard_at > LOST_AFTER_LEASES * timing.lease_us for m in lost
         )
