--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -15,7 +15,7 @@
 # A machine is overdue if it is not up after so many boot times of its type, and the margin.
 PROVISIONING_BOOTS = 2.5
 PROVISIONING_MARGIN_US = 5 * US
-UNREACHABLE_LEASES = 2  # a machine is returned after so many lease spans of being unreachable
+UNREACHABLE_AFTER_LEASES = 2  # a machine is returned after so many lease spans of being unreachable
 MIN_UNIT_PRICE = 1e-6  # keeps the replacement cost finite for a machine that costs nothing
 
 
@@ -110,7 +110,7 @@
 
     def _unreachable_for_long(self, machine: Machine, now: int) -> bool:
         since = max(machine.unreachable_since, machine.back_at)
-        patience = UNREACHABLE_LEASES * self.context.shard.timing.lease_expiry_us
+        patience = UNREACHABLE_AFTER_LEASES * self.context.shard.timing.lease_expiry_us
         return bool(machine.unreachable_since) and now - since > patience
 
     def _idle_for_long(self, machine: Machine, now: int) -> bool:
