--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -13,7 +13,7 @@
 MIN_BILLED_US = 60 * US  # what the cloud bills for a machine at least
 BILLING_MARGIN_US = 5 * US  # idle machines are returned so long before that time has passed
 # A machine is overdue if it is not up after so many boot times of its type, and the margin.
-PROVISIONING_BOOTS = 2.5
+PROVISIONING_BOOT_FACTOR = 2.5
 PROVISIONING_MARGIN_US = 5 * US
 UNREACHABLE_AFTER_LEASES = 2  # a machine is returned after so many lease spans of being unreachable
 MIN_UNIT_PRICE = 1e-6  # keeps the replacement cost finite for a machine that costs nothing
@@ -42,7 +42,7 @@
     A machine that is recorded did come up under an earlier shard leader, even if it has not
     reported to this one so far: a new shard leader must not return those.
     """
-    patience = int(machine.machine_type.boot_us * PROVISIONING_BOOTS) + PROVISIONING_MARGIN_US
+    patience = int(machine.machine_type.boot_us * PROVISIONING_BOOT_FACTOR) + PROVISIONING_MARGIN_US
     return not machine.up and not machine.recorded and now - machine.made_at > patience
 
 
