--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -42,8 +42,8 @@
     A machine that is recorded did come up under an earlier shard leader, even if it has not
     reported to this one so far: a new shard leader must not return those.
     """
-    patience = int(machine.machine_type.boot_us * PROVISIONING_BOOT_FACTOR) + PROVISIONING_MARGIN_US
-    return not machine.up and not machine.recorded and now - machine.made_at > patience
+    limit_us = int(machine.machine_type.boot_us * PROVISIONING_BOOT_FACTOR) + PROVISIONING_MARGIN_US
+    return not machine.up and not machine.recorded and now - machine.made_at > limit_us
 
 
 def replacement_cost_us(machine: Machine) -> float:
@@ -110,8 +110,8 @@
 
     def _unreachable_for_long(self, machine: Machine, now: int) -> bool:
         since = max(machine.unreachable_since, machine.back_at)
-        patience = UNREACHABLE_AFTER_LEASES * self.context.shard.timing.lease_expiry_us
-        return bool(machine.unreachable_since) and now - since > patience
+        limit_us = UNREACHABLE_AFTER_LEASES * self.context.shard.timing.lease_expiry_us
+        return bool(machine.unreachable_since) and now - since > limit_us
 
     def _idle_for_long(self, machine: Machine, now: int) -> bool:
         idle_share = self.context.settings.operator.idle_share
