--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -9,7 +9,7 @@
 from basaltlead.shard.context import ShardContext
 
 ARRIVAL_SPAN_US = 200 * US  # the jobs that came in this time tell how many will come
-BOOT_MARGIN = 1.2  # boots may take so many times what the cloud names
+BOOT_TIME_FACTOR = 1.2  # boots may take so many times what the cloud names
 
 
 class FleetDemand:
@@ -84,7 +84,7 @@
             return None
         boot_us = min(t.boot_us for t in fitting)
         fetch_s = min(t.fetch_s(job) for t in fitting)
-        return None if boot_us * BOOT_MARGIN + fetch_s * US <= within_us else boot_us
+        return None if boot_us * BOOT_TIME_FACTOR + fetch_s * US <= within_us else boot_us
 
 
 def _warm_spare(arrivals: ClassArrivals, boot_us: int, now: int) -> WarmSpare | None:
