--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -35,7 +35,7 @@
 RECORD_S = 4.0
 MAX_OPEN_REQUESTS = 6  # scale-out requests without an outcome
 MIN_PAUSE_S = 0.5  # between two passes
-PAUSE_PER_DURATION = 15  # a pass is followed by a pause of so many times what it took
+PAUSE_FACTOR = 15  # a pass is followed by a pause of so many times what it took
 USUAL_BOOT_MARGIN_US = 10 * US  # most machines are up after 1.5 boot times and that
 
 
@@ -95,7 +95,7 @@
         """
         duration_us = 0
         while True:
-            await asyncio.sleep(max(MIN_PAUSE_S, PAUSE_PER_DURATION * duration_us / US))
+            await asyncio.sleep(max(MIN_PAUSE_S, PAUSE_FACTOR * duration_us / US))
             if not self.context.lease.holds_valid_lease or not self.context.machine_types:
                 continue
             now = now_us()
