--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -32,7 +32,7 @@
 RENTALS_FLEET_DIVISOR = 16
 # Beyond those few, no more than can be recorded while they boot, and for so long after: a machine
 # that is not recorded gets no task, and other writes would wait behind its record.
-RECORD_S = 4.0
+RECORDING_WINDOW_S = 4.0
 MAX_OPEN_REQUESTS = 6  # scale-out requests without an outcome
 MIN_PAUSE_S = 0.5  # between two passes
 PAUSE_FACTOR = 15  # a pass is followed by a pause of so many times what it took
@@ -145,7 +145,7 @@
         """How many machines one pass may request."""
         machines = self.context.shard.machines
         unrecorded = sum(not machine.recorded for machine in machines.values())
-        span_s = self.demand.shortest_boot_us() / US + RECORD_S
+        span_s = self.demand.shortest_boot_us() / US + RECORDING_WINDOW_S
         recordable = int(span_s * self.context.store.client.writes.rate) - unrecorded
         return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -18,7 +18,11 @@
 from basaltlead.core.shard import Shard
 from basaltlead.core.task_reports import TaskReports
 from basaltlead.core.teams import TeamQuota
-from basaltlead.scaling.autoscaler import MIN_RENTALS_PER_PASS, RECORD_S, RENTALS_FLEET_DIVISOR
+from basaltlead.scaling.autoscaler import (
+    MIN_RENTALS_PER_PASS,
+    RECORDING_WINDOW_S,
+    RENTALS_FLEET_DIVISOR,
+)
 from tests.builders import MACHINE_TYPE, TIMING, Story, make_job, task_status
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
@@ -188,7 +192,7 @@
         machine.recorded = True
         shard_leader.shard.add_machine(machine)
     # Types boot in 5 s
-    recordable = int((5.0 + RECORD_S) * shard_leader.context.store.client.writes.rate)
+    recordable = int((5.0 + RECORDING_WINDOW_S) * shard_leader.context.store.client.writes.rate)
     assert autoscaler._max_rentals() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
     for number in range(recordable - 100):
         shard_leader.shard.machines[_name(number)].recorded = False
