--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -99,10 +99,10 @@
             if not self.context.lease.holds_valid_lease or not self.context.machine_types:
                 continue
             now = now_us()
-            self._size(now)
+            self._resize(now)
             duration_us = now_us() - now
 
-    def _size(self, now: int) -> None:
+    def _resize(self, now: int) -> None:
         """One pass: request machines that are missing, mark those that are to be returned."""
         shard = self.context.shard
         expected = self.expected(now)
