--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -105,15 +105,15 @@
     def _resize(self, now: int) -> None:
         """One pass: request machines that are missing, mark those that are to be returned."""
         shard = self.context.shard
-        expected = self.expected(now)
-        needs = self.demand.of_open_jobs(now, expected)
+        expected_machines = self.expected_machines(now)
+        needs = self.demand.of_open_jobs(now, expected_machines)
         self._update_silent_zones(now)
         plan = fleet_sizing.plan_fleet(
             needs,
             self.demand.warm_spares(now),
-            expected,
+            expected_machines,
             self.context.machine_types,
-            self._offers(expected, now),
+            self._offers(expected_machines, now),
             self._max_rentals(),
         )
         self._request(plan.rentals)
@@ -123,7 +123,7 @@
         self.context.wake.set()
         self.termination.apply(plan.needed, now)
 
-    def expected(self, now: int) -> list[Machine]:
+    def expected_machines(self, now: int) -> list[Machine]:
         """Machines to count on: those that are up, and those that should be soon."""
         pending = [m for machines in self.scale_out.requests.pending.values() for m in machines]
         return pending + [
@@ -153,7 +153,7 @@
         for zone in self.silent_zones.update(self.reachability.heard_by_zone(now), now):
             log.info("zone %s silent: renting there is paused", zone)
 
-    def _offers(self, expected: list[Machine], now: int) -> dict[Offer, int | None]:
+    def _offers(self, expected_machines: list[Machine], now: int) -> dict[Offer, int | None]:
         """Which machines may be requested, and how many of each; None: any number."""
         if self.reachability.all_silent(now):
             return {}
@@ -162,7 +162,9 @@
         offers = self.offer_book.offers(machine_types.values(), requests.held(), now)
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
-        awaited_zones = {m.zone for m in expected if not m.heard_at and _may_come_up(m, now)}
+        awaited_zones = {
+            m.zone for m in expected_machines if not m.heard_at and _may_come_up(m, now)
+        }
         return self.silent_zones.admitted(offers, machine_types, awaited_zones, now)
 
 
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -20,10 +20,10 @@
         self.market = market
         self.arrivals = arrivals
 
-    def of_open_jobs(self, now: int, expected: list[Machine]) -> list[Demand]:
+    def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[Demand]:
         """How many tasks of each open job should have room now, highest rank first.
 
-        `expected` are the machines that are up or should be soon. Each job state's `need` is set
+        `expected_machines` are the machines that are up or should be soon. Each job state's `need` is set
         to the result too, for the placement of tasks.
         """
         shard = self.context.shard
@@ -41,7 +41,7 @@
             self.shortest_boot_us(),
             loads,
         )
-        capacity = demand.RentedCapacity(expected)
+        capacity = demand.RentedCapacity(expected_machines)
         backlog = sum(loads.values())
         needs = []
         for state in sorted(job_states, key=lambda state: (-state.job.rank, state.submitted_at)):
