--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -41,7 +41,7 @@
             if stored.names is not None:
                 self.requests.add_machines(stored, stored.names)
             elif self.context.membership.duties_granted:
-                self.requests.expect(name, stored)
+                self.requests.add_pending(name, stored)
             else:
                 self.executor.start(name, stored)
         if self.context.membership.duty_keys:
@@ -74,7 +74,7 @@
         Whoever leads the shard or holds the duty next sends it again under the same name, which
         rents nothing twice.
         """
-        self.requests.expect(name, stored)
+        self.requests.add_pending(name, stored)
         # No record may exist under the name: a name is never used again.
         preconditions = [Precondition(SCALE_OUT + name, 0)]
         delegated = self.context.membership.duties_granted
--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -40,7 +40,7 @@
     async def carry_out(self, name: str, stored: StoredScaleOut) -> None:
         """Send a request until the cloud answers it, and record the outcome."""
         if name not in self.requests.pending:
-            self.requests.expect(name, stored)
+            self.requests.add_pending(name, stored)
         try:
             names = await self.machine_rental.rent(
                 name, stored, partial(self.requests.rejected, name)
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -49,7 +49,7 @@
             counts[offer] = counts.get(offer, 0) + 1
         return counts
 
-    def expect(self, name: str, stored: StoredScaleOut) -> None:
+    def add_pending(self, name: str, stored: StoredScaleOut) -> None:
         """Count on the machines that a request should bring."""
         machine_type = self.context.machine_type(stored.type_name)
         now = now_us()
--- a/basaltlead/scaling/scale_out_watch.py
+++ b/basaltlead/scaling/scale_out_watch.py
@@ -49,7 +49,7 @@
         if stored.refused is not msgspec.UNSET:
             self.requests.expect_no_more(name)
         elif name not in self.requests.pending:
-            self.requests.expect(name, stored)
+            self.requests.add_pending(name, stored)
 
     def _dropped(self, key: str) -> None:
         name = key[len(SCALE_OUT) :]
