--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -86,7 +86,7 @@
             )
         except ServiceError as fault:
             log.info("scale-out request %s not recorded: %s", name, fault)
-            self.requests.expect_no_more(name)
+            self.requests.remove_pending(name)
             return
         self.requests.note_version(name, version)
         if name in self.context.intents.scale_outs:
--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -56,7 +56,7 @@
         except ServiceError as fault:
             log.info("scale-out request %s: outcome not recorded: %s", name, fault)
         finally:
-            self.requests.expect_no_more(name)
+            self.requests.remove_pending(name)
             self.running.pop(name, None)
 
     async def run_unclaimed(self) -> None:
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -58,7 +58,7 @@
             for i in range(stored.number)
         ]
 
-    def expect_no_more(self, name: str) -> None:
+    def remove_pending(self, name: str) -> None:
         """Stop counting on the machines of a request: it has an outcome, or was not recorded."""
         self.pending.pop(name, None)
 
@@ -82,7 +82,7 @@
         Its machines no longer count as expected, so that another offer is requested instead.
         """
         self.context.intents.scale_outs[name].refused = reason[:MAX_REASON_CHARS]
-        self.expect_no_more(name)
+        self.remove_pending(name)
 
     def add_machines(self, stored: StoredScaleOut, names: list[str]) -> None:
         """Add the machines of a request to the shard, except those that are already deleted."""
--- a/basaltlead/scaling/scale_out_watch.py
+++ b/basaltlead/scaling/scale_out_watch.py
@@ -40,14 +40,14 @@
         known = self.context.intents.scale_outs.get(name)
         if known is None or known.names is None:
             self.requests.rented(name, stored)
-            self.requests.expect_no_more(name)
+            self.requests.remove_pending(name)
             self.context.wake.set()
 
     def _open(self, name: str, stored: StoredScaleOut) -> None:
         """Take in a request without an outcome; the cloud may have rejected it."""
         self.context.intents.scale_outs[name] = stored
         if stored.refused is not msgspec.UNSET:
-            self.requests.expect_no_more(name)
+            self.requests.remove_pending(name)
         elif name not in self.requests.pending:
             self.requests.add_pending(name, stored)
 
@@ -60,6 +60,6 @@
         if stored is not None and stored.names is None:
             # The holder of the duty drops an open request only if the cloud has no capacity.
             self.requests.no_capacity(name)
-            self.requests.expect_no_more(name)
+            self.requests.remove_pending(name)
         else:
             self.context.intents.scale_outs.pop(name, None)
