--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -51,7 +51,7 @@
                 await self.machine_rental.record_outcome(name, None, version)
             else:
                 stored.names, stored.refused = names, msgspec.UNSET
-                self.requests.rented(name, stored)
+                self.requests.on_rented(name, stored)
                 await self.machine_rental.record_outcome(name, stored, version)
         except ServiceError as fault:
             log.info("scale-out request %s: outcome not recorded: %s", name, fault)
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -62,7 +62,7 @@
         """Stop counting on the machines of a request: it has an outcome, or was not recorded."""
         self.pending.pop(name, None)
 
-    def rented(self, name: str, stored: StoredScaleOut) -> None:
+    def on_rented(self, name: str, stored: StoredScaleOut) -> None:
         """Take in a request whose machines are rented; there may be fewer than requested."""
         names = stored.names or []
         self.context.intents.scale_outs[name] = stored
--- a/basaltlead/scaling/scale_out_watch.py
+++ b/basaltlead/scaling/scale_out_watch.py
@@ -39,7 +39,7 @@
             return
         known = self.context.intents.scale_outs.get(name)
         if known is None or known.names is None:
-            self.requests.rented(name, stored)
+            self.requests.on_rented(name, stored)
             self.requests.remove_pending(name)
             self.context.wake.set()
 
