--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -47,7 +47,7 @@
             )
             version = self.context.store.versions.pop(SCALE_OUT + name, 0)
             if names is None:
-                self.requests.no_capacity(name)
+                self.requests.on_no_capacity(name)
                 await self.machine_rental.record_outcome(name, None, version)
             else:
                 stored.names, stored.refused = names, msgspec.UNSET
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -70,7 +70,7 @@
         if name in self.pending and len(names) < stored.number:
             self._note_scarcity(stored)
 
-    def no_capacity(self, name: str) -> None:
+    def on_no_capacity(self, name: str) -> None:
         """Take in that the cloud has no machine for a request."""
         stored = self.context.intents.scale_outs.pop(name, None)
         if name in self.pending and stored is not None:
--- a/basaltlead/scaling/scale_out_watch.py
+++ b/basaltlead/scaling/scale_out_watch.py
@@ -59,7 +59,7 @@
         stored = self.context.intents.scale_outs.get(name)
         if stored is not None and stored.names is None:
             # The holder of the duty drops an open request only if the cloud has no capacity.
-            self.requests.no_capacity(name)
+            self.requests.on_no_capacity(name)
             self.requests.remove_pending(name)
         else:
             self.context.intents.scale_outs.pop(name, None)
