--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -43,7 +43,7 @@
             self.requests.add_pending(name, stored)
         try:
             names = await self.machine_rental.rent(
-                name, stored, partial(self.requests.rejected, name)
+                name, stored, partial(self.requests.on_rejected, name)
             )
             version = self.context.store.versions.pop(SCALE_OUT + name, 0)
             if names is None:
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -76,7 +76,7 @@
         if name in self.pending and stored is not None:
             self._note_scarcity(stored)
 
-    async def rejected(self, name: str, reason: str) -> None:
+    async def on_rejected(self, name: str, reason: str) -> None:
         """Take in that the cloud has rejected a request for good.
 
         Its machines no longer count as expected, so that another offer is requested instead.
