--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -159,7 +159,7 @@
             return {}
         machine_types = self.context.machine_types
         requests = self.scale_out.requests
-        offers = self.offer_book.offers(machine_types.values(), requests.held(), now)
+        offers = self.offer_book.offers(machine_types.values(), requests.held_counts(), now)
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
         awaited_zones = {
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -41,7 +41,7 @@
             if stored.names is None and stored.refused is not msgspec.UNSET
         }
 
-    def held(self) -> dict[Offer, int]:
+    def held_counts(self) -> dict[Offer, int]:
         """How many machines the shard holds of each offer."""
         counts: dict[Offer, int] = {}
         for machine in self.context.shard.machines.values():
@@ -106,4 +106,4 @@
     def _note_scarcity(self, stored: StoredScaleOut) -> None:
         """Note that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
-        self.offer_book.refused(offer, self.held().get(offer, 0), now_us())
+        self.offer_book.refused(offer, self.held_counts().get(offer, 0), now_us())
