--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -68,13 +68,13 @@
         self.context.intents.scale_outs[name] = stored
         self.add_machines(stored, names)
         if name in self.pending and len(names) < stored.number:
-            self._note_scarcity(stored)
+            self._note_shortage(stored)
 
     def on_no_capacity(self, name: str) -> None:
         """Take in that the cloud has no machine for a request."""
         stored = self.context.intents.scale_outs.pop(name, None)
         if name in self.pending and stored is not None:
-            self._note_scarcity(stored)
+            self._note_shortage(stored)
 
     async def on_rejected(self, name: str, reason: str) -> None:
         """Take in that the cloud has rejected a request for good.
@@ -103,7 +103,7 @@
         versions = self.context.store.versions
         versions[key] = max(versions.get(key, 0), version)
 
-    def _note_scarcity(self, stored: StoredScaleOut) -> None:
+    def _note_shortage(self, stored: StoredScaleOut) -> None:
         """Note that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
         self.offer_book.refused(offer, self.held_counts().get(offer, 0), now_us())
