--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -18,7 +18,7 @@
 from basaltlead.runtime.logs import log
 from basaltlead.scaling.fleet_demand import FleetDemand
 from basaltlead.scaling.idle_retention import IdleRetention
-from basaltlead.scaling.machine_list import MachineListComparison
+from basaltlead.scaling.machine_list import MachineListReconciler
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.scaling.scale_in import ScaleIn
 from basaltlead.scaling.scale_out import ScaleOut
@@ -75,7 +75,7 @@
             IdleRetention(context, quiet_times) if quiet_times is not None else None
         )
         self.termination = TerminationPolicy(context, self.reachability, self.idle_retention)
-        self.machine_list = MachineListComparison(
+        self.machine_list = MachineListReconciler(
             context, environment.cloud, self.scale_out, environment.shard_of
         )
 
--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -19,7 +19,7 @@
 UNRECORDED_S = 30  # a rented machine's names may take so long to be recorded by its shard
 
 
-class MachineListComparison:
+class MachineListReconciler:
     """Takes in rented machines that the shard does not know, and returns those that have failed.
 
     Only while duties are not granted on their own: otherwise the duty of reclaiming does this for
