--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -97,11 +97,11 @@
             if not self.holds_valid_lease:
                 continue
             try:
-                await self._compare()
+                await self._reconcile()
             except ServiceError as fault:
                 log.info("reclaiming machines: no result, will be retried: %s", fault)
 
-    async def _compare(self) -> None:
+    async def _reconcile(self) -> None:
         listed_at = now_us()
         rented = await self.cloud.machines()
         all_known = all(
--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -55,10 +55,10 @@
             except ServiceError as fault:
                 log.info("machine list not read from the cloud: %s", fault)
                 continue
-            self._compare(rented, now_us())
+            self._reconcile(rented, now_us())
             await self.scale_out.drop_completed()
 
-    def _compare(self, rented: list[RentedMachine], now: int) -> None:
+    def _reconcile(self, rented: list[RentedMachine], now: int) -> None:
         shard = self.context.shard
         for listed in rented:
             if listed.name in shard.gone:
