--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -65,13 +65,13 @@
                 continue
             machine = shard.machines.get(listed.name)
             if machine is None:
-                if self._left_to_others(listed):
+                if self._belongs_to_other_shard(listed):
                     continue
                 machine = self._add(listed, now)
             if listed.stage == FAILED_STAGE and not machine.terminating:
                 mark_terminating(machine, TerminationReason.FAILED)
 
-    def _left_to_others(self, listed: RentedMachine) -> bool:
+    def _belongs_to_other_shard(self, listed: RentedMachine) -> bool:
         """Does an unknown machine belong to another shard, or may it?
 
         With several shards, the one that requested it may just not have recorded its name so far.
