--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -16,7 +16,7 @@
 from basaltlead.wire.cloud import RentedMachine
 
 MIN_PAUSE_S = 4.0  # between two reads of the list
-UNRECORDED_S = 30  # a rented machine's names may take so long to be recorded by its shard
+RECORDING_GRACE_S = 30  # a rented machine's names may take so long to be recorded by its shard
 
 
 class MachineListReconciler:
@@ -79,7 +79,9 @@
         """
         if self.shard_of(listed.name) not in (None, self.context.number):
             return True
-        return self.context.sharded and (self.context.number != 0 or listed.age_s < UNRECORDED_S)
+        return self.context.sharded and (
+            self.context.number != 0 or listed.age_s < RECORDING_GRACE_S
+        )
 
     def _add(self, listed: RentedMachine, now: int) -> Machine:
         machine_type = self.context.machine_type(listed.type)
