--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -79,7 +79,7 @@
         here: whoever leads the shard from then on reads the scale-in record before it acts.
         """
         recorded = self.context.intents.returning
-        names = [name for name in names if name not in recorded][: self._max_names()]
+        names = [name for name in names if name not in recorded][: self._max_machines_per_record()]
         if not names:
             return
         self.sequence += 1
@@ -100,7 +100,7 @@
         else:
             self._note_recorded(key, stored)
 
-    def _max_names(self) -> int:
+    def _max_machines_per_record(self) -> int:
         """How many machines one scale-in record may have."""
         limits = self.context.store.limits
         return max(
