--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -25,7 +25,7 @@
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Drop, Precondition, Put
 
-PAUSE_S = 0.3  # between two checks for terminating machines
+POLL_INTERVAL_S = 0.3  # between two checks for terminating machines
 MIN_RETRY_DELAY_US = 500_000
 MAX_RETRY_DELAY_US = 4_000_000
 OTHER_PRECONDITIONS = 4  # of a scale-in record's transaction, in addition to one for each machine
@@ -56,7 +56,7 @@
         """Record or delete the machines that are marked as terminating; never returns."""
         backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.context.membership.chance)
         while True:
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             names = [m.name for m in self.context.shard.machines.values() if m.terminating]
             if not names or not self.context.lease.holds_valid_lease:
                 continue
