--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -20,7 +20,7 @@
 from basaltlead.storage.records import HISTORY
 from basaltlead.wire.store import Drop, Precondition, Put
 
-PAGES = 64  # in the ring of each duty
+RING_PAGES = 64  # in the ring of each duty
 MAX_NAMES_PER_EVENT = 8  # machines that an event lists; the others are only counted
 PAGE_ENVELOPE_BYTES = 64  # what is reserved in a page in addition to its encoded events
 MAX_COMMIT_ATTEMPTS = 3  # at a transaction that fails only because the page has changed
@@ -71,7 +71,7 @@
 
 def page_key(duty: Duty, number: int) -> str:
     """The key of a page in the ring of its duty."""
-    return f"{HISTORY}{duty}/{number % PAGES:03d}"
+    return f"{HISTORY}{duty}/{number % RING_PAGES:03d}"
 
 
 class History:
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -14,7 +14,7 @@
 from basaltlead import cli
 from basaltlead.core.jobs import US
 from basaltlead.core.quiet_times import QuietTime
-from basaltlead.duties.history import PAGES, Action, Event, HistoryPage
+from basaltlead.duties.history import RING_PAGES, Action, Event, HistoryPage
 from basaltlead.duties.model import Duty
 from basaltlead.errors import SettingsError
 from basaltlead.operators import client
@@ -153,15 +153,17 @@
             Event.of(Action.RETURNED, f"{number}-{n}", SECOND, ["m-1", "m-2"]) for n in range(10)
         ]
         raw = msgspec.json.encode(HistoryPage(number, number * 10, events))
-        pages.append(HistoryAnswer("", f"history/{duty}/{number % PAGES:03d}", msgspec.Raw(raw)))
+        pages.append(
+            HistoryAnswer("", f"history/{duty}/{number % RING_PAGES:03d}", msgspec.Raw(raw))
+        )
     return sorted(pages, key=lambda page: page.key)
 
 
 def test_exported_history_is_complete_ordered_and_marks_truncation(tmp_path: Path) -> None:
     out = tmp_path / "history.parquet"
 
-    done = export([*_pages("rent", 0, 3), *_pages("return", 30, 30 + PAGES)], str(out))
-    assert (done.events, done.overwritten) == (30 + 10 * PAGES, {"return": 300})
+    done = export([*_pages("rent", 0, 3), *_pages("return", 30, 30 + RING_PAGES)], str(out))
+    assert (done.events, done.overwritten) == (30 + 10 * RING_PAGES, {"return": 300})
     file = pq.ParquetFile(out)
     assert file.metadata.row_group(0).column(0).compression == "ZSTD"
     rows = [row for batch in file.iter_batches(batch_size=64) for row in batch.to_pylist()]
@@ -184,7 +186,7 @@
 
 @simulated
 async def test_the_recorded_history_is_bounded(loop: Loop, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("basaltlead.duties.history.PAGES", 3)
+    monkeypatch.setattr("basaltlead.duties.history.RING_PAGES", 3)
 
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
