--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -28,7 +28,7 @@
 PAGE_ENVELOPE_BYTES = 64  # of a page, in addition to its types
 
 
-class TypesPage(msgspec.Struct, rename={"types": "Grades"}):
+class MachineTypePage(msgspec.Struct, rename={"types": "Grades"}):
     """Some of the machine types, if one value of the store can't hold them all.
 
     `pages` is how many pages there are.
@@ -102,13 +102,13 @@
                 await self._put(TYPES, MachineTypeList(types))
             else:
                 for number, page in enumerate(pages):
-                    await self._put(f"{PAGE_PREFIX}{number}", TypesPage(page, len(pages)))
+                    await self._put(f"{PAGE_PREFIX}{number}", MachineTypePage(page, len(pages)))
         except ServiceError as fault:
             log.debug("machine types not stored: %s", fault)
         else:
             self.stored = names
 
-    async def _put(self, key: str, value: MachineTypeList | TypesPage) -> None:
+    async def _put(self, key: str, value: MachineTypeList | MachineTypePage) -> None:
         await self.store.compare_and_swap([self.membership.precondition()], [Put(key, value)])
 
     async def _load(self) -> None:
@@ -133,7 +133,7 @@
         if row is not None:
             return msgspec.json.decode(row.value, type=MachineTypeList).types
         rows, _ = await self.store.rows(PAGE_PREFIX)
-        pages = [msgspec.json.decode(row.value, type=TypesPage) for row in rows]
+        pages = [msgspec.json.decode(row.value, type=MachineTypePage) for row in rows]
         if not pages or len(pages) < max(page.pages for page in pages):
             return []
         return [machine_type for page in pages for machine_type in page.types]
