--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -38,7 +38,7 @@
     pages: int
 
 
-def pages_of(types: list[MachineTypeInfo], value_bytes: int) -> list[list[MachineTypeInfo]]:
+def paginate_types(types: list[MachineTypeInfo], value_bytes: int) -> list[list[MachineTypeInfo]]:
     """Divide machine types into pages that fit into values of `value_bytes`."""
     pages: list[list[MachineTypeInfo]] = [[]]
     used = PAGE_ENVELOPE_BYTES
@@ -96,7 +96,7 @@
         names = {machine_type.name for machine_type in types}
         if not self.leads_shard() or names == self.stored:
             return
-        pages = pages_of(types, self.store.limits.value_bytes)
+        pages = paginate_types(types, self.store.limits.value_bytes)
         try:
             if len(pages) == 1:
                 await self._put(TYPES, MachineTypeList(types))
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -15,7 +15,7 @@
 from basaltlead.core.market import Market, Terms
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.errors import TransactionTooLarge
-from basaltlead.scaling.machine_type_catalog import pages_of
+from basaltlead.scaling.machine_type_catalog import paginate_types
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.limits import TRANSACTION_BYTES, StoreLimits
 from basaltlead.storage.result_rows import (
@@ -146,7 +146,7 @@
         MachineTypeInfo(f"type-{n}", 4.0, 0.0, 16.0, 0.123456, 40.0, ["zone-a", "zone-b", "zone-c"])
         for n in range(50)
     ]
-    pages = pages_of(types, value_bytes)
+    pages = paginate_types(types, value_bytes)
 
     assert [one for page in pages for one in page] == types
     assert len(pages) > 1
