--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -73,22 +73,26 @@
                 await backoff.wait()
                 continue
             backoff.reset()
-            for key in [key for key, found in self.returns.items() if not found.undeleted]:
+            for key in [
+                key for key, open_return in self.returns.items() if not open_return.undeleted
+            ]:
                 await self._record_outcome(key)
             await self._record_rejections()
 
     async def _delete_batch(self) -> None:
         """Delete as many machines as one call takes, of several returns together."""
         now = now_us()
-        undeleted = [name for found in self.returns.values() for name in found.undeleted]
+        undeleted = [
+            name for open_return in self.returns.values() for name in open_return.undeleted
+        ]
         batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[
             :MAX_DELETIONS_PER_CALL
         ]
         if not batch:
             return
         deleted = set(await self.machine_deletion.delete(batch, now))
-        for found in self.returns.values():
-            found.undeleted = [name for name in found.undeleted if name not in deleted]
+        for open_return in self.returns.values():
+            open_return.undeleted = [name for name in open_return.undeleted if name not in deleted]
         if len(undeleted) > len(batch):
             self.wake.set()
 
@@ -98,11 +102,11 @@
         If this is interrupted, the next holder finds the return, deletes the machines once more,
         which does nothing, and drops the remaining records.
         """
-        found = self.returns.get(key)
-        if found is None:
+        open_return = self.returns.get(key)
+        if open_return is None:
             return
-        unchanged = Precondition(key, found.version)
-        stored = found.stored
+        unchanged = Precondition(key, open_return.version)
+        stored = open_return.stored
         records = [MACHINE + name for name in stored.names]
         # The last batch is dropped together with the return, in addition to the page of history.
         *batches, last = list(self.store.limits.drops(records, extra_operations=2)) or [[]]
@@ -126,21 +130,26 @@
     async def _record_rejections(self) -> None:
         """Show to operators why the cloud does not delete machines of a return."""
         rejected = self.machine_deletion.rejected
-        for key, found in list(self.returns.items()):
-            reasons = [rejected[name].reason for name in found.undeleted if name in rejected]
-            if not reasons or found.stored.refused:
+        for key, open_return in list(self.returns.items()):
+            reasons = [rejected[name].reason for name in open_return.undeleted if name in rejected]
+            if not reasons or open_return.stored.refused:
                 continue
-            changed = msgspec.structs.replace(found.stored, refused=reasons[0][:MAX_REASON_CHARS])
+            changed = msgspec.structs.replace(
+                open_return.stored, refused=reasons[0][:MAX_REASON_CHARS]
+            )
             try:
                 await self.history.commit(
-                    [Precondition(key, found.version)],
+                    [Precondition(key, open_return.version)],
                     [Put(key, changed)],
                     Event.of(
-                        Action.REFUSED, key[len(SCALE_IN) :], found.stored.at, found.undeleted
+                        Action.REFUSED,
+                        key[len(SCALE_IN) :],
+                        open_return.stored.at,
+                        open_return.undeleted,
                     ),
                     low_priority=True,
                 )
             except ServiceError as fault:
                 log.info("%s: its rejection is not recorded: %s", key, fault)
                 continue
-            found.stored = changed
+            open_return.stored = changed
