--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -178,12 +178,12 @@
             await self._record_return(batch, ReturnReason.NO_OWNER, preconditions)
 
     async def _record_return(
-        self, names: list[str], why: ReturnReason, preconditions: list[Precondition]
+        self, names: list[str], reason: ReturnReason, preconditions: list[Precondition]
     ) -> None:
         self.sequence += 1
         token = self.grant.fencing_token
         name = f"{token}-{self.sequence}"
-        stored = StoredScaleIn(names, token, wall_us(), why)
+        stored = StoredScaleIn(names, token, wall_us(), reason)
         await self._commit_if_unchanged(
             [*preconditions, Precondition(SCALE_IN + name, 0)],
             Put(SCALE_IN + name, stored),
