--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -152,8 +152,8 @@
             if machine.stage == FAILED_STAGE and machine.name not in records.returned
         ]
         batch_size = min(MAX_DELETIONS_PER_CALL, self.store.limits.preconditions // 2)
-        for low in range(0, len(failed), batch_size):
-            batch = failed[low : low + batch_size]
+        for start in range(0, len(failed), batch_size):
+            batch = failed[start : start + batch_size]
             await self._record_return(batch, ReturnReason.FAILED, records.preconditions(batch))
 
     async def _return_ownerless(self, records: FleetRecords) -> None:
