--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler of a shard: sizes its fleet again and again, from demand to scale-out and in."""
+"""The autoscaler of a shard: a periodic loop that derives scale-out and scale-in from demand."""
 
 import asyncio
 from collections import Counter
@@ -26,23 +26,24 @@
 from basaltlead.shard.arrivals import ArrivalHistory
 from basaltlead.shard.context import ShardContext
 
-# Machines that one pass requests: a few, or a sixteenth of a large fleet, so that a fleet of
-# thousands grows as fast as the cloud rents machines out.
+# A pass may request this many machines, or 1/16 of a large fleet if that is more: a fleet of
+# thousands must grow as fast as the cloud rents machines out.
 MIN_RENTALS_PER_PASS = 12
 RENTALS_FLEET_DIVISOR = 16
-# Beyond those few, no more than can be recorded while they boot, and for so long after: a machine
-# that is not recorded gets no task, and other writes would wait behind its record.
+# Above that minimum, a pass requests at most as many machines as can be recorded while they boot
+# and within this time after it. An unrecorded machine gets no tasks, and a longer backlog of
+# machine records would delay other writes.
 RECORDING_WINDOW_S = 4.0
 MAX_OPEN_REQUESTS = 6  # scale-out requests without an outcome
 MIN_PAUSE_S = 0.5  # between two passes
-PAUSE_FACTOR = 15  # a pass is followed by a pause of so many times what it took
-USUAL_BOOT_MARGIN_US = 10 * US  # most machines are up after 1.5 boot times and that
+PAUSE_FACTOR = 15  # the pause after a pass, as a multiple of the pass's duration
+USUAL_BOOT_MARGIN_US = 10 * US  # most machines are up after 1.5 boot times plus this margin
 
 
 class ScalingEnvironment(Struct, frozen=True):
-    """What all shards of a controller share for scaling.
+    """The scaling dependencies that all shards of a controller share.
 
-    `shard_of` returns the shard to which a machine belongs, or None if that is unknown.
+    `shard_of` returns the shard that a machine belongs to, or None if it is unknown.
     `quiet_times` is None if no calendar is configured.
     """
 
@@ -53,7 +54,10 @@
 
 
 class Autoscaler:
-    """Sizes the fleet of one shard. Its background tasks end when the shard is released."""
+    """Sizes the fleet of one shard. Its background tasks end when the shard is released.
+
+    Call `start` once the shard is loaded.
+    """
 
     def __init__(
         self,
@@ -80,7 +84,7 @@
         )
 
     def start(self) -> None:
-        """Begin to scale, once the shard is loaded."""
+        """Start the background tasks."""
         self.scale_out.start()
         self.scale_in.start()
         if self.idle_retention is not None:
@@ -89,9 +93,10 @@
         self.context.spawn(self.machine_list.run(), "loop machine list")
 
     async def _run(self) -> None:
-        """Size the fleet again and again; never returns.
+        """Size the fleet periodically; never returns.
 
-        The longer a pass takes, the longer is the pause after it: heartbeats come first.
+        The pause grows with the duration of the last pass, so that a slow pass doesn't delay the
+        handling of heartbeats.
         """
         duration_us = 0
         while True:
@@ -103,7 +108,7 @@
             duration_us = now_us() - now
 
     def _resize(self, now: int) -> None:
-        """One pass: request machines that are missing, mark those that are to be returned."""
+        """Run one pass: request missing machines and mark surplus ones as terminating."""
         shard = self.context.shard
         expected_machines = self.expected_machines(now)
         needs = self.demand.of_open_jobs(now, expected_machines)
@@ -124,7 +129,7 @@
         self.termination.apply(plan.needed, now)
 
     def expected_machines(self, now: int) -> list[Machine]:
-        """Machines to count on: those that are up, and those that should be soon."""
+        """Machines to plan with: those that are up or should be up soon."""
         pending = [m for machines in self.scale_out.requests.pending.values() for m in machines]
         return pending + [
             m
@@ -135,14 +140,16 @@
         ]
 
     def _request(self, rentals: list[Offer]) -> None:
-        """Request machines, in one request for each offer. What is left over comes with the next
-        pass."""
+        """Send one request for each offer, up to the limit of open requests.
+
+        Later passes request the remaining machines.
+        """
         places = max(0, MAX_OPEN_REQUESTS - len(self.scale_out.requests.pending))
         for offer, count in list(Counter(rentals).items())[:places]:
             self.scale_out.request(offer, count)
 
     def _max_rentals(self) -> int:
-        """How many machines one pass may request."""
+        """The number of machines that this pass may request."""
         machines = self.context.shard.machines
         unrecorded = sum(not machine.recorded for machine in machines.values())
         span_s = self.demand.shortest_boot_us() / US + RECORDING_WINDOW_S
@@ -151,10 +158,10 @@
 
     def _update_silent_zones(self, now: int) -> None:
         for zone in self.silent_zones.update(self.reachability.heard_by_zone(now), now):
-            log.info("zone %s silent: renting there is paused", zone)
+            log.info("zone %s silent: scale-out there is paused", zone)
 
     def _offers(self, expected_machines: list[Machine], now: int) -> dict[Offer, int | None]:
-        """Which machines may be requested, and how many of each; None: any number."""
+        """The offers that may be requested, with the number of machines; None means no limit."""
         if self.reachability.all_silent(now):
             return {}
         machine_types = self.context.machine_types
@@ -169,6 +176,6 @@
 
 
 def _may_come_up(machine: Machine, now: int) -> bool:
-    """Is the machine within the time that most need to come up?"""
+    """Whether the machine is still within the time in which most machines come up."""
     usual_us = machine.machine_type.boot_us * 3 // 2 + USUAL_BOOT_MARGIN_US
     return now - machine.made_at < usual_us
