--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -1,7 +1,7 @@
-"""Scale-out of a shard: machines that it needs are requested here.
+"""Scale-out of a shard: records requests for the machines that it needs.
 
-Each request is recorded before the cloud is called. The holder of the duty of renting carries it
-out, or, while duties are not granted on their own, the shard leader itself.
+Each request is recorded before the cloud is called. The holder of the rent duty executes it. While
+the duties have no grants of their own, the shard leader executes it.
 """
 
 from basaltlead.clients.cloud import Cloud
@@ -17,13 +17,13 @@
 from basaltlead.storage.records import SCALE_OUT, StoredScaleOut
 from basaltlead.wire.store import Drop, Precondition, Put
 
-MAX_MACHINES_PER_REQUEST = 50  # the cloud rents that many at once
-RECORD_BYTES = 256  # of a request's record, in addition to the names of its machines
-NAME_BYTES = 32  # of each machine's name in the record
+MAX_MACHINES_PER_REQUEST = 50  # the cloud's limit for one call
+RECORD_BYTES = 256  # size of a request's record without the names of its machines
+NAME_BYTES = 32  # size of each machine name in the record
 
 
 class ScaleOut:
-    """Records a shard leader's scale-out requests, and drops the records that are done with.
+    """Records a shard leader's scale-out requests, and deletes the records of completed ones.
 
     Its background tasks end when the shard is released.
     """
@@ -36,7 +36,7 @@
         self.sequence = 0
 
     def start(self) -> None:
-        """Continue the recorded requests of earlier shard leaders, and follow the records."""
+        """Resume the requests that earlier shard leaders recorded, and start the watch."""
         for name, stored in list(self.context.intents.scale_outs.items()):
             if stored.names is not None:
                 self.requests.add_machines(stored, stored.names)
@@ -49,7 +49,7 @@
             self.context.spawn(self.executor.run_unclaimed(), "loop unclaimed scale-outs")
 
     def request(self, offer: Offer, count: int) -> None:
-        """Request so many machines, or as many as one request may have."""
+        """Request `count` machines, or the most that one request may have if that is fewer."""
         self.sequence += 1
         name = f"h-{self.context.lease.fencing_token}-{self.sequence}"
         stored = StoredScaleOut(
@@ -64,18 +64,18 @@
         self.context.spawn(self._record(name, stored), f"scale-out request {name}")
 
     def _max_machines_per_request(self) -> int:
-        """How many machines one request may have: their names must fit into its record."""
+        """The number of machines that one request may have: their names must fit its record."""
         name_bytes = self.context.store.limits.value_bytes - RECORD_BYTES
         return max(1, min(MAX_MACHINES_PER_REQUEST, name_bytes // NAME_BYTES))
 
     async def _record(self, name: str, stored: StoredScaleOut) -> None:
         """Record a request before it is sent.
 
-        Whoever leads the shard or holds the duty next sends it again under the same name, which
-        rents nothing twice.
+        The next shard leader or holder of the duty sends it again under the same name. The name
+        makes it idempotent, so nothing is rented twice.
         """
         self.requests.add_pending(name, stored)
-        # No record may exist under the name: a name is never used again.
+        # Names are never reused, so no record may exist under this one.
         preconditions = [Precondition(SCALE_OUT + name, 0)]
         delegated = self.context.membership.duties_granted
         if delegated:
@@ -90,19 +90,22 @@
             return
         self.requests.note_version(name, version)
         if name in self.context.intents.scale_outs:
-            return  # the watch was faster than the answer
+            return  # the watch has delivered the record before the commit returned
         self.context.intents.scale_outs[name] = stored
         if not delegated:
             self.executor.start(name, stored)
 
     def _hand_to_duty_holder(self, stored: StoredScaleOut) -> Precondition:
-        """Note in a request who holds the duty of renting; the condition that this is still so."""
+        """Store the fencing token of the rent duty's holder in a request.
+
+        Returns the precondition that the duty's grant is unchanged.
+        """
         held = self.context.membership.cluster.grants.get(Duty.RENT.key)
         stored.duty_token = held.value.fencing_token if held is not None else 0
         return Precondition(Duty.RENT.key, held.version if held is not None else 0)
 
     async def drop_completed(self) -> None:
-        """Drop the records of requests whose machines are all recorded themselves, or gone."""
+        """Delete the records of requests whose machines all have their own record or are gone."""
         machines = self.context.shard.machines
         for name, stored in list(self.context.intents.scale_outs.items()):
             if stored.names is None:
@@ -112,5 +115,5 @@
             try:
                 await self.context.store.commit([Drop(SCALE_OUT + name)], low_priority=True)
             except ServiceError:
-                return  # tried again after the next machine list
+                return  # retried after the next machine list
             self.context.intents.scale_outs.pop(name, None)
