--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -1,4 +1,4 @@
-"""The scale-out requests of a shard, and what their outcomes mean for its machines and offers."""
+"""The scale-out requests of a shard, and how their outcomes change its machines and offers."""
 
 import msgspec
 
@@ -11,16 +11,15 @@
 
 
 def offer_of(stored: StoredScaleOut) -> Offer:
-    """What a request asks the cloud for."""
+    """The offer that a request is for."""
     return Offer(stored.type_name, stored.zone, stored.spot)
 
 
 class ScaleOutRequests:
-    """Takes in what becomes of scale-out requests, whoever carries them out.
+    """Tracks scale-out requests and applies their outcomes, whichever process executes them.
 
-    The recorded requests themselves are `context.intents.scale_outs`. `pending` holds, for each
-    request without an outcome, stand-ins for the machines that it should bring, so that sizing
-    the fleet does not request them again.
+    The recorded requests are in `context.intents.scale_outs`. `pending` holds placeholder machines
+    for each request without an outcome, so that fleet sizing does not request them again.
     """
 
     def __init__(self, context: ShardContext, offer_book: OfferBook) -> None:
@@ -30,10 +29,10 @@
 
     @property
     def rejected_offers(self) -> set[Offer]:
-        """Offers with an open request that the cloud has rejected for good.
+        """Offers with an open request that the cloud has rejected.
 
-        The request is sent again from time to time; another one for the same offer would only be
-        rejected too.
+        The request itself is retried at intervals. A second request for the same offer would be
+        rejected as well.
         """
         return {
             offer_of(stored)
@@ -42,7 +41,7 @@
         }
 
     def held_counts(self) -> dict[Offer, int]:
-        """How many machines the shard holds of each offer."""
+        """The number of machines of each offer that the shard holds."""
         counts: dict[Offer, int] = {}
         for machine in self.context.shard.machines.values():
             offer = Offer(machine.machine_type.name, machine.zone, machine.spot)
@@ -50,7 +49,7 @@
         return counts
 
     def add_pending(self, name: str, stored: StoredScaleOut) -> None:
-        """Count on the machines that a request should bring."""
+        """Add a placeholder for each machine of a request to `pending`."""
         machine_type = self.context.machine_type(stored.type_name)
         now = now_us()
         self.pending[name] = [
@@ -59,11 +58,11 @@
         ]
 
     def remove_pending(self, name: str) -> None:
-        """Stop counting on the machines of a request: it has an outcome, or was not recorded."""
+        """Remove the placeholders of a request that has an outcome or was not recorded."""
         self.pending.pop(name, None)
 
     def on_rented(self, name: str, stored: StoredScaleOut) -> None:
-        """Take in a request whose machines are rented; there may be fewer than requested."""
+        """Handle a request whose machines are rented; there may be fewer than requested."""
         names = stored.names or []
         self.context.intents.scale_outs[name] = stored
         self.add_machines(stored, names)
@@ -71,21 +70,21 @@
             self._note_shortage(stored)
 
     def on_no_capacity(self, name: str) -> None:
-        """Take in that the cloud has no machine for a request."""
+        """Handle a request for which the cloud has no capacity."""
         stored = self.context.intents.scale_outs.pop(name, None)
         if name in self.pending and stored is not None:
             self._note_shortage(stored)
 
     async def on_rejected(self, name: str, reason: str) -> None:
-        """Take in that the cloud has rejected a request for good.
+        """Handle a request that the cloud has rejected.
 
-        Its machines no longer count as expected, so that another offer is requested instead.
+        Its placeholders are removed, so that fleet sizing requests another offer instead.
         """
         self.context.intents.scale_outs[name].refused = reason[:MAX_REASON_CHARS]
         self.remove_pending(name)
 
     def add_machines(self, stored: StoredScaleOut, names: list[str]) -> None:
-        """Add the machines of a request to the shard, except those that are already deleted."""
+        """Add the machines of a request to the shard, except those that were deleted already."""
         now = now_us()
         returning = self.context.intents.returning
         machine_type = self.context.machine_type(stored.type_name)
@@ -98,12 +97,12 @@
             self.context.shard.add_machine(machine)
 
     def note_version(self, name: str, version: int) -> None:
-        """Note the version of a request's record, unless a newer one is known."""
+        """Store the version of a request's record, unless a newer one is known."""
         key = SCALE_OUT + name
         versions = self.context.store.versions
         versions[key] = max(versions.get(key, 0), version)
 
     def _note_shortage(self, stored: StoredScaleOut) -> None:
-        """Note that the cloud has no more machines of an offer than the shard holds now."""
+        """Record that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
         self.offer_book.refused(offer, self.held_counts().get(offer, 0), now_us())
