--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -1,7 +1,7 @@
-"""Carrying out a shard's scale-out requests under the shard's own lease.
+"""Executes a shard's scale-out requests under the shard's own lease.
 
-That is the shard leader's task only while duties are not granted on their own (an older controller
-is among the members); otherwise the holder of the duty of renting does it.
+The shard leader does so only while the duties have no grants of their own, which is the case while
+a controller of an older version is a member. Otherwise the holder of the rent duty executes them.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import SCALE_OUT, StoredScaleOut
 
-UNCLAIMED_PAUSE_S = 1.0  # between two checks for requests that fall to the shard leader
+UNCLAIMED_PAUSE_S = 1.0  # between two checks for requests that no duty holder executes
 
 
 class ScaleOutExecutor:
-    """Sends recorded scale-out requests to the cloud; `running` holds a task for each of them."""
+    """Sends recorded scale-out requests to the cloud; `running` maps their names to tasks."""
 
     def __init__(self, context: ShardContext, cloud: Cloud, requests: ScaleOutRequests) -> None:
         self.context = context
@@ -32,13 +32,13 @@
         self.running: dict[str, asyncio.Task[None]] = {}
 
     def start(self, name: str, stored: StoredScaleOut) -> None:
-        """Begin to carry out a recorded request."""
+        """Start a task that executes a recorded request."""
         self.running[name] = self.context.spawn(
             self.carry_out(name, stored), f"scale-out request {name}"
         )
 
     async def carry_out(self, name: str, stored: StoredScaleOut) -> None:
-        """Send a request until the cloud answers it, and record the outcome."""
+        """Send a request until the cloud answers, and record the outcome."""
         if name not in self.requests.pending:
             self.requests.add_pending(name, stored)
         try:
@@ -60,10 +60,10 @@
             self.running.pop(name, None)
 
     async def run_unclaimed(self) -> None:
-        """Start the open requests that nobody carries out any more; never returns.
+        """Start the open requests that no duty holder executes; never returns.
 
-        When an older controller joins the members, the holder of the duty of renting stops, and
-        what it has left open falls to the shard leader.
+        When a controller of an older version becomes a member, the holder of the rent duty stops,
+        and the shard leader takes over its open requests.
         """
         while True:
             await asyncio.sleep(UNCLAIMED_PAUSE_S)
