--- a/basaltlead/scaling/scale_out_watch.py
+++ b/basaltlead/scaling/scale_out_watch.py
@@ -1,4 +1,4 @@
-"""Following what the holder of the duty of renting does with a shard's scale-out requests."""
+"""Watches a shard's scale-out records for changes by the holder of the rent duty."""
 
 import msgspec
 
@@ -10,9 +10,9 @@
 
 
 class ScaleOutWatch:
-    """Takes in changes of the requests' records that others have made.
+    """Applies changes that other controllers make to the records of the requests.
 
-    Requests that the shard leader carries out itself are left to `ScaleOutExecutor`.
+    Requests that the shard leader executes itself are handled by `ScaleOutExecutor`.
     """
 
     def __init__(
@@ -23,7 +23,7 @@
         self.executor = executor
 
     async def run(self) -> None:
-        """Follow the records; never returns."""
+        """Watch the records; never returns."""
         store, watch_ms = self.context.store.client, self.context.membership.watch_ms
         known = [SCALE_OUT + name for name in self.context.intents.scale_outs]
         await follow_rows(store, SCALE_OUT, watch_ms, self._changed, self._dropped, known)
@@ -44,7 +44,7 @@
             self.context.wake.set()
 
     def _open(self, name: str, stored: StoredScaleOut) -> None:
-        """Take in a request without an outcome; the cloud may have rejected it."""
+        """Handle a request without an outcome, which the cloud may have rejected."""
         self.context.intents.scale_outs[name] = stored
         if stored.refused is not msgspec.UNSET:
             self.requests.remove_pending(name)
@@ -58,7 +58,7 @@
         self.context.store.versions.pop(key, None)
         stored = self.context.intents.scale_outs.get(name)
         if stored is not None and stored.names is None:
-            # The holder of the duty drops an open request only if the cloud has no capacity.
+            # The holder of the rent duty deletes an open request only if there is no capacity.
             self.requests.on_no_capacity(name)
             self.requests.remove_pending(name)
         else:
