--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -1,7 +1,7 @@
-"""Scale-in of a shard: machines that are marked as terminating are returned to the cloud.
+"""Scale-in of a shard: returns machines that are marked as terminating to the cloud.
 
-While duties are granted on their own, the shard leader only records them, and the holder of the
-duty of returning deletes them. Otherwise the shard leader deletes them under its own lease.
+While the duties have grants of their own, the shard leader only records these machines, and the
+holder of the return duty deletes them. Otherwise the shard leader deletes them under its own lease.
 """
 
 import asyncio
@@ -29,14 +29,14 @@
 MIN_RETRY_DELAY_US = 500_000
 MAX_RETRY_DELAY_US = 4_000_000
 OTHER_PRECONDITIONS = 4  # of a scale-in record's transaction, in addition to one for each machine
-RECORD_BYTES = 512  # of a scale-in record, in addition to the names of its machines
-NAME_BYTES = 32  # of each machine's name in the record
-DROP_ATTEMPTS = 5  # to drop the records of deleted machines
+RECORD_BYTES = 512  # size of a scale-in record without the names of its machines
+NAME_BYTES = 32  # size of each machine name in the record
+DROP_ATTEMPTS = 5  # to delete the records of deleted machines
 DROP_RETRY_S = 0.5
 
 
 class ScaleIn:
-    """Records or deletes a shard leader's terminating machines, and follows what others record.
+    """Records or deletes a shard's terminating machines, and watches the scale-in records.
 
     Its background tasks end when the shard is released.
     """
@@ -47,7 +47,7 @@
         self.sequence = 0
 
     def start(self) -> None:
-        """Continue with what is marked or recorded, and follow the records."""
+        """Start the background tasks. They resume what is marked or recorded already."""
         self.context.spawn(self._return_terminating(), "loop scale-in")
         if self.context.membership.duty_keys:
             self.context.spawn(self._follow(), "loop scale-in watch")
@@ -70,13 +70,13 @@
                 log.info("scale-in failed, will be retried: %s", fault)
                 await backoff.wait()
 
-    # While duties are granted on their own
+    # While the duties have grants of their own
 
     async def _record(self, names: list[str]) -> None:
-        """Record machines to be deleted by the holder of the duty of returning.
+        """Record machines for deletion by the holder of the return duty.
 
-        The write depends on the lease and on the version of each machine's record as it is known
-        here: whoever leads the shard from then on reads the scale-in record before it acts.
+        The write has the lease and the known version of each machine's record as preconditions.
+        So every later leader of the shard reads the scale-in record before it acts.
         """
         recorded = self.context.intents.returning
         names = [name for name in names if name not in recorded][: self._max_machines_per_record()]
@@ -101,7 +101,7 @@
             self._note_recorded(key, stored)
 
     def _max_machines_per_record(self) -> int:
-        """How many machines one scale-in record may have."""
+        """The number of machines that one scale-in record may have."""
         limits = self.context.store.limits
         return max(
             1,
@@ -113,8 +113,10 @@
         )
 
     async def _refresh_versions(self, failed: list[str]) -> None:
-        """Read the versions of machine records that have changed without our knowing, so that the
-        next attempt to record the scale-in succeeds."""
+        """Read the versions of machine records whose known versions are outdated.
+
+        The next attempt to record the scale-in then succeeds.
+        """
         for key in failed:
             if key.startswith(MACHINE):
                 await self.context.store.refresh_version(key)
@@ -122,7 +124,7 @@
     # Under the shard's own lease
 
     async def _delete(self, names: list[str]) -> None:
-        """Delete machines, and forget those that the cloud confirms as deleted."""
+        """Delete machines, and remove those whose deletion the cloud confirms from the shard."""
         now = now_us()
         due = self.machine_deletion.due(names, now)[:MAX_DELETIONS_PER_CALL]
         if not due:
@@ -139,7 +141,7 @@
         ]
         for key in completed:
             self.context.intents.scale_ins.pop(key, None)
-        # Dropping records waits behind more urgent writes; the next deletions need not wait for it.
+        # The records are deleted with low priority. The next machines need not wait for that.
         self.context.spawn(self._drop_records([*records, *completed]), "drop machine records")
 
     def _forget_machine(self, name: str) -> None:
@@ -151,7 +153,7 @@
         self.context.wake.set()
 
     async def _drop_records(self, keys: list[str]) -> None:
-        """Drop records, as many in one transaction as the key-value store accepts."""
+        """Delete records, with as many in one transaction as the key-value store accepts."""
         for batch in self.context.store.limits.drops(keys):
             await self._drop_batch(batch)
 
@@ -163,11 +165,11 @@
             except (RequestFailed, Unavailable):
                 await asyncio.sleep(DROP_RETRY_S)
             except (PreconditionFailed, SessionLeaseExpired):
-                return  # the lease is over: these records are the next shard leader's concern
+                return  # the lease is lost: the next shard leader deletes these records
             else:
                 return
 
-    # Following the records, which the holders of duties write too
+    # Watching the scale-in records, which the holders of the duties write as well
 
     async def _follow(self) -> None:
         store, watch_ms = self.context.store.client, self.context.membership.watch_ms
@@ -178,8 +180,10 @@
         self._note_recorded(key, msgspec.json.decode(raw, type=StoredScaleIn))
 
     def _note_recorded(self, key: str, stored: StoredScaleIn) -> None:
-        """Mark the machines of a scale-in record, be it ours or that of the duty of reclaiming:
-        nothing may be started on them any more."""
+        """Mark the machines of a scale-in record as terminating, so that they get no more tasks.
+
+        This shard leader or the holder of the reclaim duty has written the record.
+        """
         self.context.intents.scale_ins[key] = stored
         for name in stored.names:
             machine = self.context.shard.machines.get(name)
@@ -187,7 +191,7 @@
                 machine.terminating = True
 
     def _dropped(self, key: str) -> None:
-        """Forget the machines of a scale-in record: all of them are deleted."""
+        """Remove the machines of a deleted scale-in record: the cloud has deleted all of them."""
         stored = self.context.intents.scale_ins.pop(key, None)
         for name in stored.names if stored is not None else ():
             if name in self.context.shard.machines:
