--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -1,4 +1,4 @@
-"""Which machines of a shard are to be returned, and why."""
+"""Decides which machines of a shard are returned to the cloud, and for which reason."""
 
 from enum import StrEnum
 
@@ -10,17 +10,17 @@
 from basaltlead.scaling.reachability import Reachability
 from basaltlead.shard.context import ShardContext
 
-MIN_BILLED_US = 60 * US  # what the cloud bills for a machine at least
-BILLING_MARGIN_US = 5 * US  # idle machines are returned so long before that time has passed
-# A machine is overdue if it is not up after so many boot times of its type, and the margin.
+MIN_BILLED_US = 60 * US  # the cloud's minimum billing period for a machine
+BILLING_MARGIN_US = 5 * US  # idle machines may be returned this long before that period ends
+# A machine is overdue if it is not up after this multiple of its boot time plus the margin.
 PROVISIONING_BOOT_FACTOR = 2.5
 PROVISIONING_MARGIN_US = 5 * US
-UNREACHABLE_AFTER_LEASES = 2  # a machine is returned after so many lease spans of being unreachable
+UNREACHABLE_AFTER_LEASES = 2  # lease durations after which an unreachable machine is returned
 MIN_UNIT_PRICE = 1e-6  # keeps the replacement cost finite for a machine that costs nothing
 
 
 class TerminationReason(StrEnum):
-    """Why a machine is to be returned; the values appear in the log."""
+    """Why a machine is returned. The values appear in the log."""
 
     NEVER_CAME_UP = "never came up"
     FAILED = "failed"
@@ -31,26 +31,26 @@
 
 
 def mark_terminating(machine: Machine, reason: TerminationReason) -> None:
-    """Mark a machine that is to be returned: from now on nothing is started on it."""
+    """Mark a machine for return to the cloud: no more tasks are started on it."""
     machine.terminating = True
     log.info("machine %s terminating: %s", machine.name, reason)
 
 
 def provisioning_overdue(machine: Machine, now: int) -> bool:
-    """Should the machine have come up by now?
+    """Whether the machine has failed to come up in time.
 
-    A machine that is recorded did come up under an earlier shard leader, even if it has not
-    reported to this one so far: a new shard leader must not return those.
+    A recorded machine did come up, under an earlier shard leader. A new leader must not return it
+    although the machine may not have reported to it yet.
     """
     limit_us = int(machine.machine_type.boot_us * PROVISIONING_BOOT_FACTOR) + PROVISIONING_MARGIN_US
     return not machine.up and not machine.recorded and now - machine.made_at > limit_us
 
 
 def replacement_cost_us(machine: Machine) -> float:
-    """For how many microseconds a machine may idle at the price of renting it anew.
+    """The idle time in microseconds that costs as much as replacing the machine.
 
-    That price is its boot at the ordinary price, since a spot machine that is returned may not be
-    had again.
+    A replacement costs the boot time at the on-demand price, since spot capacity may be gone by
+    then.
     """
     machine_type = machine.machine_type
     return (
@@ -61,7 +61,7 @@
 
 
 class TerminationPolicy:
-    """Decides which machines without attempts are to be returned."""
+    """Marks machines without attempts that should be returned as terminating."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.idle_retention = idle_retention
 
     def apply(self, needed: set[str], now: int) -> None:
-        """Mark the machines that are to be returned, given the names of those that are needed."""
+        """Mark the machines to be returned; `needed` has the names of those that are in use."""
         may_return_lost = self.reachability.losses_confirmed(now)
         if self.idle_retention is not None:
             self.idle_retention.begin_pass(now)
@@ -89,7 +89,7 @@
     def _reason(
         self, machine: Machine, needed: set[str], may_return_lost: bool, now: int
     ) -> TerminationReason | None:
-        """Why a machine without attempts is to be returned; None if it is not."""
+        """Why a machine without attempts should be returned; None if it should be kept."""
         if provisioning_overdue(machine, now):
             return TerminationReason.NEVER_CAME_UP
         if machine.lost and may_return_lost:
@@ -104,8 +104,11 @@
         return TerminationReason.IDLE if surplus and not self._retained(machine) else None
 
     def _retained(self, machine: Machine) -> bool:
-        """Is an idle machine kept for a quiet time? Asked only for those that would be returned,
-        since keeping one is charged to the quiet time's budget."""
+        """Whether an idle machine is retained for a quiet time.
+
+        Call it only for machines that would be returned otherwise, since each retained machine is
+        charged to the quiet time's budget.
+        """
         return self.idle_retention is not None and self.idle_retention.retain(machine)
 
     def _unreachable_for_long(self, machine: Machine, now: int) -> bool:
