--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -141,7 +141,7 @@
         ]
         for key in completed:
             self.context.intents.scale_ins.pop(key, None)
-        # The records are deleted with low priority. The next machines need not wait for that.
+        # Deleting the records has low priority; the next machine deletions need not wait for it.
         self.context.spawn(self._drop_records([*records, *completed]), "drop machine records")
 
     def _forget_machine(self, name: str) -> None:
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -75,7 +75,7 @@
         self.idle_retention = idle_retention
 
     def apply(self, needed: set[str], now: int) -> None:
-        """Mark the machines to be returned; `needed` has the names of those that are in use."""
+        """Mark the machines to be returned; `needed` has the names of those that have a use."""
         may_return_lost = self.reachability.losses_confirmed(now)
         if self.idle_retention is not None:
             self.idle_retention.begin_pass(now)
