--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -1,4 +1,4 @@
-"""What a shard needs room for: the tasks of its open jobs, and warm spares for jobs to come."""
+"""The capacity that a shard needs: for tasks of open jobs, and warm spares for future jobs."""
 
 from basaltlead.core import demand
 from basaltlead.core.entities import Machine
@@ -8,12 +8,12 @@
 from basaltlead.shard.arrivals import ArrivalHistory, ClassArrivals
 from basaltlead.shard.context import ShardContext
 
-ARRIVAL_SPAN_US = 200 * US  # the jobs that came in this time tell how many will come
-BOOT_TIME_FACTOR = 1.2  # boots may take so many times what the cloud names
+ARRIVAL_SPAN_US = 200 * US  # the window over which the arrival rate of jobs is measured
+BOOT_TIME_FACTOR = 1.2  # the longest expected boot, as a multiple of the boot time the cloud states
 
 
 class FleetDemand:
-    """Works out what the fleet of a shard is sized for."""
+    """Computes the demand that the fleet of a shard is sized for."""
 
     def __init__(self, context: ShardContext, market: Market, arrivals: ArrivalHistory) -> None:
         self.context = context
@@ -21,10 +21,10 @@
         self.arrivals = arrivals
 
     def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[Demand]:
-        """How many tasks of each open job should have room now, highest rank first.
+        """The number of tasks of each open job that should have room now, highest rank first.
 
-        `expected_machines` are the machines that are up or should be soon. Each job state's `need` is set
-        to the result too, for the placement of tasks.
+        `expected_machines` are the machines that are up or should be up soon. Also sets `need` of
+        each job state, which the placement of tasks reads.
         """
         shard = self.context.shard
         job_states = [
@@ -53,14 +53,14 @@
         return needs
 
     def shortest_boot_us(self) -> int:
-        """The boot time of the machine type that boots fastest; 0 while no type is known."""
+        """The boot time of the fastest machine type in microseconds; 0 while no type is known."""
         return min(
             (machine_type.boot_us for machine_type in self.context.machine_types.values()),
             default=0,
         )
 
     def warm_spares(self, now: int) -> list[WarmSpare]:
-        """Room to keep for the classes whose objective leaves no time for a boot."""
+        """The spare capacity for job classes whose objective leaves no time for a machine boot."""
         spares = []
         for job_class, (within_us, *_) in self.market.objectives.starts.items():
             arrivals = self.arrivals.of_class(job_class)
@@ -75,9 +75,9 @@
         return spares
 
     def _boot_too_slow_us(self, job: Job, within_us: int) -> int | None:
-        """The shortest boot of a machine for a job, if a start after it would not be `within_us`.
+        """The shortest boot time for a job, if booting and fetching its image exceed `within_us`.
 
-        None if it would, or if no machine type holds such a task.
+        None if they don't, or if no machine type has room for a task of the job.
         """
         fitting = [t for t in self.context.machine_types.values() if t.holds(job)]
         if not fitting:
@@ -88,7 +88,7 @@
 
 
 def _warm_spare(arrivals: ClassArrivals, boot_us: int, now: int) -> WarmSpare | None:
-    """Room for as many tasks as arrive during a boot, at least one; None if none came lately."""
+    """Capacity for the tasks that arrive during a boot, at least one; None without arrivals."""
     recent = [arrival for arrival in arrivals.recent if now - arrival.at < ARRIVAL_SPAN_US]
     if not recent:
         return None
