--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -1,6 +1,6 @@
-"""Which idle machines of a shard are retained during quiet times.
+"""Decides which idle machines of a shard are retained during quiet times.
 
-Retaining them costs money, which is bounded by the operators' settings and reserved in the
+Retained machines cost money. The operators' settings limit the amount, and it is reserved in the
 key-value store before it is spent.
 """
 
@@ -21,9 +21,10 @@
 
 
 class IdleRetention:
-    """Decides for one shard which idle machines are retained, if a calendar is configured.
+    """Retains idle machines of one shard within its budget.
 
-    No machine is retained before `load` has read what earlier shard leaders have reserved.
+    It exists only if a calendar is configured. No machine is retained before `load` has read what
+    earlier shard leaders reserved.
     """
 
     def __init__(self, context: ShardContext, quiet_times: QuietTimes) -> None:
@@ -37,7 +38,7 @@
         self.reserving = False
 
     async def load(self) -> None:
-        """Read what earlier shard leaders have reserved; tries until it succeeds."""
+        """Read what earlier shard leaders reserved. Retries until it succeeds."""
         backoff = Backoff(
             MIN_LOAD_RETRY_DELAY_US, MAX_LOAD_RETRY_DELAY_US, self.context.membership.chance
         )
@@ -54,14 +55,17 @@
             self.loaded = True
 
     def begin_pass(self, now: int) -> None:
-        """Begin a pass over the machines at `now` (steady clock); may reserve more money."""
+        """Begin a pass over the machines at `now` on the monotonic clock; may reserve money."""
         quiet = self.quiet_times.current() if self.loaded else None
         if self.budget.begin_pass(quiet, now) and not self.reserving:
             self.reserving = True
             self.context.spawn(self._reserve_more(), "reserve for a quiet time")
 
     def retain(self, machine: Machine) -> bool:
-        """Is an idle machine retained until the next pass? If so, that is charged."""
+        """Retain an idle machine until the next pass and charge its cost to the budget.
+
+        Returns False if the machine is not retained.
+        """
         if not self.loaded or self.quiet_times.current() is None:
             return False
         return self.budget.charge(unit_price(machine.machine_type, machine.spot))
@@ -73,7 +77,7 @@
             self.reserving = False
 
     async def _reserve(self, stored: StoredQuietReservation) -> bool:
-        """Record a reservation; False if that is not confirmed."""
+        """Record a reservation. False if the store has not confirmed it."""
         try:
             await self.context.store.put({self.key: stored})
         except (PreconditionFailed, RequestFailed, Unavailable, SessionLeaseExpired) as fault:
