--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -1,7 +1,7 @@
 """Quiet times from an iCalendar file.
 
-Needs icalendar and recurring-ical-events, and the time zones of tzdata; imported only where such a
-file is configured.
+The module needs icalendar, recurring-ical-events and the time zones of tzdata. It is imported only
+if such a file is configured.
 """
 
 from collections.abc import Callable
@@ -19,12 +19,12 @@
 from basaltlead.runtime.clock import wall_us
 from basaltlead.runtime.logs import log
 
-MAX_EVENT_DURATION = timedelta(hours=24)  # that a quiet time may last
-HORIZON = timedelta(hours=6)  # occurrences are computed so far ahead
+MAX_EVENT_DURATION = timedelta(hours=24)
+HORIZON = timedelta(hours=6)  # how far ahead occurrences are computed
 HORIZON_US = HORIZON // timedelta(microseconds=1)
-CHECK_INTERVAL_US = 60 * US  # between two checks whether the file has changed
-MAX_CALENDAR_BYTES = 1 << 20  # of a calendar
-MAX_SHOWN_CHARS = 40  # of a malformed line, shown in place of the name of its field
+CHECK_INTERVAL_US = 60 * US  # between two checks for changes of the file
+MAX_CALENDAR_BYTES = 1 << 20
+MAX_SHOWN_CHARS = 40  # an error shows this much of a malformed line in place of a field name
 
 EVENT = "VEVENT"
 EVENT_BEGINS = f"BEGIN:{EVENT}"
@@ -32,14 +32,14 @@
 
 
 class Line(NamedTuple):
-    """A content line, with the folded lines that continue it."""
+    """A content line after unfolding."""
 
     number: int  # of its first line in the file, counted from 1
     text: str
 
 
 class EventProblem(NamedTuple):
-    """What makes an event unusable."""
+    """A field that makes an event invalid, and the reason."""
 
     field: str
     reason: str
@@ -50,7 +50,7 @@
 
 
 def _content_lines(text: str) -> list[Line]:
-    """The lines that are not empty; one that begins with a blank continues the line before."""
+    """The non-empty lines. A line that begins with a space or tab continues the one before."""
     lines: list[Line] = []
     for number, line in enumerate(text.splitlines(), 1):
         if line[:1] in (" ", "\t") and lines:
@@ -61,7 +61,10 @@
 
 
 def _line_number(lines: list[Line], event: int, field: str) -> int:
-    """The number of the line of a field of an event, or of the line where the event begins."""
+    """The line number of a field of an event, or of the event's first line if it has no such field.
+
+    `event` is the index of the event in the calendar.
+    """
     begins = [place for place, line in enumerate(lines) if line.text.upper() == EVENT_BEGINS]
     start = begins[event]
     end = begins[event + 1] if event + 1 < len(begins) else len(lines)
@@ -72,7 +75,10 @@
 
 
 def read_calendar(path: str) -> icalendar.Calendar:
-    """A calendar whose events are all usable. Raises SettingsError, which names line and field."""
+    """Read a calendar file and validate its events.
+
+    Raises SettingsError, with the line and the field, if the file or an event can't be used.
+    """
     text = _read_text(path)
     lines = _content_lines(text)
     for line in lines:
@@ -108,7 +114,7 @@
 
 
 def _event_problems(event: Any) -> list[EventProblem]:
-    """What makes an event unusable; empty if it can be used."""
+    """The problem that makes an event invalid, if any."""
     if event.errors:
         return [EventProblem(str(field), str(reason)) for field, reason in event.errors]
     start = event.get(START)
@@ -133,30 +139,37 @@
 
 
 class QuietCalendar:
-    """The quiet times of a calendar file. Changes of the file take effect within a minute; one
-    that makes it unusable leaves the last good calendar in force."""
+    """The quiet times of a calendar file.
+
+    Changes of the file take effect within a minute. If the new file is invalid, the last valid
+    calendar stays in use.
+    """
 
     def __init__(self, path: str, clock: Callable[[], int] = wall_us) -> None:
-        """Read the file; `clock` is the time of day in microseconds. Raises SettingsError."""
+        """Read the file. Raises SettingsError if it can't be used.
+
+        `clock` returns the Unix time in microseconds.
+        """
         self.path = path
         self.clock = clock
         self.calendar = read_calendar(path)
         self.modified_at = self._modified_at()
         self.checked_at = clock()
-        self.known_until = 0  # occurrences are computed up to this time of day
+        self.known_until = 0  # Unix time up to which `occurrences` is computed
         self.occurrences: list[QuietTime] = []
 
     def _modified_at(self) -> float:
-        """The file's time of modification; 0: the file can't be found."""
+        """The file's modification time; 0 if the file can't be read."""
         try:
             return Path(self.path).stat().st_mtime
         except OSError:
             return 0.0
 
     def current(self) -> QuietTime | None:
-        """The quiet time that is now; of several the one that began first."""
+        """The current quiet time; if several overlap, the one that began first."""
         now = self.clock()
-        # The time of day may be set back: then check and compute anew too.
+        # The wall clock may be set back. The file is then checked and the occurrences computed
+        # again as well.
         if not 0 <= now - self.checked_at < CHECK_INTERVAL_US:
             self._read_if_modified(now)
         if not self.known_until - 2 * HORIZON_US <= now < self.known_until:
@@ -175,7 +188,7 @@
         except SettingsError as error:
             _log_unusable(error)
         else:
-            log.info("quiet times read again from %s", self.path)
+            log.info("quiet calendar reloaded from %s", self.path)
             self.known_until = 0
         self.modified_at = modified_at
 
@@ -191,7 +204,7 @@
 
 
 def _log_unusable(error: SettingsError) -> None:
-    log.error("quiet times stay as they were, the calendar can't be used: %s", error)
+    log.error("quiet calendar not reloaded, the previous one stays in use: %s", error)
 
 
 def _to_us(at: datetime) -> int:
