--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -1,4 +1,4 @@
-"""Whether silent machines are in trouble, or rather this controller's own network."""
+"""Tells failed machines from a failure of this controller's own network, using heartbeats."""
 
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
@@ -6,32 +6,32 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.context import ShardContext
 
-LOST_AFTER_LEASES = 4  # machines that are silent for so many leases count as gone in any case
-WORKER_REQUEST_TIMEOUT_US = 4 * US  # how long a worker waits for a controller's answer
+LOST_AFTER_LEASES = 4  # lease durations of silence after which a machine counts as lost regardless
+WORKER_REQUEST_TIMEOUT_US = 4 * US  # how long a worker waits for a controller's response
 CONTROLLER_RETRY_INTERVAL_US = US  # between a worker's attempts to reach the next controller
-UNREACHABLE_US = 4 * US  # a machine that our commands do not reach for so long is no capacity
-# A heartbeat is recent for so many heartbeat intervals, or for that long if that is longer.
+UNREACHABLE_US = 4 * US  # a machine that commands don't reach for this long is not counted
+# A heartbeat is recent for this many heartbeat intervals, and for at least the time below.
 RECENT_HEARTBEATS = 3
 MIN_RECENT_US = 4 * US
 
 
 class Reachability:
-    """What the heartbeats of a shard's machines tell of the network between us and them."""
+    """Judges from heartbeats which machines of a shard this controller can reach."""
 
     def __init__(self, context: ShardContext) -> None:
         self.context = context
-        self.all_silent_at = now_us()  # when no machine was heard, most recently
+        self.all_silent_at = now_us()  # the last time without a recent heartbeat of any machine
 
     @staticmethod
     def unreachable(machine: Machine, now: int) -> bool:
-        """Have our commands not reached the machine for a while, although its heartbeats arrive?"""
+        """Whether commands don't reach the machine for a while, although its heartbeats arrive."""
         return bool(machine.unreachable_since) and now - machine.unreachable_since > UNREACHABLE_US
 
     def all_silent(self, now: int) -> bool:
-        """Have several machines fallen silent, so that none is heard any more?
+        """Whether all machines, of which there are several, have stopped sending heartbeats.
 
-        That is more likely trouble of our own network, in which we would not hear of new machines
-        either. False again once it has lasted for `LOST_AFTER_LEASES`.
+        The likely cause is this controller's own network, in which case heartbeats of new machines
+        would not arrive either. False once the silence has lasted for `LOST_AFTER_LEASES`.
         """
         machines = self.context.shard.machines.values()
         heard_at = [m.heard_at for m in machines if m.up and m.heard_at]
@@ -41,17 +41,17 @@
         )
 
     def recently_heard(self, machine: Machine, now: int) -> bool:
-        """Has the machine sent a heartbeat lately? A few missing ones do not matter."""
+        """Whether a recent heartbeat of the machine has arrived. A few may be missing."""
         interval = self.context.shard.timing.heartbeat_interval_us
         recent = max(MIN_RECENT_US, RECENT_HEARTBEATS * interval)
         return bool(machine.heard_at) and now - machine.heard_at < recent
 
     def any_heard(self, now: int) -> bool:
-        """Has any machine sent a heartbeat lately?"""
+        """Whether a recent heartbeat of any machine has arrived."""
         return any(self.recently_heard(m, now) for m in self.context.shard.machines.values())
 
     def heard_by_zone(self, now: int) -> dict[str, list[bool]]:
-        """By zone, for each machine that was ever heard, whether it still is."""
+        """For each zone, whether each machine that has ever sent a heartbeat still does."""
         heard: dict[str, list[bool]] = {}
         for machine in self.context.shard.machines.values():
             if machine.up and machine.heard_at:
@@ -60,11 +60,12 @@
         return heard
 
     def losses_confirmed(self, now: int) -> bool:
-        """Is it certain enough that lost machines are gone, rather than cut off with all others?
+        """Whether machines marked as lost may be taken to be gone.
 
-        So it is if other machines have been heard for as long as a worker may need to find us
-        again: when all were silent at once, those that do not return with the first of them are
-        not lost for that. In any case it is after `LOST_AFTER_LEASES` of silence.
+        They may have been cut off together with all others. After such an outage a worker needs
+        some time to find this controller again, so machines that don't return with the first ones
+        may still be up. The losses are confirmed once other machines have been heard for that
+        time, or after `LOST_AFTER_LEASES` of silence in any case.
         """
         if not self.any_heard(now):
             self.all_silent_at = now
