--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -1,4 +1,4 @@
-"""The comparison of a shard's machines with the cloud's list of rented machines."""
+"""Reconciles a shard's machines with the cloud's list of rented machines."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 from basaltlead.wire.cloud import RentedMachine
 
 MIN_PAUSE_S = 4.0  # between two reads of the list
-RECORDING_GRACE_S = 30  # a rented machine's names may take so long to be recorded by its shard
+RECORDING_GRACE_S = 30  # a shard may take this long to record the names of machines it has rented
 
 
 class MachineListReconciler:
-    """Takes in rented machines that the shard does not know, and returns those that have failed.
+    """Adds rented machines that no shard knows, and marks failed machines for return.
 
-    Only while duties are not granted on their own: otherwise the duty of reclaiming does this for
-    all shards.
+    It works only while the duties have no grants of their own. Otherwise the holder of the reclaim
+    duty does this for all shards.
     """
 
     def __init__(
@@ -33,14 +33,14 @@
         scale_out: ScaleOut,
         shard_of: Callable[[str], int | None],
     ) -> None:
-        """`shard_of` returns the shard to which a machine belongs, or None if that is unknown."""
+        """`shard_of` returns the shard that a machine belongs to, or None if it is unknown."""
         self.context = context
         self.cloud = cloud
         self.scale_out = scale_out
         self.shard_of = shard_of
 
     async def run(self) -> None:
-        """Read the list again and again; never returns."""
+        """Read and reconcile the list periodically; never returns."""
         pause_s = max(MIN_PAUSE_S, self.context.settings.facts.cloud.list_lag_s)
         while True:
             await asyncio.sleep(pause_s)
@@ -72,10 +72,10 @@
                 mark_terminating(machine, TerminationReason.FAILED)
 
     def _belongs_to_other_shard(self, listed: RentedMachine) -> bool:
-        """Does an unknown machine belong to another shard, or may it?
+        """Whether an unknown machine belongs, or may belong, to another shard.
 
-        With several shards, the one that requested it may just not have recorded its name so far.
-        After that time it falls to the first shard.
+        With several shards, the one that requested it may not have recorded its name yet. After
+        `RECORDING_GRACE_S` the machine goes to the first shard.
         """
         if self.shard_of(listed.name) not in (None, self.context.number):
             return True
@@ -88,5 +88,5 @@
         machine = Machine(listed.name, machine_type, listed.zone, listed.spot, now)
         machine.made_at = now - int(listed.age_s * US)
         self.context.shard.add_machine(machine)
-        log.info("machine %s added: unexpected in the cloud's list (%s)", listed.name, listed.stage)
+        log.info("machine %s added from the cloud's list, stage %s", listed.name, listed.stage)
         return machine
