--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -1,6 +1,6 @@
 """The cloud's machine types with their prices, and a copy of them in the key-value store.
 
-Controllers that start while the cloud fails read the copy.
+Controllers that start while the cloud is unavailable read the copy.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 from basaltlead.wire.store import Put
 
 LEADER_PAUSE_S = 30.0  # between two reads by a controller that leads a shard: prices change
-STANDBY_PAUSE_S = 180.0  # the same for one that leads none
+STANDBY_PAUSE_S = 180.0  # the same for a controller that leads no shard
 MIN_RETRY_DELAY_US = 200_000
 MAX_RETRY_DELAY_US = 2_000_000
 PAGE_PREFIX = TYPES + "/"
-PAGE_ENVELOPE_BYTES = 64  # of a page, in addition to its types
+PAGE_ENVELOPE_BYTES = 64  # size of a page without its types
 
 
 class MachineTypePage(msgspec.Struct, rename={"types": "Grades"}):
-    """Some of the machine types, if one value of the store can't hold them all.
+    """A page of machine types, used if one value of the store can't hold all of them.
 
-    `pages` is how many pages there are.
+    `pages` is the total number of pages.
     """
 
     types: list[MachineTypeInfo]
@@ -43,7 +43,7 @@
     pages: list[list[MachineTypeInfo]] = [[]]
     used = PAGE_ENVELOPE_BYTES
     for machine_type in types:
-        size = len(encode(machine_type)) + 1  # with a comma
+        size = len(encode(machine_type)) + 1  # 1 for the comma
         if pages[-1] and used + size > value_bytes:
             pages.append([])
             used = PAGE_ENVELOPE_BYTES
@@ -53,7 +53,7 @@
 
 
 class MachineTypeCatalog:
-    """Keeps `machine_types`, by name, up to date for all parts of a controller."""
+    """Keeps the shared dict `machine_types`, by name, up to date."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self.stored: set[str] = set()  # names of the types that this process has written
 
     async def follow(self) -> None:
-        """Read the types and their present prices again and again; never returns."""
+        """Read the types and their current prices periodically; never returns."""
         backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.membership.chance)
         while True:
             try:
@@ -88,10 +88,10 @@
                 await backoff.wait()
 
     async def _store(self, types: list[MachineTypeInfo]) -> None:
-        """Store the types for controllers that start while the cloud fails.
+        """Store the types for controllers that start while the cloud is unavailable.
 
-        Only controllers that lead a shard do so, and only if there are other types than they have
-        stored before: prices alone are not worth a write.
+        Only controllers that lead a shard write them, and only if the set of types has changed
+        since their last write. A change of prices alone is not written.
         """
         names = {machine_type.name for machine_type in types}
         if not self.leads_shard() or names == self.stored:
@@ -112,7 +112,7 @@
         await self.store.compare_and_swap([self.membership.precondition()], [Put(key, value)])
 
     async def _load(self) -> None:
-        """Take the stored types if none are known so far."""
+        """Load the stored types if none are known yet."""
         if self.machine_types:
             return
         try:
@@ -124,10 +124,10 @@
             self.machine_types.setdefault(machine_type.name, machine_type)
 
     async def _stored_types(self) -> list[MachineTypeInfo]:
-        """The stored types; none if a page is missing.
+        """The stored types; empty if a page is missing.
 
-        Some of several pages are not enough: a job that fits only a type on another page would be
-        refused for good.
+        An incomplete set of pages can't be used: a job that fits only a type on a missing page
+        would be rejected permanently.
         """
         row = await self.store.get(TYPES)
         if row is not None:
