--- a/basaltlead/scaling/__init__.py
+++ b/basaltlead/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many machines a shard needs: scale-out, scale-in and what is known of the machines."""
+"""Fleet scaling of a shard: scale-out, scale-in and the state of its machines."""
