--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -88,5 +88,7 @@
         machine = Machine(listed.name, machine_type, listed.zone, listed.spot, now)
         machine.made_at = now - int(listed.age_s * US)
         self.context.shard.add_machine(machine)
-        log.info("machine %s added from the cloud's list, stage %s", listed.name, listed.stage)
+        log.info(
+            "unknown machine %s added from the cloud's list, stage %s", listed.name, listed.stage
+        )
         return machine
