--- a/basaltlead/duties/__init__.py
+++ b/basaltlead/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Renting, returning, reclaiming and clean-up, each by one fenced holder (docs/duties.md)."""
+"""The rent, return, reclaim and clean-up duties, each with one fenced holder (docs/duties.md)."""
