--- a/basaltlead/duties/model.py
+++ b/basaltlead/duties/model.py
@@ -1,4 +1,4 @@
-"""The duties, their shares of the cloud's rate of calls, and what a holder of a grant provides."""
+"""The duties, their shares of the cloud's rate limit, and the interface of a grant's holder."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -9,7 +9,10 @@
 
 
 class Duty(StrEnum):
-    """What one controller at a time does for the whole deployment. The values are stored."""
+    """A task that one controller at a time performs for the whole deployment.
+
+    The values are stored.
+    """
 
     RENT = "rent"
     RETURN = "return"
@@ -18,29 +21,31 @@
 
     @property
     def key(self) -> str:
-        """The key of the store that names the duty's holder."""
+        """The key of the duty's grant in the store."""
         return duty_key(self.value)
 
 
 DUTY_KEYS = tuple(duty.key for duty in Duty)
 
-# The cloud limits the calls of all controllers together. Each duty that calls it has its share of
-# that rate; every controller has the base share besides, for listing the machine types and for a
-# call that was under way when a duty moved.
+# The cloud's rate limit applies to all controllers together. Each duty that calls the cloud has a
+# share of that rate. In addition, every controller has the base share, for listing the machine
+# types and for calls that were in progress when a duty moved to another controller.
 CLOUD_RATE_SHARES = {Duty.RENT: 0.5, Duty.RETURN: 0.2, Duty.RECLAIM: 0.15}
 BASE_CLOUD_RATE_SHARE = 0.05
-# After so long without any answer from the cloud, a holder releases its duties to another
-# controller, which may reach the cloud.
+# After this time without any response from the cloud, a controller releases the duties that need
+# it, since another controller may be able to reach the cloud.
 CLOUD_SILENCE_LIMIT_US = 15 * US
 
 
 class GrantHolder(Protocol):
-    """Whoever acts under a grant: the holder of a duty, or the leader of a shard."""
+    """The holder of a grant: of a duty, or of a shard, whose holder is its leader."""
 
     @property
     def holds_valid_lease(self) -> bool:
-        """Whether the grant is provably valid now; to be checked at the moment of sending."""
+        """Whether the grant is provably valid now. Check it immediately before sending."""
 
     def preconditions(self) -> list[Precondition]:
-        """The preconditions that each write under the grant must have, so that the store refuses
-        writes of a holder that has been replaced."""
+        """The preconditions that fence each write under the grant.
+
+        With them, the store rejects writes of a holder that has been replaced.
+        """
