--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -1,4 +1,4 @@
-"""The duties that this controller holds at the moment."""
+"""The duties that this controller currently holds."""
 
 from basaltlead.duties.clean_up_duty import CleanUpDuty
 from basaltlead.duties.holder import DutyHolder, DutyServices
@@ -20,39 +20,39 @@
 
 
 class HeldDuties:
-    """Keeps one holder for each duty that is granted to this incarnation of the controller."""
+    """Keeps a `DutyHolder` for each duty that is granted to this incarnation of the controller."""
 
     def __init__(self, services: DutyServices, controller_count: int) -> None:
-        """Without granted duties, `controller_count` controllers share the cloud's rate of calls."""
+        """`controller_count` controllers share the cloud's rate limit while no duty is granted."""
         self.services = services
         self.membership = services.membership
         self.cloud = services.cloud
         self.controller_count = controller_count
-        self.cloud_rate = 0.0  # calls a second that are ours at the moment
+        self.cloud_rate = 0.0  # this controller's current share, in calls per second
         self.holders: dict[Duty, DutyHolder] = {}
 
     def changed(self) -> None:
-        """Stop and create holders by the grants that stand; called when the cluster changes."""
+        """Stop and create holders to match the current grants; called when the cluster changes."""
         if not self.membership.duty_keys:
             return
         for duty in Duty:
             held = self.membership.held_grant(duty.key) if self.membership.version else None
             holder = self.holders.get(duty)
             if holder is not None and (held is None or held.version != holder.version):
-                log.info("duty %s: the grant is lost or was renewed, stopping its holder", duty)
+                log.info("duty %s: grant lost or replaced, stopping its holder", duty)
                 self.holders.pop(duty).stop()
                 holder = None
             if holder is None and held is not None:
                 holder = self.holders[duty] = HOLDER_TYPES[duty](
                     self.services, held.value, held.version
                 )
-                # The new holder gets the whole limit to reach the cloud.
+                # The new holder gets the full CLOUD_SILENCE_LIMIT_US to reach the cloud.
                 self.cloud.reset_unanswered()
                 holder.start()
         self._update_cloud_rate()
 
     def _update_cloud_rate(self) -> None:
-        """Take our share of the cloud's rate: it counts the calls of all controllers together."""
+        """Set this controller's share of the cloud's rate limit, which all controllers share."""
         share = 1 / self.controller_count
         if self.membership.duties_granted:
             duty_shares = (CLOUD_RATE_SHARES.get(duty, 0.0) for duty in self.holders)
@@ -63,19 +63,22 @@
             self.cloud.use_rate(rate)
 
     async def release_stepped_down(self) -> None:
-        """Release the duties whose holders have stepped down, for other controllers to acquire."""
+        """Release the duties whose holders have stepped down, so that other controllers can
+        acquire them."""
         self._step_down_without_cloud()
         for duty, holder in list(self.holders.items()):
             if holder.stepped_down and await self.membership.release(duty.key, leader_too=False):
                 holder.stop()
-                if self.holders.get(duty) is holder:  # else it was granted to us anew meanwhile
+                if self.holders.get(duty) is holder:  # else it was granted here again meanwhile
                     del self.holders[duty]
                 self._update_cloud_rate()
 
     def _step_down_without_cloud(self) -> None:
-        """Step down from the duties that need the cloud if it has not answered us for too long:
-        another controller may reach it. An outage of the cloud is answered (503), and no reason
-        to change the holder."""
+        """Step down from the duties that need the cloud if it has not responded for too long.
+
+        Another controller may be able to reach it. An outage of the cloud itself is a response
+        (503) and no reason to change the holder.
+        """
         since = self.cloud.unanswered_since
         if (
             not since
@@ -86,11 +89,14 @@
         for duty in CLOUD_RATE_SHARES:
             holder = self.holders.get(duty)
             if holder is not None and not holder.stepped_down:
-                log.info("duty %s: no answer from the cloud for too long, releasing it", duty)
+                log.info("duty %s: no response from the cloud for too long, releasing it", duty)
                 holder.step_down()
 
     async def hand_over(self, key: str) -> bool:
-        """Release a duty that a member without any should have. False if we do not hold it."""
+        """Release a duty so that a member without any duty can acquire it.
+
+        Returns False if this controller does not hold it.
+        """
         for duty, holder in self.holders.items():
             if duty.key == key and holder.holds_valid_lease:
                 holder.step_down()
