--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -1,4 +1,4 @@
-"""The holder of one duty: it lives from the grant of the duty until that grant is lost."""
+"""The base class for the holder of one duty, which exists from the grant until it is lost."""
 
 from abc import ABC, abstractmethod
 
@@ -20,29 +20,29 @@
 
 
 class DutyServices(Struct, frozen=True):
-    """What the duties work with, shared by all holders of a process."""
+    """The dependencies that all duty holders of a process share."""
 
     settings: Settings
     membership: Membership
     store: KeyValueStore
     cloud: Cloud
-    quiet_times: QuietTimes | None  # None: the operators have set no calendar
+    quiet_times: QuietTimes | None  # None if no calendar is configured
 
 
 class DutyHolder(ABC):
-    """What all duties have in common. A new grant of a duty gets a new holder."""
+    """Holds one duty under one grant. Each new grant of a duty gets a new holder."""
 
     duty: Duty
 
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
-        """Act under this grant, whose key has this version."""
+        """`version` is the version of the grant's key in the store."""
         self.settings = services.settings
         self.membership = services.membership
         self.store = services.store
         self.cloud = services.cloud
         self.grant = grant
         self.version = version
-        self.stepped_down = False  # we have stopped acting, for good
+        self.stepped_down = False  # set once, when the holder stops acting
         self.background = BackgroundTasks(self.step_down)
         self.history = History(
             self.store, self, self.duty, self.membership.name, grant.fencing_token
@@ -50,8 +50,11 @@
 
     @property
     def holds_valid_lease(self) -> bool:
-        """Whether the session lease and the grant are provably valid, and every member of the
-        cluster knows that duties are granted. To be checked at the moment of sending."""
+        """Whether the holder may act now. Check it immediately before sending.
+
+        It requires that the session lease and the grant are provably valid, and that every member
+        of the cluster knows that duties are granted.
+        """
         return (
             self.membership.holds_valid_lease
             and not self.stepped_down
@@ -60,13 +63,15 @@
         )
 
     def preconditions(self) -> list[Precondition]:
-        """The preconditions of each write of the holder: our member key and the duty's key are
-        unchanged. The store refuses late writes by them, whatever our clock says of the lease
-        (test_late_transaction_of_a_replaced_holder_is_refused)."""
+        """The preconditions of each write: this member's key and the duty's key are unchanged.
+
+        With them, the store rejects late writes even if the local clock shows a valid lease
+        (test_late_transaction_of_a_replaced_holder_is_refused).
+        """
         return [self.membership.precondition(), Precondition(self.duty.key, self.version)]
 
     def step_down(self) -> None:
-        """Stop acting; the duty is then released, for another controller to acquire."""
+        """Stop acting. The duty is then released, so that another controller can acquire it."""
         self.stepped_down = True
         self.membership.wake.set()
 
@@ -92,7 +97,7 @@
                 await self.history.commit([], [], Event.of(Action.ACQUIRED))
             except ServiceError as fault:
                 log.info(
-                    "duty %s: its acquisition is not recorded, will be retried: %s",
+                    "duty %s: acquisition not recorded, will be retried: %s",
                     self.duty,
                     fault,
                 )
@@ -102,4 +107,4 @@
 
     @abstractmethod
     async def run(self) -> None:
-        """Do the duty's work until cancelled."""
+        """Perform the duty until cancelled."""
