--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -1,8 +1,8 @@
-"""What the holders of a duty did, kept in the key-value store in a ring of pages of bounded size.
+"""The audit history of a duty: a ring buffer of size-limited pages in the key-value store.
 
-An event is written in the transaction that records what was done, so the history shows neither
-more nor less than what was done. The newest page overwrites the oldest; the numbers of the
-remaining pages show how many events are gone.
+An event is written in the same transaction as the change that it describes, so the history matches
+the changes exactly. The newest page overwrites the oldest. The page numbers and event counts of the
+remaining pages show how many events were overwritten.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 from basaltlead.storage.records import HISTORY
 from basaltlead.wire.store import Drop, Precondition, Put
 
-RING_PAGES = 64  # in the ring of each duty
-MAX_NAMES_PER_EVENT = 8  # machines that an event lists; the others are only counted
-PAGE_ENVELOPE_BYTES = 64  # what is reserved in a page in addition to its encoded events
-MAX_COMMIT_ATTEMPTS = 3  # at a transaction that fails only because the page has changed
+RING_PAGES = 64  # for each duty
+MAX_NAMES_PER_EVENT = 8  # machines that an event lists by name; the others are only counted
+PAGE_ENVELOPE_BYTES = 64  # reserved in a page in addition to its encoded events
+MAX_COMMIT_ATTEMPTS = 3  # for a transaction that fails only because the page has changed
 
 
 class Action(StrEnum):
-    """What a holder did, as it is stored and shown to operators. Clean-up stores free text."""
+    """The actions of duty holders, as stored and shown to operators. Clean-up stores free text."""
 
     ACQUIRED = "taken up"
     RENTED = "rented"
@@ -39,43 +39,43 @@
 
 
 class Event(Struct, omit_defaults=True):
-    """One thing that a duty's holder did."""
+    """An action of a duty's holder."""
 
-    at: int  # time of day in microseconds
+    at: int  # Unix time in microseconds
     token: int  # fencing token of the holder's grant
     holder: str
     action: str
-    about: str = ""  # name of the intent that was carried out
-    since: int = 0  # time of day at which that intent was recorded; 0: there is none
+    about: str = ""  # name of the executed intent
+    since: int = 0  # Unix time in microseconds when that intent was recorded; 0 without one
     count: int = 0  # machines or rows
-    names: list[str] = []  # the first MOST_NAMES machines
+    names: list[str] = []  # the first MAX_NAMES_PER_EVENT machines
 
     @staticmethod
     def of(action: str, about: str = "", since: int = 0, names: Sequence[str] = ()) -> "Event":
-        """An event that concerns these machines. `History.commit` adds time, token and holder."""
+        """An event about machines. `History.commit` adds time, token and holder."""
         return Event(0, 0, "", action, about, since, len(names), list(names[:MAX_NAMES_PER_EVENT]))
 
     @staticmethod
     def of_rows(action: str, count: int) -> "Event":
-        """An event that concerns so many rows. `History.commit` adds time, token and holder."""
+        """An event about a number of rows. `History.commit` adds time, token and holder."""
         return Event(0, 0, "", action, count=count)
 
 
 class HistoryPage(Struct):
     """Consecutive events of one duty."""
 
-    number: int  # of the page, counted from the duty's first one
+    number: int  # counted from the duty's first page, without wrapping around
     first: int  # number of events before this page
     events: list[Event]
 
 
 def page_key(duty: Duty, number: int) -> str:
-    """The key of a page in the ring of its duty."""
+    """The key of the ring slot that a page is stored in."""
     return f"{HISTORY}{duty}/{number % RING_PAGES:03d}"
 
 
 class History:
-    """The history of one duty, as its present holder writes it."""
+    """Writes the history of one duty on behalf of its current holder."""
 
     def __init__(
         self,
@@ -90,13 +90,13 @@
         self.duty = duty
         self.controller = controller
         self.fencing_token = fencing_token
-        self.page = HistoryPage(0, 0, [])  # the newest
+        self.page = HistoryPage(0, 0, [])  # the newest page
         self.versions: dict[str, int] = {}  # of the ring's keys
-        # Every event changes the newest page: concurrent commits would only conflict.
+        # Every event changes the newest page, so concurrent commits would conflict.
         self.commit_lock = asyncio.Lock()
 
     async def load(self) -> None:
-        """Read the ring, to continue after its newest page. Raises ServiceError."""
+        """Read the ring and continue with its newest page. Raises ServiceError."""
         rows, _ = await self.store.rows(f"{HISTORY}{self.duty}/")
         self.versions = {row.key: row.version for row in rows}
         pages = [msgspec.json.decode(row.value, type=HistoryPage) for row in rows]
@@ -111,8 +111,8 @@
     ) -> None:
         """Make the changes under the holder's grant, in one transaction with the event.
 
-        Raises PreconditionFailed if the grant is lost or one of the given preconditions does not
-        hold, Unavailable if the page changed at each attempt, and whatever else the store raises.
+        Raises PreconditionFailed if the grant is lost or a given precondition does not hold,
+        Unavailable if the page changed during every attempt, and other errors of the store.
         """
         event = msgspec.structs.replace(
             event, at=wall_us(), token=self.fencing_token, holder=self.controller
@@ -130,7 +130,7 @@
         event: Event,
         low_priority: bool,
     ) -> bool:
-        """Try the transaction; False if nothing but our copy of the page was out of date."""
+        """Try the transaction. False if it failed only because the local page was outdated."""
         page = self._page_with(event)
         key = page_key(self.duty, page.number)
         page_unchanged = Precondition(key, self.versions.get(key, 0))
@@ -147,14 +147,14 @@
                 raise
             return False
         except RequestFailed as fault:
-            if fault.sent:  # it may have been executed, and then the page has a new version
+            if fault.sent:  # it may have been executed, which changes the page's version
                 await self.load()
             raise
         self.page, self.versions[key] = page, version
         return True
 
     def _page_with(self, event: Event) -> HistoryPage:
-        """The newest page with one more event, or the next page if it would grow too large."""
+        """The newest page with the event appended, or a new page if it would become too large."""
         page = HistoryPage(self.page.number, self.page.first, [*self.page.events, event])
         if len(encode(page)) + PAGE_ENVELOPE_BYTES <= self.store.limits.value_bytes:
             return page
