--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -1,7 +1,7 @@
-"""What a controller answers operators about the duties.
+"""Reports about the duties for operators.
 
-It reads the key-value store for each answer, so every controller gives the same one, or says that
-it does not know.
+Each report is read from the key-value store, so every controller gives the same one, or an error
+if it can't read the store.
 """
 
 from collections.abc import Iterable
@@ -26,18 +26,18 @@
 )
 from basaltlead.wire.store import Row
 
-MAX_INTENTS = 500  # in one answer, the oldest
+MAX_INTENTS = 500  # the oldest ones, in one response
 
 
 class DutyReports:
-    """Answers the questions of operators."""
+    """Answers the requests of operators."""
 
     def __init__(self, store: KeyValueStore, membership: Membership) -> None:
         self.store = store
         self.membership = membership
 
     async def answer(self, question: Question) -> Answer:
-        """The answer to a question; if the store does not answer us, one that says so."""
+        """The response to a request; it contains an error text if the store can't be read."""
         answer_type = DutiesAnswer if isinstance(question, DutiesQuestion) else HistoryAnswer
         if self.membership.cut_off:
             return answer_type("the state service does not answer")
