--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -1,4 +1,4 @@
-"""The duty of renting: scale-out requests that the shard leaders have recorded are carried out."""
+"""The rent duty: executes the scale-out requests that the shard leaders have recorded."""
 
 import asyncio
 from functools import partial
@@ -16,12 +16,12 @@
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Precondition, Put
 
-MAX_CONCURRENT_REQUESTS = 6  # that are under way at once
+MAX_CONCURRENT_REQUESTS = 6
 RETRY_PAUSE_S = 1.0  # before a request whose outcome could not be recorded is sent again
 
 
 class RequestSlot:
-    """A place among the requests that are under way: taken on entry, given back once."""
+    """One of the slots for concurrent requests: acquired on entry and released once."""
 
     def __init__(self, slots: asyncio.Semaphore) -> None:
         self.slots = slots
@@ -35,14 +35,14 @@
         self.release()
 
     def release(self) -> None:
-        """Give the place back, if that was not done before."""
+        """Release the slot unless it is released already."""
         if not self.released:
             self.released = True
             self.slots.release()
 
 
 class RentDuty(DutyHolder):
-    """Follows the recorded requests, and carries out each that is open."""
+    """Watches the recorded requests and executes the open ones."""
 
     duty = Duty.RENT
 
@@ -50,14 +50,14 @@
         super().__init__(services, grant, version)
         self.machine_rental = MachineRental(self.store, self.cloud, self, self.membership.chance)
         self.versions: dict[str, int] = {}  # of the records of open requests, by name
-        self.requests: dict[str, asyncio.Task[None]] = {}  # that carry out the open ones
-        # Requests whose outcome is being recorded. The watch may show the record before the
-        # store's answer arrives, and must not cancel the task then.
+        self.requests: dict[str, asyncio.Task[None]] = {}  # tasks that execute the open requests
+        # Requests whose outcome is being recorded. The watch may deliver the record before the
+        # store's response arrives, and must not cancel the task in that case.
         self.recording: set[str] = set()
         self.slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
     async def run(self) -> None:
-        """Follow the recorded requests until cancelled."""
+        """Watch the recorded requests and execute them until cancelled."""
         await follow_rows(self.store, SCALE_OUT, self.membership.watch_ms, self._put, self._drop)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
@@ -78,7 +78,7 @@
         self.requests[name] = self.background.spawn(coroutine, f"scale-out request {name}")
 
     def _close(self, name: str) -> None:
-        """The outcome of a request is recorded, by us or by another controller."""
+        """Handle a request whose outcome is recorded, by this or another controller."""
         self.versions.pop(name, None)
         task = self.requests.pop(name, None)
         if task is not None and name not in self.recording:
@@ -92,11 +92,11 @@
                 await self._record_outcome(name, stored, names)
             except ServiceError as fault:
                 log.info(
-                    "scale-out request %s: its outcome is not recorded, will be retried: %s",
+                    "scale-out request %s: outcome not recorded, will be retried: %s",
                     name,
                     fault,
                 )
-                # Its record is unchanged, so the request is sent again: here, or by the holder of
+                # The record is unchanged, so the request is sent again, here or by the holder of
                 # the next grant.
                 await asyncio.sleep(RETRY_PAUSE_S)
                 if self.requests.pop(name, None) is not None and name in self.versions:
@@ -105,7 +105,7 @@
     async def _on_rejected(
         self, slot: RequestSlot, name: str, stored: StoredScaleOut, reason: str
     ) -> None:
-        slot.release()  # a request that the cloud rejects holds up no other
+        slot.release()  # a rejected request must not block others
         await self._record_rejection(name, stored, reason)
 
     async def _record_outcome(
@@ -126,8 +126,10 @@
             self.recording.discard(name)
 
     async def _record_rejection(self, name: str, stored: StoredScaleOut, reason: str) -> None:
-        """Show the cloud's reason to operators, and to the shard leader, which requests another
-        offer."""
+        """Record the cloud's reason for operators and for the shard leader.
+
+        The shard leader then requests another offer.
+        """
         if stored.refused is not msgspec.UNSET:
             return
         stored.refused = reason[:MAX_REASON_CHARS]
@@ -138,4 +140,4 @@
             await self.history.commit(preconditions, changes, event)
         except ServiceError as fault:
             stored.refused = msgspec.UNSET
-            log.info("scale-out request %s: its rejection is not recorded: %s", name, fault)
+            log.info("scale-out request %s: rejection not recorded: %s", name, fault)
