--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -1,4 +1,4 @@
-"""Carrying out scale-out requests that are recorded, for whoever holds the grant to do so."""
+"""Executes recorded scale-out requests for the holder of the grant."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -22,22 +22,21 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 LEASE_CHECK_PAUSE_S = 0.5  # between two checks whether the lease is valid again
-REJECTED_PAUSE_S = 60.0  # before a request that the cloud has rejected is sent once more
-MAX_REASON_CHARS = 80  # characters of the cloud's reason that are recorded
+REJECTED_PAUSE_S = 60.0  # before a request that the cloud has rejected is sent again
+MAX_REASON_CHARS = 80  # of the cloud's reason, which is recorded
 MAX_RECORDING_ATTEMPTS = 8
 
-# Makes changes under preconditions; a duty's holder adds an event to its history.
+# Makes changes under preconditions. The holder of a duty also adds an event to its history.
 Commit = Callable[[list[Precondition], Sequence[Put | Drop]], Awaitable[None]]
-# Called with the cloud's text when it rejects a request.
+# Called with the cloud's reason when it rejects a request.
 OnRejected = Callable[[str], Awaitable[None]]
 
 
 class MachineRental:
-    """Sends recorded requests to the cloud, and records their outcome.
+    """Sends recorded requests to the cloud and records their outcome.
 
-    A request is sent under its recorded name only, and the cloud rents once under a name. So a
-    request that is sent twice, late, or by a holder that has been replaced rents nothing beyond
-    what was recorded.
+    Its recorded name makes a request idempotent, as the cloud rents only once under a name. So a
+    request that is sent twice, late, or by a replaced holder rents nothing more than was recorded.
     """
 
     def __init__(
@@ -54,8 +53,11 @@
     async def rent(
         self, name: str, stored: StoredScaleOut, on_rejected: OnRejected
     ) -> list[str] | None:
-        """Send a request until the cloud has carried it out; the names of the machines, or None if
-        there is no capacity. Nothing is sent while the lease is not valid."""
+        """Send a request until the cloud has executed it.
+
+        Returns the names of the machines, or None if there is no capacity. Nothing is sent while
+        the lease is not valid.
+        """
         backoff = Backoff(200_000, 4_000_000, self.chance)
         request = RentRequest(name, stored.type_name, stored.zone, stored.spot, stored.number)
         while True:
@@ -84,20 +86,19 @@
                 return names
 
     async def _wait_after_rejection(self, name: str, reason: str, on_rejected: OnRejected) -> None:
-        """Log and report a rejection, and wait until the request may be sent once more."""
-        log.error("scale-out request %s is rejected by the cloud: %s", name, reason)
+        """Log and report a rejection, and wait until the request may be sent again."""
+        log.error("scale-out request %s rejected by the cloud: %s", name, reason)
         await on_rejected(reason)
         await asyncio.sleep(REJECTED_PAUSE_S)
 
     async def record_outcome(
         self, name: str, stored: StoredScaleOut | None, version: int, commit: Commit | None = None
     ) -> None:
-        """Record the outcome of a request whose record has this version: `stored` with the names
-        of the machines, or None, which drops the record. Raises PreconditionFailed if the grant is
-        lost.
+        """Record the outcome of a request: `stored` with the machine names, or None to delete it.
 
-        The write has the record's version as a precondition: a late copy of an attempt that was
-        not answered must not bring the record back once it has been dropped.
+        `version` is the version of the request's record and a precondition of the write. It keeps
+        a late duplicate of an attempt without a response from creating the record again after it
+        was deleted. Raises PreconditionFailed if the grant is lost.
         """
         key = SCALE_OUT + name
         change: Put | Drop = Drop(key) if stored is None else Put(key, stored)
@@ -108,9 +109,9 @@
             except PreconditionFailed as conflict:
                 if key not in conflict.failed:
                     raise
-                return  # an earlier attempt was carried out
+                return  # an earlier attempt was executed
             except TransactionTooLarge:
-                return  # without the names, the next holder sends the request again
+                return  # the names stay unrecorded, so the next holder sends the request again
             except (RequestFailed, Unavailable):
                 await backoff.wait()
             else:
