--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -1,4 +1,4 @@
-"""The duty of returning: machines that are recorded as to be returned are deleted in the cloud."""
+"""The return duty: deletes the machines of the recorded scale-ins in the cloud."""
 
 import asyncio
 
@@ -21,11 +21,11 @@
 
 PASS_INTERVAL_S = 0.5  # between two passes over the open returns, if none is added
 RETRY_PAUSE_S = 0.2  # after the outcome of a return could not be recorded
-MAX_REASON_CHARS = 200  # characters of the cloud's reason that are recorded
+MAX_REASON_CHARS = 200  # of the cloud's reason, which is recorded
 
 
 class OpenReturn(Struct):
-    """A recorded return, and those of its machines that are not deleted so far."""
+    """A recorded scale-in, with those of its machines that are not deleted yet."""
 
     stored: StoredScaleIn
     version: int  # of its record
@@ -33,7 +33,7 @@
 
 
 class ReturnDuty(DutyHolder):
-    """Follows the recorded returns, and carries out each. It deletes no other machines."""
+    """Watches the scale-in records and executes them. It deletes only machines in such records."""
 
     duty = Duty.RETURN
 
@@ -44,7 +44,7 @@
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow the recorded returns, and carry them out, until cancelled."""
+        """Watch the scale-in records and execute them until cancelled."""
         self.background.spawn(self._carry_out(), "loop return machines")
         await follow_rows(self.store, SCALE_IN, self.membership.watch_ms, self._put, self._drop)
 
@@ -80,7 +80,7 @@
             await self._record_rejections()
 
     async def _delete_batch(self) -> None:
-        """Delete as many machines as one call takes, of several returns together."""
+        """Delete as many machines as one call allows, from all open returns."""
         now = now_us()
         undeleted = [
             name for open_return in self.returns.values() for name in open_return.undeleted
@@ -97,10 +97,10 @@
             self.wake.set()
 
     async def _record_outcome(self, key: str) -> None:
-        """Drop the records of the machines, then that of their return.
+        """Delete the records of the machines, then the scale-in record.
 
-        If this is interrupted, the next holder finds the return, deletes the machines once more,
-        which does nothing, and drops the remaining records.
+        If this is interrupted, the next holder finds the scale-in record. It deletes the machines
+        again, which has no effect, and then the remaining records.
         """
         open_return = self.returns.get(key)
         if open_return is None:
@@ -108,7 +108,8 @@
         unchanged = Precondition(key, open_return.version)
         stored = open_return.stored
         records = [MACHINE + name for name in stored.names]
-        # The last batch is dropped together with the return, in addition to the page of history.
+        # The last batch shares its transaction with the scale-in record and the history page,
+        # which are two more operations.
         *batches, last = list(self.store.limits.drops(records, extra_operations=2)) or [[]]
         try:
             for batch in batches:
@@ -122,13 +123,13 @@
                 low_priority=True,
             )
         except ServiceError as fault:
-            log.info("%s: its outcome is not recorded, will be retried: %s", key, fault)
+            log.info("scale-in record %s: outcome not recorded, will be retried: %s", key, fault)
             await asyncio.sleep(RETRY_PAUSE_S)
             return
         self.returns.pop(key, None)
 
     async def _record_rejections(self) -> None:
-        """Show to operators why the cloud does not delete machines of a return."""
+        """Record for operators why the cloud has rejected deletions of a return."""
         rejected = self.machine_deletion.rejected
         for key, open_return in list(self.returns.items()):
             reasons = [rejected[name].reason for name in open_return.undeleted if name in rejected]
@@ -150,6 +151,6 @@
                     low_priority=True,
                 )
             except ServiceError as fault:
-                log.info("%s: its rejection is not recorded: %s", key, fault)
+                log.info("scale-in record %s: rejection not recorded: %s", key, fault)
                 continue
             open_return.stored = changed
