--- a/basaltlead/duties/machine_deletion.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -1,4 +1,4 @@
-"""Deleting machines in the cloud, so that one whose deletion is rejected holds up no other."""
+"""Deletes machines in the cloud, so that a rejected deletion does not block others."""
 
 from typing import NamedTuple
 
@@ -8,20 +8,22 @@
 from basaltlead.errors import RequestRejected
 from basaltlead.runtime.logs import log
 
-MAX_DELETIONS_PER_CALL = 100  # machines that the cloud deletes in one call
-REJECTED_PAUSE_US = 60 * US  # before a deletion that the cloud has rejected is sent once more
+MAX_DELETIONS_PER_CALL = 100  # the cloud's limit
+REJECTED_PAUSE_US = 60 * US  # before a deletion that the cloud has rejected is sent again
 
 
 class RejectedDeletion(NamedTuple):
-    """A machine that the cloud does not delete for now."""
+    """A rejected deletion of one machine."""
 
-    retry_at: int  # on the steady clock, in microseconds
+    retry_at: int  # on the monotonic clock, in microseconds
     reason: str
 
 
 class MachineDeletion:
-    """Sends deletions under a grant. Deleting a machine twice does nothing the second time, as
-    names of machines are never given out again."""
+    """Sends deletions under a grant.
+
+    Deleting a machine twice is harmless, as the cloud never reuses the names of machines.
+    """
 
     def __init__(self, cloud: Cloud, holder: GrantHolder) -> None:
         self.cloud = cloud
@@ -32,14 +34,14 @@
         return self.holder.holds_valid_lease
 
     def due(self, names: list[str], now: int) -> list[str]:
-        """Those of these machines whose deletion may be sent now."""
+        """The machines among `names` whose deletion may be sent now."""
         rejected = self.rejected
         return [name for name in names if name not in rejected or now >= rejected[name].retry_at]
 
     async def delete(self, names: list[str], now: int) -> list[str]:
-        """Try once to delete these machines; those that are deleted. Raises ServiceError.
+        """Try once to delete machines, and return those that are deleted. Raises ServiceError.
 
-        A batch that the cloud rejects is halved until the machines that it rejects stand alone.
+        A rejected batch is split in halves until the rejected machines are isolated.
         """
         try:
             await self.cloud.delete(names, self._holds_valid_lease)
@@ -55,5 +57,5 @@
         return names
 
     def _note_rejection(self, name: str, reason: str, now: int) -> None:
-        log.error("machine %s: its deletion is rejected by the cloud: %s", name, reason)
+        log.error("machine %s: deletion rejected by the cloud: %s", name, reason)
         self.rejected[name] = RejectedDeletion(now + REJECTED_PAUSE_US, reason)
