--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -1,4 +1,4 @@
-"""The duty of reclaiming: machines that are rented and stand in no record, or are of no use."""
+"""The reclaim duty: adopts rented machines without a record, and returns those without a use."""
 
 import asyncio
 from enum import StrEnum
@@ -31,22 +31,22 @@
 from basaltlead.wire.cloud import RentedMachine
 from basaltlead.wire.store import Precondition, Put, Row
 
-MIN_PAUSE_S = 4.0  # between two lists
-ADOPTED_PREFIX = "a-"  # of the names of records under which machines are adopted
-RECORDS_VALID_US = 60 * US  # for how long a machine in the records that were read counts as known
-MAX_ADOPTIONS_PER_PASS = 20  # in one pass
-FIRST_SHARD = 0  # adopted machines become its machines
+MIN_PAUSE_S = 4.0  # between two reads of the cloud's list
+ADOPTED_PREFIX = "a-"  # of the names of scale-out records for adopted machines
+RECORDS_VALID_US = 60 * US  # the records are read again after this time
+MAX_ADOPTIONS_PER_PASS = 20
+FIRST_SHARD = 0  # the shard that adopted machines are assigned to
 
 
 class ReturnReason(StrEnum):
-    """Why a machine is returned, as it is stored."""
+    """Why a machine is returned. The values are stored."""
 
     FAILED = "failed"
     NO_OWNER = "no owner"
 
 
 class FleetRecords:
-    """What is recorded of machines, read after the cloud's list that it is compared with."""
+    """The records of machines, read after the cloud's list that they are compared with."""
 
     def __init__(self, machines: list[Row], scale_outs: list[Row], scale_ins: list[Row]) -> None:
         self.machines = {row.key[len(MACHINE) :]: row for row in machines}
@@ -63,21 +63,21 @@
 
     @property
     def known(self) -> set[str]:
-        """Names of all machines that stand in any record."""
+        """Names of all machines in any record."""
         return self.machines.keys() | self.rented | self.returned
 
     def preconditions(self, names: list[str]) -> list[Precondition]:
-        """That the machines' own records, or the absence of them, are as they were read."""
+        """The preconditions that the machines' own records, or their absence, are unchanged."""
         return [Precondition(MACHINE + name, self._version_of(name)) for name in names]
 
     def _version_of(self, name: str) -> int:
-        """The version of a machine's own record; 0: it has none."""
+        """The version of a machine's own record; 0 if it has none."""
         row = self.machines.get(name)
         return row.version if row is not None else 0
 
 
 class ReclaimDuty(DutyHolder):
-    """Compares the cloud's list of rented machines with the records."""
+    """Reconciles the cloud's list of rented machines with the records."""
 
     duty = Duty.RECLAIM
 
@@ -88,10 +88,10 @@
         self.unknown_machines = UnknownMachines(compute_grace_period_us(list_lag_s))
         self.known: set[str] = set()  # machines in the records that were read last
         self.records_read_at = -RECORDS_VALID_US
-        self.sequence = 0  # of the returns that are recorded under this grant
+        self.sequence = 0  # of the scale-ins that are recorded under this grant
 
     async def run(self) -> None:
-        """Compare in regular passes until cancelled."""
+        """Reconcile periodically until cancelled."""
         while True:
             await asyncio.sleep(self.pause_s)
             if not self.holds_valid_lease:
@@ -109,8 +109,8 @@
         )
         if all_known and listed_at - self.records_read_at < RECORDS_VALID_US:
             return
-        # A request that could have brought a listed machine was recorded before the machine was
-        # listed. So the records are read after the list.
+        # A request is recorded before its machines are rented. So the records are read after the
+        # list, and contain every request that a listed machine may come from.
         records = await self._read_records()
         self.records_read_at = listed_at
         self.known = records.known
@@ -130,8 +130,8 @@
     async def _adopt(self, machine: RentedMachine) -> None:
         """Record the machine as if the first shard had requested it.
 
-        The preconditions decide who gets it: a shard that has heard from the machine meanwhile
-        has recorded it, and then this write fails.
+        The preconditions resolve the race with the machine's own shard: if that shard has received
+        a heartbeat and recorded the machine in the meantime, this write fails.
         """
         name = ADOPTED_PREFIX + machine.name
         rented_at = wall_us() - int(machine.age_s * US)
@@ -145,7 +145,7 @@
         )
 
     async def _return_failed(self, records: FleetRecords, rented: list[RentedMachine]) -> None:
-        """Record that the machines that have stopped by themselves are to be returned."""
+        """Record machines in the failed stage for return."""
         failed = [
             machine.name
             for machine in rented
@@ -157,8 +157,10 @@
             await self._record_return(batch, ReturnReason.FAILED, records.preconditions(batch))
 
     async def _return_ownerless(self, records: FleetRecords) -> None:
-        """Record that machines of shards that are not granted any more are to be returned: the
-        operators have set fewer shards than there were."""
+        """Record machines of shards that no longer exist for return.
+
+        Shards cease to exist when the operators lower their number.
+        """
         ownerless: dict[int, list[str]] = {}
         for name, row in records.machines.items():
             shard = msgspec.json.decode(row.value, type=StoredMachine).shard
@@ -170,7 +172,7 @@
             preconditions = [Precondition(key, held.version if held is not None else 0)]
             if held is not None and held.value.name:
                 if self.membership.cluster.holder(shard_key(shard)) is not None:
-                    continue  # its last shard leader may still act
+                    continue  # the last leader of the shard may still act
                 version = self.membership.cluster.member_version(held.value.name)
                 preconditions.append(Precondition(member_key(held.value.name), version))
             batch = names[: self.store.limits.preconditions // 2]
@@ -193,12 +195,14 @@
     async def _commit_if_unchanged(
         self, preconditions: list[Precondition], put: Put, event: Event
     ) -> None:
-        """Record one of several independent decisions. Should it fail, the others are recorded all
-        the same, and the next pass decides anew on what is true then."""
+        """Record one of several independent decisions.
+
+        A failure does not affect the others. The next pass decides again from the current state.
+        """
         try:
             await self.history.commit(preconditions, [put], event, low_priority=True)
         except PreconditionFailed as conflict:
-            log.debug("reclaiming machines: %s not recorded, changed: %s", put.key, conflict)
+            log.debug("reclaiming machines: %s not recorded, conflict: %s", put.key, conflict)
         except (RequestFailed, Unavailable) as fault:
             log.info("reclaiming machines: %s not recorded: %s", put.key, fault)
         else:
