--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -1,6 +1,7 @@
-"""The duty of clean-up: rows that nobody reads any more. Final states of jobs are kept for good.
+"""The clean-up duty: deletes rows that are no longer read. Final states of jobs are never deleted.
 
-All its writes wait until half of the burst of the store's write rate is left, behind all others.
+All its writes have low priority: they wait behind all others until half of the burst of the store's
+write rate is available.
 """
 
 import asyncio
@@ -21,21 +22,24 @@
 from basaltlead.wire.store import Drop, Precondition, Row
 
 PASS_INTERVAL_S = 30.0
-# The record of a request some of whose machines never had a record of their own is kept for so
-# long: some machines never come up.
+# Some machines never come up and get no record of their own. The records of their requests are
+# deleted after this time.
 RETENTION_US = 1800 * US
 
 
 def is_obsolete(scale_out: StoredScaleOut, recorded: set[str]) -> bool:
-    """Whether nobody reads a request's record any more: each machine that it brought has been
-    recorded by its shard, or the request is old."""
+    """Whether the record of a request is no longer read.
+
+    This is the case once the shard has recorded each of its machines, or `RETENTION_US` after the
+    request was recorded.
+    """
     if scale_out.names is None:
         return False
     return recorded.issuperset(scale_out.names) or age_us(scale_out.at) > RETENTION_US
 
 
 def orphaned_results(rows: Iterable[Row]) -> dict[str, list[str]]:
-    """Keys of results of jobs that are not open any more, by job."""
+    """Keys of results of jobs that are no longer open, by job."""
     open_jobs: set[str] = set()
     results: dict[str, list[str]] = {}
     for row in rows:
@@ -48,18 +52,18 @@
 
 
 class CleanUpDuty(DutyHolder):
-    """Drops rows that nobody reads any more, in regular passes outside quiet times."""
+    """Deletes rows that are no longer read, periodically outside quiet times."""
 
     duty = Duty.CLEAN_UP
 
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
         self.quiet_times = services.quiet_times
-        # Machines of the stored requests whose own records were seen in this or an earlier pass.
+        # Machines of the stored requests that had their own record in this or an earlier pass.
         self.recorded: set[str] = set()
 
     async def run(self) -> None:
-        """Clean up in regular passes until cancelled."""
+        """Clean up periodically until cancelled."""
         while True:
             await asyncio.sleep(PASS_INTERVAL_S)
             if self._is_quiet_time() or not self.holds_valid_lease:
@@ -93,12 +97,12 @@
     async def _drop_orphaned_results(self) -> None:
         rows, _ = await self.store.rows(OPEN)
         for ref, keys in orphaned_results(rows).items():
-            # The rows were listed page by page, so the job may be open all the same: it must have
-            # no row when its results are dropped.
+            # The rows were listed page by page, so the job may be open nevertheless. The
+            # precondition checks that it has no row when its results are deleted.
             await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
 
     async def _drop(self, what: str, keys: list[str], preconditions: list[Precondition]) -> None:
-        for batch in self.store.limits.drops(keys, extra_operations=1):  # the page of history
+        for batch in self.store.limits.drops(keys, extra_operations=1):  # 1 for the history page
             event = Event.of_rows(what, len(batch))
             await self.history.commit(
                 preconditions, list(map(Drop, batch)), event, low_priority=True
