--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -24,7 +24,7 @@
 MAX_REASON_CHARS = 200  # of the cloud's reason, which is recorded
 
 
-class OpenReturn(Struct):
+class OpenScaleIn(Struct):
     """A recorded scale-in, with those of its machines that are not deleted yet."""
 
     stored: StoredScaleIn
@@ -40,7 +40,7 @@
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
         self.machine_deletion = MachineDeletion(self.cloud, self)
-        self.returns: dict[str, OpenReturn] = {}  # by key
+        self.returns: dict[str, OpenScaleIn] = {}  # by key
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
@@ -54,7 +54,7 @@
             known.version = max(known.version, version)
             return
         stored = msgspec.json.decode(raw, type=StoredScaleIn)
-        self.returns[key] = OpenReturn(stored, version, list(stored.names))
+        self.returns[key] = OpenScaleIn(stored, version, list(stored.names))
         self.wake.set()
 
     def _drop(self, key: str) -> None:
