--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -74,7 +74,7 @@
                 continue
             backoff.reset()
             for key in [
-                key for key, open_return in self.returns.items() if not open_return.undeleted
+                key for key, open_scale_in in self.returns.items() if not open_scale_in.undeleted
             ]:
                 await self._record_outcome(key)
             await self._record_rejections()
@@ -83,7 +83,7 @@
         """Delete as many machines as one call allows, from all open returns."""
         now = now_us()
         undeleted = [
-            name for open_return in self.returns.values() for name in open_return.undeleted
+            name for open_scale_in in self.returns.values() for name in open_scale_in.undeleted
         ]
         batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[
             :MAX_DELETIONS_PER_CALL
@@ -91,8 +91,10 @@
         if not batch:
             return
         deleted = set(await self.machine_deletion.delete(batch, now))
-        for open_return in self.returns.values():
-            open_return.undeleted = [name for name in open_return.undeleted if name not in deleted]
+        for open_scale_in in self.returns.values():
+            open_scale_in.undeleted = [
+                name for name in open_scale_in.undeleted if name not in deleted
+            ]
         if len(undeleted) > len(batch):
             self.wake.set()
 
@@ -102,11 +104,11 @@
         If this is interrupted, the next holder finds the scale-in record. It deletes the machines
         again, which has no effect, and then the remaining records.
         """
-        open_return = self.returns.get(key)
-        if open_return is None:
+        open_scale_in = self.returns.get(key)
+        if open_scale_in is None:
             return
-        unchanged = Precondition(key, open_return.version)
-        stored = open_return.stored
+        unchanged = Precondition(key, open_scale_in.version)
+        stored = open_scale_in.stored
         records = [MACHINE + name for name in stored.names]
         # The last batch shares its transaction with the scale-in record and the history page,
         # which are two more operations.
@@ -131,26 +133,28 @@
     async def _record_rejections(self) -> None:
         """Record for operators why the cloud has rejected deletions of a return."""
         rejected = self.machine_deletion.rejected
-        for key, open_return in list(self.returns.items()):
-            reasons = [rejected[name].reason for name in open_return.undeleted if name in rejected]
-            if not reasons or open_return.stored.refused:
+        for key, open_scale_in in list(self.returns.items()):
+            reasons = [
+                rejected[name].reason for name in open_scale_in.undeleted if name in rejected
+            ]
+            if not reasons or open_scale_in.stored.refused:
                 continue
             changed = msgspec.structs.replace(
-                open_return.stored, refused=reasons[0][:MAX_REASON_CHARS]
+                open_scale_in.stored, refused=reasons[0][:MAX_REASON_CHARS]
             )
             try:
                 await self.history.commit(
-                    [Precondition(key, open_return.version)],
+                    [Precondition(key, open_scale_in.version)],
                     [Put(key, changed)],
                     Event.of(
                         Action.REFUSED,
                         key[len(SCALE_IN) :],
-                        open_return.stored.at,
-                        open_return.undeleted,
+                        open_scale_in.stored.at,
+                        open_scale_in.undeleted,
                     ),
                     low_priority=True,
                 )
             except ServiceError as fault:
                 log.info("scale-in record %s: rejection not recorded: %s", key, fault)
                 continue
-            open_return.stored = changed
+            open_scale_in.stored = changed
