--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -40,7 +40,7 @@
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
         self.machine_deletion = MachineDeletion(self.cloud, self)
-        self.returns: dict[str, OpenScaleIn] = {}  # by key
+        self.open_scale_ins: dict[str, OpenScaleIn] = {}  # by key
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
@@ -49,16 +49,16 @@
         await follow_rows(self.store, SCALE_IN, self.membership.watch_ms, self._put, self._drop)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
-        known = self.returns.get(key)
+        known = self.open_scale_ins.get(key)
         if known is not None:
             known.version = max(known.version, version)
             return
         stored = msgspec.json.decode(raw, type=StoredScaleIn)
-        self.returns[key] = OpenScaleIn(stored, version, list(stored.names))
+        self.open_scale_ins[key] = OpenScaleIn(stored, version, list(stored.names))
         self.wake.set()
 
     def _drop(self, key: str) -> None:
-        self.returns.pop(key, None)
+        self.open_scale_ins.pop(key, None)
 
     async def _carry_out(self) -> None:
         backoff = Backoff(500_000, 4_000_000, self.membership.chance)
@@ -74,7 +74,9 @@
                 continue
             backoff.reset()
             for key in [
-                key for key, open_scale_in in self.returns.items() if not open_scale_in.undeleted
+                key
+                for key, open_scale_in in self.open_scale_ins.items()
+                if not open_scale_in.undeleted
             ]:
                 await self._record_outcome(key)
             await self._record_rejections()
@@ -83,7 +85,9 @@
         """Delete as many machines as one call allows, from all open returns."""
         now = now_us()
         undeleted = [
-            name for open_scale_in in self.returns.values() for name in open_scale_in.undeleted
+            name
+            for open_scale_in in self.open_scale_ins.values()
+            for name in open_scale_in.undeleted
         ]
         batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[
             :MAX_DELETIONS_PER_CALL
@@ -91,7 +95,7 @@
         if not batch:
             return
         deleted = set(await self.machine_deletion.delete(batch, now))
-        for open_scale_in in self.returns.values():
+        for open_scale_in in self.open_scale_ins.values():
             open_scale_in.undeleted = [
                 name for name in open_scale_in.undeleted if name not in deleted
             ]
@@ -104,7 +108,7 @@
         If this is interrupted, the next holder finds the scale-in record. It deletes the machines
         again, which has no effect, and then the remaining records.
         """
-        open_scale_in = self.returns.get(key)
+        open_scale_in = self.open_scale_ins.get(key)
         if open_scale_in is None:
             return
         unchanged = Precondition(key, open_scale_in.version)
@@ -128,12 +132,12 @@
             log.info("scale-in record %s: outcome not recorded, will be retried: %s", key, fault)
             await asyncio.sleep(RETRY_PAUSE_S)
             return
-        self.returns.pop(key, None)
+        self.open_scale_ins.pop(key, None)
 
     async def _record_rejections(self) -> None:
         """Record for operators why the cloud has rejected deletions of a return."""
         rejected = self.machine_deletion.rejected
-        for key, open_scale_in in list(self.returns.items()):
+        for key, open_scale_in in list(self.open_scale_ins.items()):
             reasons = [
                 rejected[name].reason for name in open_scale_in.undeleted if name in rejected
             ]
