--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -154,7 +154,7 @@
         batch_size = min(MAX_DELETIONS_PER_CALL, self.store.limits.preconditions // 2)
         for start in range(0, len(failed), batch_size):
             batch = failed[start : start + batch_size]
-            await self._record_return(batch, ReturnReason.FAILED, records.preconditions(batch))
+            await self._record_scale_in(batch, ReturnReason.FAILED, records.preconditions(batch))
 
     async def _return_ownerless(self, records: FleetRecords) -> None:
         """Record machines of shards that no longer exist for return.
@@ -177,9 +177,9 @@
                 preconditions.append(Precondition(member_key(held.value.name), version))
             batch = names[: self.store.limits.preconditions // 2]
             preconditions += records.preconditions(batch)
-            await self._record_return(batch, ReturnReason.NO_OWNER, preconditions)
+            await self._record_scale_in(batch, ReturnReason.NO_OWNER, preconditions)
 
-    async def _record_return(
+    async def _record_scale_in(
         self, names: list[str], reason: ReturnReason, preconditions: list[Precondition]
     ) -> None:
         self.sequence += 1
