--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -74,9 +74,7 @@
                 continue
             backoff.reset()
             for key in [
-                key
-                for key, open_scale_in in self.open_scale_ins.items()
-                if not open_scale_in.undeleted
+                key for key, scale_in in self.open_scale_ins.items() if not scale_in.undeleted
             ]:
                 await self._record_outcome(key)
             await self._record_rejections()
@@ -85,9 +83,7 @@
         """Delete as many machines as one call allows, from all open returns."""
         now = now_us()
         undeleted = [
-            name
-            for open_scale_in in self.open_scale_ins.values()
-            for name in open_scale_in.undeleted
+            name for scale_in in self.open_scale_ins.values() for name in scale_in.undeleted
         ]
         batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[
             :MAX_DELETIONS_PER_CALL
@@ -95,10 +91,8 @@
         if not batch:
             return
         deleted = set(await self.machine_deletion.delete(batch, now))
-        for open_scale_in in self.open_scale_ins.values():
-            open_scale_in.undeleted = [
-                name for name in open_scale_in.undeleted if name not in deleted
-            ]
+        for scale_in in self.open_scale_ins.values():
+            scale_in.undeleted = [name for name in scale_in.undeleted if name not in deleted]
         if len(undeleted) > len(batch):
             self.wake.set()
 
@@ -108,11 +102,11 @@
         If this is interrupted, the next holder finds the scale-in record. It deletes the machines
         again, which has no effect, and then the remaining records.
         """
-        open_scale_in = self.open_scale_ins.get(key)
-        if open_scale_in is None:
+        scale_in = self.open_scale_ins.get(key)
+        if scale_in is None:
             return
-        unchanged = Precondition(key, open_scale_in.version)
-        stored = open_scale_in.stored
+        unchanged = Precondition(key, scale_in.version)
+        stored = scale_in.stored
         records = [MACHINE + name for name in stored.names]
         # The last batch shares its transaction with the scale-in record and the history page,
         # which are two more operations.
@@ -137,28 +131,26 @@
     async def _record_rejections(self) -> None:
         """Record for operators why the cloud has rejected deletions of a return."""
         rejected = self.machine_deletion.rejected
-        for key, open_scale_in in list(self.open_scale_ins.items()):
-            reasons = [
-                rejected[name].reason for name in open_scale_in.undeleted if name in rejected
-            ]
-            if not reasons or open_scale_in.stored.refused:
+        for key, scale_in in list(self.open_scale_ins.items()):
+            reasons = [rejected[name].reason for name in scale_in.undeleted if name in rejected]
+            if not reasons or scale_in.stored.refused:
                 continue
             changed = msgspec.structs.replace(
-                open_scale_in.stored, refused=reasons[0][:MAX_REASON_CHARS]
+                scale_in.stored, refused=reasons[0][:MAX_REASON_CHARS]
             )
             try:
                 await self.history.commit(
-                    [Precondition(key, open_scale_in.version)],
+                    [Precondition(key, scale_in.version)],
                     [Put(key, changed)],
                     Event.of(
                         Action.REFUSED,
                         key[len(SCALE_IN) :],
-                        open_scale_in.stored.at,
-                        open_scale_in.undeleted,
+                        scale_in.stored.at,
+                        scale_in.undeleted,
                     ),
                     low_priority=True,
                 )
             except ServiceError as fault:
                 log.info("scale-in record %s: rejection not recorded: %s", key, fault)
                 continue
-            open_scale_in.stored = changed
+            scale_in.stored = changed
