--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -34,10 +34,10 @@
     def start(self, name: str, stored: StoredScaleOut) -> None:
         """Start a task that executes a recorded request."""
         self.running[name] = self.context.spawn(
-            self.carry_out(name, stored), f"scale-out request {name}"
+            self.execute(name, stored), f"scale-out request {name}"
         )
 
-    async def carry_out(self, name: str, stored: StoredScaleOut) -> None:
+    async def execute(self, name: str, stored: StoredScaleOut) -> None:
         """Send a request until the cloud answers, and record the outcome."""
         if name not in self.requests.pending:
             self.requests.add_pending(name, stored)
--- a/tests/test_duty_checker.py
+++ b/tests/test_duty_checker.py
@@ -42,7 +42,7 @@
 
 async def _send_at_once(requests: ScaleOut, name: str, stored: StoredScaleOut) -> None:
     requests.context.intents.scale_outs[name] = stored
-    await requests.executor.carry_out(name, stored)
+    await requests.executor.execute(name, stored)
 
 
 @pytest.mark.parametrize(
