--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -74,7 +74,7 @@
         self._close(key[len(SCALE_OUT) :])
 
     def _start_request(self, name: str, stored: StoredScaleOut) -> None:
-        coroutine = self._carry_out(name, stored)
+        coroutine = self._execute(name, stored)
         self.requests[name] = self.background.spawn(coroutine, f"scale-out request {name}")
 
     def _close(self, name: str) -> None:
@@ -84,7 +84,7 @@
         if task is not None and name not in self.recording:
             task.cancel()
 
-    async def _carry_out(self, name: str, stored: StoredScaleOut) -> None:
+    async def _execute(self, name: str, stored: StoredScaleOut) -> None:
         async with RequestSlot(self.slots) as slot:
             on_rejected = partial(self._on_rejected, slot, name, stored)
             try:
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -45,7 +45,7 @@
 
     async def run(self) -> None:
         """Watch the scale-in records and execute them until cancelled."""
-        self.background.spawn(self._carry_out(), "loop return machines")
+        self.background.spawn(self._execute(), "loop return machines")
         await follow_rows(self.store, SCALE_IN, self.membership.watch_ms, self._put, self._drop)
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
@@ -60,7 +60,7 @@
     def _drop(self, key: str) -> None:
         self.open_scale_ins.pop(key, None)
 
-    async def _carry_out(self) -> None:
+    async def _execute(self) -> None:
         backoff = Backoff(500_000, 4_000_000, self.membership.chance)
         while True:
             await wait_for_event(self.wake, PASS_INTERVAL_S)
