--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -19,8 +19,8 @@
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Drop, Precondition, Put
 
-PASS_INTERVAL_S = 0.5  # between two passes over the open returns, if none is added
-RETRY_PAUSE_S = 0.2  # after the outcome of a return could not be recorded
+PASS_INTERVAL_S = 0.5  # between two passes over the open scale-ins, if none is added
+RETRY_PAUSE_S = 0.2  # after the outcome of a scale-in could not be recorded
 MAX_REASON_CHARS = 200  # of the cloud's reason, which is recorded
 
 
@@ -69,7 +69,7 @@
             try:
                 await self._delete_batch()
             except ServiceError as fault:
-                log.info("deleting machines: no result, will be retried: %s", fault)
+                log.info("machine deletion failed, will be retried: %s", fault)
                 await backoff.wait()
                 continue
             backoff.reset()
@@ -80,7 +80,7 @@
             await self._record_rejections()
 
     async def _delete_batch(self) -> None:
-        """Delete as many machines as one call allows, from all open returns."""
+        """Delete as many machines as one call allows, from all open scale-ins."""
         now = now_us()
         undeleted = [
             name for scale_in in self.open_scale_ins.values() for name in scale_in.undeleted
@@ -129,7 +129,7 @@
         self.open_scale_ins.pop(key, None)
 
     async def _record_rejections(self) -> None:
-        """Record for operators why the cloud has rejected deletions of a return."""
+        """Record for operators why the cloud has rejected deletions of a scale-in."""
         rejected = self.machine_deletion.rejected
         for key, scale_in in list(self.open_scale_ins.items()):
             reasons = [rejected[name].reason for name in scale_in.undeleted if name in rejected]
