--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -72,7 +72,7 @@
                 await self._drop_spent_requests()
                 await self._drop_orphaned_results()
             except ServiceError as fault:
-                log.info("clean-up: no result, will be retried: %s", fault)
+                log.info("clean-up pass failed, will be retried: %s", fault)
 
     def _is_quiet_time(self) -> bool:
         return self.quiet_times is not None and self.quiet_times.current() is not None
