--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -99,7 +99,7 @@
             try:
                 await self._reconcile()
             except ServiceError as fault:
-                log.info("reclaiming machines: no result, will be retried: %s", fault)
+                log.info("reclaim pass failed, will be retried: %s", fault)
 
     async def _reconcile(self) -> None:
         listed_at = now_us()
@@ -202,8 +202,8 @@
         try:
             await self.history.commit(preconditions, [put], event, low_priority=True)
         except PreconditionFailed as conflict:
-            log.debug("reclaiming machines: %s not recorded, conflict: %s", put.key, conflict)
+            log.debug("reclaim: %s not recorded, conflict: %s", put.key, conflict)
         except (RequestFailed, Unavailable) as fault:
-            log.info("reclaiming machines: %s not recorded: %s", put.key, fault)
+            log.info("reclaim: %s not recorded: %s", put.key, fault)
         else:
             log.info("%s %s: %s", event.action, put.key, ", ".join(event.names))
