--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -1,8 +1,8 @@
 """The audit history of a duty: a ring buffer of size-limited pages in the key-value store.
 
 An event is written in the same transaction as the change that it describes, so the history matches
-the changes exactly. The newest page overwrites the oldest. The page numbers and event counts of the
-remaining pages show how many events were overwritten.
+the changes exactly. The newest page overwrites the oldest. Each page has its number and the number
+of events before it, so the remaining pages show how many events were overwritten.
 """
 
 import asyncio
