--- a/basaltlead/duties/model.py
+++ b/basaltlead/duties/model.py
@@ -38,7 +38,7 @@
 
 
 class GrantHolder(Protocol):
-    """The holder of a grant: of a duty, or of a shard, whose holder is its leader."""
+    """The holder of a duty, or the leader of a shard, which acts under a grant."""
 
     @property
     def holds_valid_lease(self) -> bool:
