--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -52,7 +52,7 @@
         self._update_cloud_rate()
 
     def _update_cloud_rate(self) -> None:
-        """Set this controller's share of the cloud's rate limit, which all controllers share."""
+        """Limit the calls to the cloud to this controller's share of the common rate limit."""
         share = 1 / self.controller_count
         if self.membership.duties_granted:
             duty_shares = (CLOUD_RATE_SHARES.get(duty, 0.0) for duty in self.holders)
@@ -63,8 +63,7 @@
             self.cloud.use_rate(rate)
 
     async def release_stepped_down(self) -> None:
-        """Release the duties whose holders have stepped down, so that other controllers can
-        acquire them."""
+        """Release the duties whose holders have stepped down, so that others can acquire them."""
         self._step_down_without_cloud()
         for duty, holder in list(self.holders.items()):
             if holder.stepped_down and await self.membership.release(duty.key, leader_too=False):
