--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -33,7 +33,7 @@
 
 MIN_PAUSE_S = 4.0  # between two reads of the cloud's list
 ADOPTED_PREFIX = "a-"  # of the names of scale-out records for adopted machines
-RECORDS_VALID_US = 60 * US  # the records are read again after this time
+RECORDS_VALID_US = 60 * US  # for how long names from the last read of the records count as known
 MAX_ADOPTIONS_PER_PASS = 20
 FIRST_SHARD = 0  # the shard that adopted machines are assigned to
 
