--- a/basaltlead/scaling/quiet_budget.py
+++ b/basaltlead/scaling/quiet_budget.py
@@ -61,7 +61,7 @@
         return self.reserved < self.limit and self.spent > self.reserved - chunk / 2
 
     async def reserve_more(self) -> None:
-        """Reserve another chunk. The reserved amount stays as it is if that is not recorded."""
+        """Reserve another chunk. Until it is recorded, only the earlier ones can be spent."""
         start = self.start
         wanted = min(self.limit, self.reserved + self.limit / RESERVATION_CHUNKS)
         if await self.reserve(StoredQuietReservation(start, wanted)) and self.start == start:
