--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -65,7 +65,7 @@
 
     `event` is the index of the event in the calendar.
     """
-    begins = [place for place, line in enumerate(lines) if line.text.upper() == EVENT_BEGINS]
+    begins = [index for index, line in enumerate(lines) if line.text.upper() == EVENT_BEGINS]
     start = begins[event]
     end = begins[event + 1] if event + 1 < len(begins) else len(lines)
     for line in lines[start:end]:
@@ -94,9 +94,9 @@
     events = calendar.walk(EVENT)
     if not events:
         raise _error(path, 1, EventProblem(EVENT, "no quiet time"))
-    for place, event in enumerate(events):
+    for index, event in enumerate(events):
         for problem in _event_problems(event):
-            raise _error(path, _line_number(lines, place, problem.field), problem)
+            raise _error(path, _line_number(lines, index, problem.field), problem)
     return calendar
 
 
