--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -194,11 +194,11 @@
 
     def _compute_occurrences(self, now: int) -> None:
         at = datetime.fromtimestamp(now / US, UTC)
-        found = recurring_ical_events.of(self.calendar).between(
+        events = recurring_ical_events.of(self.calendar).between(
             at - MAX_EVENT_DURATION, at + HORIZON
         )
         self.occurrences = sorted(
-            QuietTime(_to_us(event[START].dt), _to_us(event[END].dt)) for event in found
+            QuietTime(_to_us(event[START].dt), _to_us(event[END].dt)) for event in events
         )
         self.known_until = now + HORIZON_US
 
