--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -101,9 +101,9 @@
             # precondition checks that it has no row when its results are deleted.
             await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
 
-    async def _drop(self, what: str, keys: list[str], preconditions: list[Precondition]) -> None:
+    async def _drop(self, action: str, keys: list[str], preconditions: list[Precondition]) -> None:
         for batch in self.store.limits.drops(keys, extra_operations=1):  # 1 for the history page
-            event = Event.of_rows(what, len(batch))
+            event = Event.of_rows(action, len(batch))
             await self.history.commit(
                 preconditions, list(map(Drop, batch)), event, low_priority=True
             )
