--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -58,7 +58,7 @@
         ]
 
     def remove_pending(self, name: str) -> None:
-        """Remove the placeholders of a request that has an outcome or was not recorded."""
+        """Remove the placeholders of a request that has an outcome, is rejected or unrecorded."""
         self.pending.pop(name, None)
 
     def on_rented(self, name: str, stored: StoredScaleOut) -> None:
