--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -18,8 +18,8 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 MAX_MACHINES_PER_REQUEST = 50  # the cloud's limit for one call
-RECORD_BYTES = 256  # size of a request's record without the names of its machines
-NAME_BYTES = 32  # size of each machine name in the record
+RECORD_BYTES = 256  # reserved in a request's record in addition to the names of its machines
+NAME_BYTES = 32  # reserved in the record for each machine name
 
 
 class ScaleOut:
