--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -29,8 +29,8 @@
 MIN_RETRY_DELAY_US = 500_000
 MAX_RETRY_DELAY_US = 4_000_000
 OTHER_PRECONDITIONS = 4  # of a scale-in record's transaction, in addition to one for each machine
-RECORD_BYTES = 512  # size of a scale-in record without the names of its machines
-NAME_BYTES = 32  # size of each machine name in the record
+RECORD_BYTES = 512  # reserved in a scale-in record in addition to the names of its machines
+NAME_BYTES = 32  # reserved in the record for each machine name
 DROP_ATTEMPTS = 5  # to delete the records of deleted machines
 DROP_RETRY_S = 0.5
 
