--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -25,7 +25,7 @@
 MIN_RETRY_DELAY_US = 200_000
 MAX_RETRY_DELAY_US = 2_000_000
 PAGE_PREFIX = TYPES + "/"
-PAGE_ENVELOPE_BYTES = 64  # size of a page without its types
+PAGE_ENVELOPE_BYTES = 64  # reserved in a page in addition to its types
 
 
 class MachineTypePage(msgspec.Struct, rename={"types": "Grades"}):
