--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -1,4 +1,4 @@
-"""Tells failed machines from a failure of this controller's own network, using heartbeats."""
+"""Distinguishes failed machines from a failure of this controller's own network by heartbeats."""
 
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
@@ -9,7 +9,7 @@
 LOST_AFTER_LEASES = 4  # lease durations of silence after which a machine counts as lost regardless
 WORKER_REQUEST_TIMEOUT_US = 4 * US  # how long a worker waits for a controller's response
 CONTROLLER_RETRY_INTERVAL_US = US  # between a worker's attempts to reach the next controller
-UNREACHABLE_US = 4 * US  # a machine that commands don't reach for this long is not counted
+UNREACHABLE_US = 4 * US  # a machine that commands don't reach for this long is not capacity
 # A heartbeat is recent for this many heartbeat intervals, and for at least the time below.
 RECENT_HEARTBEATS = 3
 MIN_RECENT_US = 4 * US
@@ -28,7 +28,7 @@
         return bool(machine.unreachable_since) and now - machine.unreachable_since > UNREACHABLE_US
 
     def all_silent(self, now: int) -> bool:
-        """Whether all machines, of which there are several, have stopped sending heartbeats.
+        """Whether several machines have sent heartbeats before and no machine does now.
 
         The likely cause is this controller's own network, in which case heartbeats of new machines
         would not arrive either. False once the silence has lasted for `LOST_AFTER_LEASES`.
