--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -50,7 +50,7 @@
 
     def __init__(self, machines: list[Row], scale_outs: list[Row], scale_ins: list[Row]) -> None:
         self.machines = {row.key[len(MACHINE) :]: row for row in machines}
-        self.pending_offers: set[Offer] = set()  # offers of requests without an outcome
+        self.pending_offers: set[Offer] = set()  # of open requests that are not rejected
         self.rented: set[str] = set()
         self.returned: set[str] = set()
         for row in scale_outs:
