--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -1,4 +1,4 @@
-"""The duty of reclaiming: machines that are rented and stand in no record, or are of no use."""
+"""The reclaim duty: adopts rented machines without a record, and returns those without a use."""
 
 import asyncio
 from enum import StrEnum
@@ -10,9 +10,13 @@
 from basaltlead.core.offers import Offer
 from basaltlead.duties.history import Action, Event
 from basaltlead.duties.holder import DutyHolder, DutyServices
-from basaltlead.duties.machine_deletion import MOST_NAMES
+from basaltlead.duties.machine_deletion import MAX_DELETIONS_PER_CALL
 from basaltlead.duties.model import Duty
-from basaltlead.duties.unknown_machines import FAILED, UnknownMachines, patience_us
+from basaltlead.duties.unknown_machines import (
+    FAILED_STAGE,
+    UnknownMachines,
+    compute_grace_period_us,
+)
 from basaltlead.errors import PreconditionFailed, RequestFailed, ServiceError, Unavailable
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import log
@@ -27,92 +31,92 @@
 from basaltlead.wire.cloud import RentedMachine
 from basaltlead.wire.store import Precondition, Put, Row
 
-LEAST_PAUSE_S = 4.0  # between two lists
-ADOPTED_PREFIX = "a-"  # of the names of records under which machines are adopted
-RECORDS_VALID_US = 60 * US  # for how long a machine in the records that were read counts as known
-MOST_ADOPTED = 20  # in one pass
-FIRST_SHARD = 0  # adopted machines become its machines
+MIN_PAUSE_S = 4.0  # between two reads of the cloud's list
+ADOPTED_PREFIX = "a-"  # of the names of scale-out records for adopted machines
+RECORDS_VALID_US = 60 * US  # for how long names from the last read of the records count as known
+MAX_ADOPTIONS_PER_PASS = 20
+FIRST_SHARD = 0  # the shard that adopted machines are assigned to
 
 
 class ReturnReason(StrEnum):
-    """Why a machine is returned, as it is stored."""
+    """Why a machine is returned. The values are stored."""
 
     FAILED = "failed"
     NO_OWNER = "no owner"
 
 
 class FleetRecords:
-    """What is recorded of machines, read after the cloud's list that it is compared with."""
+    """The records of machines, read after the cloud's list that they are compared with."""
 
     def __init__(self, machines: list[Row], scale_outs: list[Row], scale_ins: list[Row]) -> None:
         self.machines = {row.key[len(MACHINE) :]: row for row in machines}
-        self.in_progress: set[Offer] = set()  # offers of requests without an outcome
+        self.pending_offers: set[Offer] = set()  # of open requests that are not rejected
         self.rented: set[str] = set()
         self.returned: set[str] = set()
         for row in scale_outs:
             scale_out = msgspec.json.decode(row.value, type=StoredScaleOut)
             if scale_out.names is None and scale_out.refused is msgspec.UNSET:
-                self.in_progress.add(Offer(scale_out.type_name, scale_out.zone, scale_out.spot))
+                self.pending_offers.add(Offer(scale_out.type_name, scale_out.zone, scale_out.spot))
             self.rented.update(scale_out.names or ())
         for row in scale_ins:
             self.returned.update(msgspec.json.decode(row.value, type=StoredScaleIn).names)
 
     @property
     def known(self) -> set[str]:
-        """Names of all machines that stand in any record."""
+        """Names of all machines in any record."""
         return self.machines.keys() | self.rented | self.returned
 
     def preconditions(self, names: list[str]) -> list[Precondition]:
-        """That the machines' own records, or the absence of them, are as they were read."""
+        """The preconditions that the machines' own records, or their absence, are unchanged."""
         return [Precondition(MACHINE + name, self._version_of(name)) for name in names]
 
     def _version_of(self, name: str) -> int:
-        """The version of a machine's own record; 0: it has none."""
+        """The version of a machine's own record; 0 if it has none."""
         row = self.machines.get(name)
         return row.version if row is not None else 0
 
 
 class ReclaimDuty(DutyHolder):
-    """Compares the cloud's list of rented machines with the records."""
+    """Reconciles the cloud's list of rented machines with the records."""
 
     duty = Duty.RECLAIM
 
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
         list_lag_s = self.settings.facts.cloud.list_lag_s
-        self.pause_s = max(LEAST_PAUSE_S, list_lag_s)
-        self.unknown_machines = UnknownMachines(patience_us(list_lag_s))
+        self.pause_s = max(MIN_PAUSE_S, list_lag_s)
+        self.unknown_machines = UnknownMachines(compute_grace_period_us(list_lag_s))
         self.known: set[str] = set()  # machines in the records that were read last
         self.records_read_at = -RECORDS_VALID_US
-        self.sequence = 0  # of the returns that are recorded under this grant
+        self.sequence = 0  # of the scale-ins that are recorded under this grant
 
     async def run(self) -> None:
-        """Compare in regular passes until cancelled."""
+        """Reconcile periodically until cancelled."""
         while True:
             await asyncio.sleep(self.pause_s)
             if not self.holds_valid_lease:
                 continue
             try:
-                await self._compare()
+                await self._reconcile()
             except ServiceError as fault:
-                log.info("reclaiming machines: no result, will be retried: %s", fault)
+                log.info("reclaim pass failed, will be retried: %s", fault)
 
-    async def _compare(self) -> None:
+    async def _reconcile(self) -> None:
         listed_at = now_us()
         rented = await self.cloud.machines()
         all_known = all(
-            machine.name in self.known and machine.stage != FAILED for machine in rented
+            machine.name in self.known and machine.stage != FAILED_STAGE for machine in rented
         )
         if all_known and listed_at - self.records_read_at < RECORDS_VALID_US:
             return
-        # A request that could have brought a listed machine was recorded before the machine was
-        # listed. So the records are read after the list.
+        # A request is recorded before its machines are rented. So the records are read after the
+        # list, and contain every request that a listed machine may come from.
         records = await self._read_records()
         self.records_read_at = listed_at
         self.known = records.known
         self.unknown_machines.update(rented, self.known, listed_at)
-        abandoned = self.unknown_machines.abandoned(rented, records.in_progress, listed_at)
-        for machine in abandoned[:MOST_ADOPTED]:
+        abandoned = self.unknown_machines.abandoned(rented, records.pending_offers, listed_at)
+        for machine in abandoned[:MAX_ADOPTIONS_PER_PASS]:
             await self._adopt(machine)
         await self._return_failed(records, rented)
         await self._return_ownerless(records)
@@ -126,8 +130,8 @@
     async def _adopt(self, machine: RentedMachine) -> None:
         """Record the machine as if the first shard had requested it.
 
-        The preconditions decide who gets it: a shard that has heard from the machine meanwhile
-        has recorded it, and then this write fails.
+        The preconditions resolve the race with the machine's own shard: if that shard has received
+        a heartbeat and recorded the machine in the meantime, this write fails.
         """
         name = ADOPTED_PREFIX + machine.name
         rented_at = wall_us() - int(machine.age_s * US)
@@ -141,20 +145,22 @@
         )
 
     async def _return_failed(self, records: FleetRecords, rented: list[RentedMachine]) -> None:
-        """Record that the machines that have stopped by themselves are to be returned."""
+        """Record machines in the failed stage for return."""
         failed = [
             machine.name
             for machine in rented
-            if machine.stage == FAILED and machine.name not in records.returned
+            if machine.stage == FAILED_STAGE and machine.name not in records.returned
         ]
-        most = min(MOST_NAMES, self.store.limits.preconditions // 2)
-        for low in range(0, len(failed), most):
-            batch = failed[low : low + most]
-            await self._record_return(batch, ReturnReason.FAILED, records.preconditions(batch))
+        batch_size = min(MAX_DELETIONS_PER_CALL, self.store.limits.preconditions // 2)
+        for start in range(0, len(failed), batch_size):
+            batch = failed[start : start + batch_size]
+            await self._record_scale_in(batch, ReturnReason.FAILED, records.preconditions(batch))
 
     async def _return_ownerless(self, records: FleetRecords) -> None:
-        """Record that machines of shards that are not granted any more are to be returned: the
-        operators have set fewer shards than there were."""
+        """Record machines of shards that no longer exist for return.
+
+        Shards cease to exist when the operators lower their number.
+        """
         ownerless: dict[int, list[str]] = {}
         for name, row in records.machines.items():
             shard = msgspec.json.decode(row.value, type=StoredMachine).shard
@@ -166,20 +172,20 @@
             preconditions = [Precondition(key, held.version if held is not None else 0)]
             if held is not None and held.value.name:
                 if self.membership.cluster.holder(shard_key(shard)) is not None:
-                    continue  # its last shard leader may still act
+                    continue  # the last leader of the shard may still act
                 version = self.membership.cluster.member_version(held.value.name)
                 preconditions.append(Precondition(member_key(held.value.name), version))
             batch = names[: self.store.limits.preconditions // 2]
             preconditions += records.preconditions(batch)
-            await self._record_return(batch, ReturnReason.NO_OWNER, preconditions)
+            await self._record_scale_in(batch, ReturnReason.NO_OWNER, preconditions)
 
-    async def _record_return(
-        self, names: list[str], why: ReturnReason, preconditions: list[Precondition]
+    async def _record_scale_in(
+        self, names: list[str], reason: ReturnReason, preconditions: list[Precondition]
     ) -> None:
         self.sequence += 1
         token = self.grant.fencing_token
         name = f"{token}-{self.sequence}"
-        stored = StoredScaleIn(names, token, wall_us(), why)
+        stored = StoredScaleIn(names, token, wall_us(), reason)
         await self._commit_if_unchanged(
             [*preconditions, Precondition(SCALE_IN + name, 0)],
             Put(SCALE_IN + name, stored),
@@ -189,13 +195,15 @@
     async def _commit_if_unchanged(
         self, preconditions: list[Precondition], put: Put, event: Event
     ) -> None:
-        """Record one of several independent decisions. Should it fail, the others are recorded all
-        the same, and the next pass decides anew on what is true then."""
+        """Record one of several independent decisions.
+
+        A failure does not affect the others. The next pass decides again from the current state.
+        """
         try:
             await self.history.commit(preconditions, [put], event, low_priority=True)
         except PreconditionFailed as conflict:
-            log.debug("reclaiming machines: %s not recorded, changed: %s", put.key, conflict)
+            log.debug("reclaim: %s not recorded, conflict: %s", put.key, conflict)
         except (RequestFailed, Unavailable) as fault:
-            log.info("reclaiming machines: %s not recorded: %s", put.key, fault)
+            log.info("reclaim: %s not recorded: %s", put.key, fault)
         else:
             log.info("%s %s: %s", event.action, put.key, ", ".join(event.names))
--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -1,4 +1,4 @@
-"""The duties that this controller holds at the moment."""
+"""The duties that this controller currently holds."""
 
 from basaltlead.duties.clean_up_duty import CleanUpDuty
 from basaltlead.duties.holder import DutyHolder, DutyServices
@@ -14,44 +14,46 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 
-HOLDERS: dict[Duty, type[DutyHolder]] = {
+HOLDER_TYPES: dict[Duty, type[DutyHolder]] = {
     holder.duty: holder for holder in (RentDuty, ReturnDuty, ReclaimDuty, CleanUpDuty)
 }
 
 
 class HeldDuties:
-    """Keeps one holder for each duty that is granted to this incarnation of the controller."""
+    """Keeps a `DutyHolder` for each duty that is granted to this incarnation of the controller."""
 
-    def __init__(self, services: DutyServices, callers: int) -> None:
-        """Without granted duties, `callers` controllers share the cloud's rate of calls."""
+    def __init__(self, services: DutyServices, controller_count: int) -> None:
+        """`controller_count` controllers share the cloud's rate limit while no duty is granted."""
         self.services = services
         self.membership = services.membership
         self.cloud = services.cloud
-        self.callers = callers
-        self.cloud_rate = 0.0  # calls a second that are ours at the moment
+        self.controller_count = controller_count
+        self.cloud_rate = 0.0  # this controller's current share, in calls per second
         self.holders: dict[Duty, DutyHolder] = {}
 
     def changed(self) -> None:
-        """Stop and create holders by the grants that stand; called when the cluster changes."""
+        """Stop and create holders to match the current grants; called when the cluster changes."""
         if not self.membership.duty_keys:
             return
         for duty in Duty:
             held = self.membership.held_grant(duty.key) if self.membership.version else None
             holder = self.holders.get(duty)
             if holder is not None and (held is None or held.version != holder.version):
-                log.info("duty %s: the grant is lost or was renewed, stopping its holder", duty)
+                log.info("duty %s: grant lost or replaced, stopping its holder", duty)
                 self.holders.pop(duty).stop()
                 holder = None
             if holder is None and held is not None:
-                holder = self.holders[duty] = HOLDERS[duty](self.services, held.value, held.version)
-                # The new holder gets the whole limit to reach the cloud.
+                holder = self.holders[duty] = HOLDER_TYPES[duty](
+                    self.services, held.value, held.version
+                )
+                # The new holder gets the full CLOUD_SILENCE_LIMIT_US to reach the cloud.
                 self.cloud.reset_unanswered()
                 holder.start()
         self._update_cloud_rate()
 
     def _update_cloud_rate(self) -> None:
-        """Take our share of the cloud's rate: it counts the calls of all controllers together."""
-        share = 1 / self.callers
+        """Limit the calls to the cloud to this controller's share of the common rate limit."""
+        share = 1 / self.controller_count
         if self.membership.duties_granted:
             duty_shares = (CLOUD_RATE_SHARES.get(duty, 0.0) for duty in self.holders)
             share = BASE_CLOUD_RATE_SHARE + sum(duty_shares)
@@ -61,21 +63,23 @@
             self.cloud.use_rate(rate)
 
     async def release_stepped_down(self) -> None:
-        """Release the duties whose holders have stepped down, for other controllers to acquire."""
+        """Release the duties whose holders have stepped down, so that others can acquire them."""
         self._step_down_without_cloud()
         for duty, holder in list(self.holders.items()):
             if holder.stepped_down and await self.membership.release(
                 duty.key, release_leadership=False
             ):
                 holder.stop()
-                if self.holders.get(duty) is holder:  # else it was granted to us anew meanwhile
+                if self.holders.get(duty) is holder:  # else it was granted here again meanwhile
                     del self.holders[duty]
                 self._update_cloud_rate()
 
     def _step_down_without_cloud(self) -> None:
-        """Step down from the duties that need the cloud if it has not answered us for too long:
-        another controller may reach it. An outage of the cloud is answered (503), and no reason
-        to change the holder."""
+        """Step down from the duties that need the cloud if it has not responded for too long.
+
+        Another controller may be able to reach it. An outage of the cloud itself is a response
+        (503) and no reason to change the holder.
+        """
         since = self.cloud.unanswered_since
         if (
             not since
@@ -86,11 +90,14 @@
         for duty in CLOUD_RATE_SHARES:
             holder = self.holders.get(duty)
             if holder is not None and not holder.stepped_down:
-                log.info("duty %s: no answer from the cloud for too long, releasing it", duty)
+                log.info("duty %s: no response from the cloud for too long, releasing it", duty)
                 holder.step_down()
 
     async def hand_over(self, key: str) -> bool:
-        """Release a duty that a member without any should have. False if we do not hold it."""
+        """Release a duty so that a member without any duty can acquire it.
+
+        Returns False if this controller does not hold it.
+        """
         for duty, holder in self.holders.items():
             if duty.key == key and holder.holds_valid_lease:
                 holder.step_down()
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -1,4 +1,4 @@
-"""The duty of returning: machines that are recorded as to be returned are deleted in the cloud."""
+"""The return duty: deletes the machines of the recorded scale-ins in the cloud."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from basaltlead.core.cluster_view import Grant
 from basaltlead.duties.history import Action, Event
 from basaltlead.duties.holder import DutyHolder, DutyServices
-from basaltlead.duties.machine_deletion import MOST_NAMES, MachineDeletion
+from basaltlead.duties.machine_deletion import MAX_DELETIONS_PER_CALL, MachineDeletion
 from basaltlead.duties.model import Duty
 from basaltlead.errors import ServiceError
 from basaltlead.runtime.clock import now_us
@@ -19,13 +19,13 @@
 from basaltlead.storage.watch import follow_rows
 from basaltlead.wire.store import Drop, Precondition, Put
 
-PASS_INTERVAL_S = 0.5  # between two passes over the open returns, if none is added
-RETRY_PAUSE_S = 0.2  # after the outcome of a return could not be recorded
-MOST_REASON = 200  # characters of the cloud's reason that are recorded
+PASS_INTERVAL_S = 0.5  # between two passes over the open scale-ins, if none is added
+RETRY_PAUSE_S = 0.2  # after the outcome of a scale-in could not be recorded
+MAX_REASON_CHARS = 200  # of the cloud's reason, which is recorded
 
 
-class OpenReturn(Struct):
-    """A recorded return, and those of its machines that are not deleted so far."""
+class OpenScaleIn(Struct):
+    """A recorded scale-in, with those of its machines that are not deleted yet."""
 
     stored: StoredScaleIn
     version: int  # of its record
@@ -33,36 +33,36 @@
 
 
 class ReturnDuty(DutyHolder):
-    """Follows the recorded returns, and carries out each. It deletes no other machines."""
+    """Watches the scale-in records and executes them. It deletes only machines in such records."""
 
     duty = Duty.RETURN
 
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
         self.machine_deletion = MachineDeletion(self.cloud, self)
-        self.returns: dict[str, OpenReturn] = {}  # by key
+        self.open_scale_ins: dict[str, OpenScaleIn] = {}  # by key
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow the recorded returns, and carry them out, until cancelled."""
-        self.background.spawn(self._carry_out(), "loop return machines")
+        """Watch the scale-in records and execute them until cancelled."""
+        self.background.spawn(self._execute(), "loop return machines")
         await follow_rows(
             self.store, SCALE_IN, self.membership.watch_timeout_ms, self._put, self._drop
         )
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
-        known = self.returns.get(key)
+        known = self.open_scale_ins.get(key)
         if known is not None:
             known.version = max(known.version, version)
             return
         stored = msgspec.json.decode(raw, type=StoredScaleIn)
-        self.returns[key] = OpenReturn(stored, version, list(stored.names))
+        self.open_scale_ins[key] = OpenScaleIn(stored, version, list(stored.names))
         self.wake.set()
 
     def _drop(self, key: str) -> None:
-        self.returns.pop(key, None)
+        self.open_scale_ins.pop(key, None)
 
-    async def _carry_out(self) -> None:
+    async def _execute(self) -> None:
         backoff = Backoff(500_000, 4_000_000, self.membership.chance)
         while True:
             await wait_for_event(self.wake, PASS_INTERVAL_S)
@@ -71,40 +71,47 @@
             try:
                 await self._delete_batch()
             except ServiceError as fault:
-                log.info("deleting machines: no result, will be retried: %s", fault)
+                log.info("machine deletion failed, will be retried: %s", fault)
                 await backoff.wait()
                 continue
             backoff.reset()
-            for key in [key for key, found in self.returns.items() if not found.undeleted]:
+            for key in [
+                key for key, scale_in in self.open_scale_ins.items() if not scale_in.undeleted
+            ]:
                 await self._record_outcome(key)
             await self._record_rejections()
 
     async def _delete_batch(self) -> None:
-        """Delete as many machines as one call takes, of several returns together."""
+        """Delete as many machines as one call allows, from all open scale-ins."""
         now = now_us()
-        undeleted = [name for found in self.returns.values() for name in found.undeleted]
-        batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[:MOST_NAMES]
+        undeleted = [
+            name for scale_in in self.open_scale_ins.values() for name in scale_in.undeleted
+        ]
+        batch = list(dict.fromkeys(self.machine_deletion.due(undeleted, now)))[
+            :MAX_DELETIONS_PER_CALL
+        ]
         if not batch:
             return
         deleted = set(await self.machine_deletion.delete(batch, now))
-        for found in self.returns.values():
-            found.undeleted = [name for name in found.undeleted if name not in deleted]
+        for scale_in in self.open_scale_ins.values():
+            scale_in.undeleted = [name for name in scale_in.undeleted if name not in deleted]
         if len(undeleted) > len(batch):
             self.wake.set()
 
     async def _record_outcome(self, key: str) -> None:
-        """Drop the records of the machines, then that of their return.
+        """Delete the records of the machines, then the scale-in record.
 
-        If this is interrupted, the next holder finds the return, deletes the machines once more,
-        which does nothing, and drops the remaining records.
+        If this is interrupted, the next holder finds the scale-in record. It deletes the machines
+        again, which has no effect, and then the remaining records.
         """
-        found = self.returns.get(key)
-        if found is None:
+        scale_in = self.open_scale_ins.get(key)
+        if scale_in is None:
             return
-        unchanged = Precondition(key, found.version)
-        stored = found.stored
+        unchanged = Precondition(key, scale_in.version)
+        stored = scale_in.stored
         records = [MACHINE + name for name in stored.names]
-        # The last batch is dropped together with the return, in addition to the page of history.
+        # The last batch shares its transaction with the scale-in record and the history page,
+        # which are two more operations.
         *batches, last = list(self.store.limits.drops(records, extra_operations=2)) or [[]]
         try:
             for batch in batches:
@@ -118,29 +125,34 @@
                 low_priority=True,
             )
         except ServiceError as fault:
-            log.info("%s: its outcome is not recorded, will be retried: %s", key, fault)
+            log.info("scale-in record %s: outcome not recorded, will be retried: %s", key, fault)
             await asyncio.sleep(RETRY_PAUSE_S)
             return
-        self.returns.pop(key, None)
+        self.open_scale_ins.pop(key, None)
 
     async def _record_rejections(self) -> None:
-        """Show to operators why the cloud does not delete machines of a return."""
+        """Record for operators why the cloud has rejected deletions of a scale-in."""
         rejected = self.machine_deletion.rejected
-        for key, found in list(self.returns.items()):
-            reasons = [rejected[name].reason for name in found.undeleted if name in rejected]
-            if not reasons or found.stored.refused:
+        for key, scale_in in list(self.open_scale_ins.items()):
+            reasons = [rejected[name].reason for name in scale_in.undeleted if name in rejected]
+            if not reasons or scale_in.stored.refused:
                 continue
-            changed = msgspec.structs.replace(found.stored, refused=reasons[0][:MOST_REASON])
+            changed = msgspec.structs.replace(
+                scale_in.stored, refused=reasons[0][:MAX_REASON_CHARS]
+            )
             try:
                 await self.history.commit(
-                    [Precondition(key, found.version)],
+                    [Precondition(key, scale_in.version)],
                     [Put(key, changed)],
                     Event.of(
-                        Action.REFUSED, key[len(SCALE_IN) :], found.stored.at, found.undeleted
+                        Action.REFUSED,
+                        key[len(SCALE_IN) :],
+                        scale_in.stored.at,
+                        scale_in.undeleted,
                     ),
                     low_priority=True,
                 )
             except ServiceError as fault:
-                log.info("%s: its rejection is not recorded: %s", key, fault)
+                log.info("scale-in record %s: rejection not recorded: %s", key, fault)
                 continue
-            found.stored = changed
+            scale_in.stored = changed
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -1,6 +1,6 @@
-"""Which idle machines of a shard are retained during quiet times.
+"""Decides which idle machines of a shard are retained during quiet times.
 
-Retaining them costs money, which is bounded by the operators' settings and reserved in the
+Retained machines cost money. The operators' settings limit the amount, and it is reserved in the
 key-value store before it is spent.
 """
 
@@ -12,18 +12,19 @@
 from basaltlead.core.quiet_times import QuietTimes
 from basaltlead.errors import PreconditionFailed, RequestFailed, SessionLeaseExpired, Unavailable
 from basaltlead.runtime.logs import log
-from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuiet
+from basaltlead.scaling.quiet_budget import QuietBudget, StoredQuietReservation
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import QUIET
 
-LOAD_SHORTEST_RETRY_US = 200_000
-LOAD_LONGEST_RETRY_US = 2_000_000
+MIN_LOAD_RETRY_DELAY_US = 200_000
+MAX_LOAD_RETRY_DELAY_US = 2_000_000
 
 
 class IdleRetention:
-    """Decides for one shard which idle machines are retained, if a calendar is configured.
+    """Retains idle machines of one shard within its budget.
 
-    No machine is retained before `load` has read what earlier shard leaders have reserved.
+    It exists only if a calendar is configured. No machine is retained before `load` has read what
+    earlier shard leaders reserved.
     """
 
     def __init__(self, context: ShardContext, quiet_times: QuietTimes) -> None:
@@ -37,9 +38,9 @@
         self.reserving = False
 
     async def load(self) -> None:
-        """Read what earlier shard leaders have reserved; tries until it succeeds."""
+        """Read what earlier shard leaders reserved. Retries until it succeeds."""
         backoff = Backoff(
-            LOAD_SHORTEST_RETRY_US, LOAD_LONGEST_RETRY_US, self.context.membership.chance
+            MIN_LOAD_RETRY_DELAY_US, MAX_LOAD_RETRY_DELAY_US, self.context.membership.chance
         )
         while not self.loaded:
             try:
@@ -50,21 +51,24 @@
                 continue
             if row is not None:
                 self.context.store.versions[self.key] = row.version
-                self.budget.load(msgspec.json.decode(row.value, type=StoredQuiet))
+                self.budget.load(msgspec.json.decode(row.value, type=StoredQuietReservation))
             self.loaded = True
 
-    def begin(self, now: int) -> None:
-        """Begin a pass over the machines at `now` (steady clock); may reserve more money."""
+    def begin_pass(self, now: int) -> None:
+        """Begin a pass over the machines at `now` on the monotonic clock; may reserve money."""
         quiet = self.quiet_times.current() if self.loaded else None
-        if self.budget.begin(quiet, now) and not self.reserving:
+        if self.budget.begin_pass(quiet, now) and not self.reserving:
             self.reserving = True
             self.context.spawn(self._reserve_more(), "reserve for a quiet time")
 
-    def keeps(self, machine: Machine) -> bool:
-        """Is an idle machine retained until the next pass? If so, that is charged."""
+    def retain(self, machine: Machine) -> bool:
+        """Retain an idle machine until the next pass and charge its cost to the budget.
+
+        Returns False if the machine is not retained.
+        """
         if not self.loaded or self.quiet_times.current() is None:
             return False
-        return self.budget.keeps(unit_price(machine.machine_type, machine.spot))
+        return self.budget.charge(unit_price(machine.machine_type, machine.spot))
 
     async def _reserve_more(self) -> None:
         try:
@@ -72,8 +76,8 @@
         finally:
             self.reserving = False
 
-    async def _reserve(self, stored: StoredQuiet) -> bool:
-        """Record a reservation; False if that is not confirmed."""
+    async def _reserve(self, stored: StoredQuietReservation) -> bool:
+        """Record a reservation. False if the store has not confirmed it."""
         try:
             await self.context.store.put({self.key: stored})
         except (PreconditionFailed, RequestFailed, Unavailable, SessionLeaseExpired) as fault:
--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -1,7 +1,7 @@
 """Quiet times from an iCalendar file.
 
-Needs icalendar and recurring-ical-events, and the time zones of tzdata; imported only where such a
-file is configured.
+The module needs icalendar, recurring-ical-events and the time zones of tzdata. It is imported only
+if such a file is configured.
 """
 
 from collections.abc import Callable
@@ -19,12 +19,12 @@
 from basaltlead.runtime.clock import wall_us
 from basaltlead.runtime.logs import log
 
-LONGEST = timedelta(hours=24)  # that a quiet time may last
-HORIZON = timedelta(hours=6)  # occurrences are computed so far ahead
+MAX_EVENT_DURATION = timedelta(hours=24)
+HORIZON = timedelta(hours=6)  # how far ahead occurrences are computed
 HORIZON_US = HORIZON // timedelta(microseconds=1)
-CHECK_INTERVAL_US = 60 * US  # between two checks whether the file has changed
-MOST_BYTES = 1 << 20  # of a calendar
-MOST_NAME_CHARACTERS = 40  # of a malformed line, shown in place of the name of its field
+CHECK_INTERVAL_US = 60 * US  # between two checks for changes of the file
+MAX_CALENDAR_BYTES = 1 << 20
+MAX_SHOWN_CHARS = 40  # an error shows this much of a malformed line in place of a field name
 
 EVENT = "VEVENT"
 EVENT_BEGINS = f"BEGIN:{EVENT}"
@@ -32,25 +32,25 @@
 
 
 class Line(NamedTuple):
-    """A content line, with the folded lines that continue it."""
+    """A content line after unfolding."""
 
     number: int  # of its first line in the file, counted from 1
     text: str
 
 
-class Fault(NamedTuple):
-    """What makes an event unusable."""
+class EventProblem(NamedTuple):
+    """A field that makes an event invalid, and the reason."""
 
     field: str
     reason: str
 
 
-def _error(path: str, line: int, fault: Fault) -> SettingsError:
-    return SettingsError(f"{path}: line {line}: {fault.field}: {fault.reason}")
+def _error(path: str, line: int, problem: EventProblem) -> SettingsError:
+    return SettingsError(f"{path}: line {line}: {problem.field}: {problem.reason}")
 
 
 def _content_lines(text: str) -> list[Line]:
-    """The lines that are not empty; one that begins with a blank continues the line before."""
+    """The non-empty lines. A line that begins with a space or tab continues the one before."""
     lines: list[Line] = []
     for number, line in enumerate(text.splitlines(), 1):
         if line[:1] in (" ", "\t") and lines:
@@ -61,8 +61,11 @@
 
 
 def _line_number(lines: list[Line], event: int, field: str) -> int:
-    """The number of the line of a field of an event, or of the line where the event begins."""
-    begins = [place for place, line in enumerate(lines) if line.text.upper() == EVENT_BEGINS]
+    """The line number of a field of an event, or of the event's first line if it has no such field.
+
+    `event` is the index of the event in the calendar.
+    """
+    begins = [index for index, line in enumerate(lines) if line.text.upper() == EVENT_BEGINS]
     start = begins[event]
     end = begins[event + 1] if event + 1 < len(begins) else len(lines)
     for line in lines[start:end]:
@@ -72,25 +75,28 @@
 
 
 def read_calendar(path: str) -> icalendar.Calendar:
-    """A calendar whose events are all usable. Raises SettingsError, which names line and field."""
+    """Read a calendar file and validate its events.
+
+    Raises SettingsError, with the line and the field, if the file or an event can't be used.
+    """
     text = _read_text(path)
     lines = _content_lines(text)
     for line in lines:
         try:
             Contentline(line.text).parts()  # type: ignore[no-untyped-call]
         except ValueError:
-            fault = Fault(line.text[:MOST_NAME_CHARACTERS], "not a content line")
-            raise _error(path, line.number, fault) from None
+            problem = EventProblem(line.text[:MAX_SHOWN_CHARS], "not a content line")
+            raise _error(path, line.number, problem) from None
     try:
         calendar = icalendar.Calendar.from_ical(text)
     except (ValueError, IndexError) as error:
-        raise _error(path, 1, Fault("VCALENDAR", str(error))) from None
+        raise _error(path, 1, EventProblem("VCALENDAR", str(error))) from None
     events = calendar.walk(EVENT)
     if not events:
-        raise _error(path, 1, Fault(EVENT, "no quiet time"))
-    for place, event in enumerate(events):
-        for fault in _faults(event):
-            raise _error(path, _line_number(lines, place, fault.field), fault)
+        raise _error(path, 1, EventProblem(EVENT, "no quiet time"))
+    for index, event in enumerate(events):
+        for problem in _event_problems(event):
+            raise _error(path, _line_number(lines, index, problem.field), problem)
     return calendar
 
 
@@ -102,57 +108,68 @@
         raise SettingsError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise SettingsError(f"{path}: not UTF-8") from None
-    if len(raw) > MOST_BYTES:
-        raise SettingsError(f"{path}: larger than {MOST_BYTES} bytes")
+    if len(raw) > MAX_CALENDAR_BYTES:
+        raise SettingsError(f"{path}: larger than {MAX_CALENDAR_BYTES} bytes")
     return text
 
 
-def _faults(event: Any) -> list[Fault]:
-    """What makes an event unusable; empty if it can be used."""
+def _event_problems(event: Any) -> list[EventProblem]:
+    """The problem that makes an event invalid, if any."""
     if event.errors:
-        return [Fault(str(field), str(reason)) for field, reason in event.errors]
+        return [EventProblem(str(field), str(reason)) for field, reason in event.errors]
     start = event.get(START)
     if start is None or not isinstance(start.dt, datetime):
-        return [Fault(START, "needs a date and a time of day")]
+        return [EventProblem(START, "needs a date and a time of day")]
     if start.dt.tzinfo is None:
         zone = start.params.get("TZID", "none")
-        return [Fault(START, f"needs a known time zone, not {zone}")]
+        return [EventProblem(START, f"needs a known time zone, not {zone}")]
     if END in event:
         field, span = END, event[END].dt - start.dt
     elif DURATION in event:
         field, span = DURATION, event[DURATION].dt
     else:
-        return [Fault(END, "is missing")]
-    if not timedelta(0) < span <= LONGEST:
-        return [Fault(field, f"a quiet time lasts longer than nothing, and {LONGEST} at most")]
+        return [EventProblem(END, "is missing")]
+    if not timedelta(0) < span <= MAX_EVENT_DURATION:
+        return [
+            EventProblem(
+                field, f"a quiet time lasts longer than nothing, and {MAX_EVENT_DURATION} at most"
+            )
+        ]
     return []
 
 
 class QuietCalendar:
-    """The quiet times of a calendar file. Changes of the file take effect within a minute; one
-    that makes it unusable leaves the last good calendar in force."""
+    """The quiet times of a calendar file.
+
+    Changes of the file take effect within a minute. If the new file is invalid, the last valid
+    calendar stays in use.
+    """
 
     def __init__(self, path: str, clock: Callable[[], int] = wall_us) -> None:
-        """Read the file; `clock` is the time of day in microseconds. Raises SettingsError."""
+        """Read the file. Raises SettingsError if it can't be used.
+
+        `clock` returns the Unix time in microseconds.
+        """
         self.path = path
         self.clock = clock
         self.calendar = read_calendar(path)
         self.modified_at = self._modified_at()
         self.checked_at = clock()
-        self.known_until = 0  # occurrences are computed up to this time of day
+        self.known_until = 0  # Unix time up to which `occurrences` is computed
         self.occurrences: list[QuietTime] = []
 
     def _modified_at(self) -> float:
-        """The file's time of modification; 0: the file can't be found."""
+        """The file's modification time; 0 if the file can't be read."""
         try:
             return Path(self.path).stat().st_mtime
         except OSError:
             return 0.0
 
     def current(self) -> QuietTime | None:
-        """The quiet time that is now; of several the one that began first."""
+        """The current quiet time; if several overlap, the one that began first."""
         now = self.clock()
-        # The time of day may be set back: then check and compute anew too.
+        # The wall clock may be set back. The file is then checked and the occurrences computed
+        # again as well.
         if not 0 <= now - self.checked_at < CHECK_INTERVAL_US:
             self._read_if_modified(now)
         if not self.known_until - 2 * HORIZON_US <= now < self.known_until:
@@ -171,21 +188,23 @@
         except SettingsError as error:
             _log_unusable(error)
         else:
-            log.info("quiet times read again from %s", self.path)
+            log.info("quiet calendar reloaded from %s", self.path)
             self.known_until = 0
         self.modified_at = modified_at
 
     def _compute_occurrences(self, now: int) -> None:
         at = datetime.fromtimestamp(now / US, UTC)
-        found = recurring_ical_events.of(self.calendar).between(at - LONGEST, at + HORIZON)
+        events = recurring_ical_events.of(self.calendar).between(
+            at - MAX_EVENT_DURATION, at + HORIZON
+        )
         self.occurrences = sorted(
-            QuietTime(_to_us(event[START].dt), _to_us(event[END].dt)) for event in found
+            QuietTime(_to_us(event[START].dt), _to_us(event[END].dt)) for event in events
         )
         self.known_until = now + HORIZON_US
 
 
 def _log_unusable(error: SettingsError) -> None:
-    log.error("quiet times stay as they were, the calendar can't be used: %s", error)
+    log.error("quiet calendar not reloaded, the previous one stays in use: %s", error)
 
 
 def _to_us(at: datetime) -> int:
--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -1,7 +1,7 @@
-"""Carrying out a shard's scale-out requests under the shard's own lease.
+"""Executes a shard's scale-out requests under the shard's own lease.
 
-That is the shard leader's task only while duties are not granted on their own (an older controller
-is among the members); otherwise the holder of the duty of renting does it.
+The shard leader does so only while the duties have no grants of their own, which is the case while
+a controller of an older version is a member. Otherwise the holder of the rent duty executes them.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import SCALE_OUT, StoredScaleOut
 
-UNCLAIMED_PAUSE_S = 1.0  # between two checks for requests that fall to the shard leader
+UNCLAIMED_PAUSE_S = 1.0  # between two checks for requests that no duty holder executes
 
 
 class ScaleOutExecutor:
-    """Sends recorded scale-out requests to the cloud; `running` holds a task for each of them."""
+    """Sends recorded scale-out requests to the cloud; `running` maps their names to tasks."""
 
     def __init__(self, context: ShardContext, cloud: Cloud, requests: ScaleOutRequests) -> None:
         self.context = context
@@ -32,38 +32,38 @@
         self.running: dict[str, asyncio.Task[None]] = {}
 
     def start(self, name: str, stored: StoredScaleOut) -> None:
-        """Begin to carry out a recorded request."""
+        """Start a task that executes a recorded request."""
         self.running[name] = self.context.spawn(
-            self.carry_out(name, stored), f"scale-out request {name}"
+            self.execute(name, stored), f"scale-out request {name}"
         )
 
-    async def carry_out(self, name: str, stored: StoredScaleOut) -> None:
-        """Send a request until the cloud answers it, and record the outcome."""
+    async def execute(self, name: str, stored: StoredScaleOut) -> None:
+        """Send a request until the cloud answers, and record the outcome."""
         if name not in self.requests.pending:
-            self.requests.expect(name, stored)
+            self.requests.add_pending(name, stored)
         try:
             names = await self.machine_rental.rent(
-                name, stored, partial(self.requests.rejected, name)
+                name, stored, partial(self.requests.on_rejected, name)
             )
             version = self.context.store.versions.pop(SCALE_OUT + name, 0)
             if names is None:
-                self.requests.no_capacity(name)
+                self.requests.on_no_capacity(name)
                 await self.machine_rental.record_outcome(name, None, version)
             else:
                 stored.names, stored.refused = names, msgspec.UNSET
-                self.requests.rented(name, stored)
+                self.requests.on_rented(name, stored)
                 await self.machine_rental.record_outcome(name, stored, version)
         except ServiceError as fault:
             log.info("scale-out request %s: outcome not recorded: %s", name, fault)
         finally:
-            self.requests.expect_no_more(name)
+            self.requests.remove_pending(name)
             self.running.pop(name, None)
 
     async def run_unclaimed(self) -> None:
-        """Start the open requests that nobody carries out any more; never returns.
+        """Start the open requests that no duty holder executes; never returns.
 
-        When an older controller joins the members, the holder of the duty of renting stops, and
-        what it has left open falls to the shard leader.
+        When a controller of an older version becomes a member, the holder of the rent duty stops,
+        and the shard leader takes over its open requests.
         """
         while True:
             await asyncio.sleep(UNCLAIMED_PAUSE_S)
--- a/basaltlead/scaling/scale_out_watch.py
+++ b/basaltlead/scaling/scale_out_watch.py
@@ -1,4 +1,4 @@
-"""Following what the holder of the duty of renting does with a shard's scale-out requests."""
+"""Watches a shard's scale-out records for changes by the holder of the rent duty."""
 
 import msgspec
 
@@ -10,9 +10,9 @@
 
 
 class ScaleOutWatch:
-    """Takes in changes of the requests' records that others have made.
+    """Applies changes that other controllers make to the records of the requests.
 
-    Requests that the shard leader carries out itself are left to `ScaleOutExecutor`.
+    Requests that the shard leader executes itself are handled by `ScaleOutExecutor`.
     """
 
     def __init__(
@@ -23,7 +23,7 @@
         self.executor = executor
 
     async def run(self) -> None:
-        """Follow the records; never returns."""
+        """Watch the records; never returns."""
         store, watch_timeout_ms = (
             self.context.store.client,
             self.context.membership.watch_timeout_ms,
@@ -42,17 +42,17 @@
             return
         known = self.context.intents.scale_outs.get(name)
         if known is None or known.names is None:
-            self.requests.rented(name, stored)
-            self.requests.expect_no_more(name)
+            self.requests.on_rented(name, stored)
+            self.requests.remove_pending(name)
             self.context.wake.set()
 
     def _open(self, name: str, stored: StoredScaleOut) -> None:
-        """Take in a request without an outcome; the cloud may have rejected it."""
+        """Handle a request without an outcome, which the cloud may have rejected."""
         self.context.intents.scale_outs[name] = stored
         if stored.refused is not msgspec.UNSET:
-            self.requests.expect_no_more(name)
+            self.requests.remove_pending(name)
         elif name not in self.requests.pending:
-            self.requests.expect(name, stored)
+            self.requests.add_pending(name, stored)
 
     def _dropped(self, key: str) -> None:
         name = key[len(SCALE_OUT) :]
@@ -61,8 +61,8 @@
         self.context.store.versions.pop(key, None)
         stored = self.context.intents.scale_outs.get(name)
         if stored is not None and stored.names is None:
-            # The holder of the duty drops an open request only if the cloud has no capacity.
-            self.requests.no_capacity(name)
-            self.requests.expect_no_more(name)
+            # The holder of the rent duty deletes an open request only if there is no capacity.
+            self.requests.on_no_capacity(name)
+            self.requests.remove_pending(name)
         else:
             self.context.intents.scale_outs.pop(name, None)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -14,12 +14,12 @@
 from basaltlead import cli
 from basaltlead.core.jobs import US
 from basaltlead.core.quiet_times import QuietTime
-from basaltlead.duties.history import PAGES, Action, Event, HistoryPage
+from basaltlead.duties.history import RING_PAGES, Action, Event, HistoryPage
 from basaltlead.duties.model import Duty
 from basaltlead.errors import SettingsError
 from basaltlead.operators import client
 from basaltlead.operators.audit_export import export
-from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuiet
+from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuietReservation
 from basaltlead.scaling.quiet_calendar import QuietCalendar, read_calendar
 from basaltlead.wire.peers import (
     DutiesAnswer,
@@ -153,15 +153,17 @@
             Event.of(Action.RETURNED, f"{number}-{n}", SECOND, ["m-1", "m-2"]) for n in range(10)
         ]
         raw = msgspec.json.encode(HistoryPage(number, number * 10, events))
-        pages.append(HistoryAnswer("", f"history/{duty}/{number % PAGES:03d}", msgspec.Raw(raw)))
+        pages.append(
+            HistoryAnswer("", f"history/{duty}/{number % RING_PAGES:03d}", msgspec.Raw(raw))
+        )
     return sorted(pages, key=lambda page: page.key)
 
 
 def test_exported_history_is_complete_ordered_and_marks_truncation(tmp_path: Path) -> None:
     out = tmp_path / "history.parquet"
 
-    done = export([*_pages("rent", 0, 3), *_pages("return", 30, 30 + PAGES)], str(out))
-    assert (done.events, done.overwritten) == (30 + 10 * PAGES, {"return": 300})
+    done = export([*_pages("rent", 0, 3), *_pages("return", 30, 30 + RING_PAGES)], str(out))
+    assert (done.events, done.overwritten) == (30 + 10 * RING_PAGES, {"return": 300})
     file = pq.ParquetFile(out)
     assert file.metadata.row_group(0).column(0).compression == "ZSTD"
     rows = [row for batch in file.iter_batches(batch_size=64) for row in batch.to_pylist()]
@@ -184,7 +186,7 @@
 
 @simulated
 async def test_the_recorded_history_is_bounded(loop: Loop, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("basaltlead.duties.history.PAGES", 3)
+    monkeypatch.setattr("basaltlead.duties.history.RING_PAGES", 3)
 
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
@@ -309,9 +311,9 @@
 
 @simulated
 async def test_quiet_budget_holds_across_failovers(loop: Loop) -> None:
-    stored: list[StoredQuiet] = []
+    stored: list[StoredQuietReservation] = []
 
-    async def reserve(one: StoredQuiet) -> bool:
+    async def reserve(one: StoredQuietReservation) -> bool:
         stored.append(one)
         return True
 
@@ -323,9 +325,9 @@
             allowance.load(stored[-1])
         for _ in range(200):
             now += SECOND
-            if allowance.begin(QuietTime(1, HOUR_US), now):
+            if allowance.begin_pass(QuietTime(1, HOUR_US), now):
                 await allowance.reserve_more()
-            spent += 3.0 / 3600 * allowance.keeps(3.0)
+            spent += 3.0 / 3600 * allowance.charge(3.0)
 
     assert 0.5 < spent <= 2.0 + 1e-9
 
--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -24,16 +24,16 @@
 
 
 def test_lagging_machine_list_makes_no_machine_abandoned() -> None:
-    unknown_machines = UnknownMachines(patience=6 * US)
+    unknown_machines = UnknownMachines(grace_period_us=6 * US)
     offer = Offer("small", "a", True)
     for second in range(0, 21, 4):
         unknown_machines.update([_listed("m-1")], known=(), listed_at=second * US)
         abandoned = unknown_machines.abandoned(
-            [_listed("m-1")], in_progress=[offer], listed_at=second * US
+            [_listed("m-1")], pending_offers=[offer], listed_at=second * US
         )
         assert abandoned == []  # a request in progress may have brought it
         abandoned = unknown_machines.abandoned(
-            [_listed("m-1")], in_progress=[], listed_at=second * US
+            [_listed("m-1")], pending_offers=[], listed_at=second * US
         )
         assert bool(abandoned) == (second > 6)  # it may be one that was deleted
     unknown_machines.update([_listed("m-1")], known=["m-1"], listed_at=24 * US)
