--- a/basaltlead/clients/backoff.py
+++ b/basaltlead/clients/backoff.py
@@ -11,10 +11,10 @@
     again together.
     """
 
-    def __init__(self, low_us: int, high_us: int, chance: random.Random) -> None:
+    def __init__(self, low_us: int, high_us: int, rng: random.Random) -> None:
         self.low_us = low_us
         self.high_us = high_us
-        self.chance = chance
+        self.rng = rng
         self.pause_us = low_us
 
     def reset(self) -> None:
@@ -25,7 +25,7 @@
         """The length of the next pause; the one after it is twice as long."""
         pause_us = self.pause_us
         self.pause_us = min(self.high_us, pause_us * 2)
-        return int(pause_us * self.chance.uniform(0.5, 1.0))
+        return int(pause_us * self.rng.uniform(0.5, 1.0))
 
     async def wait(self) -> None:
         """Sleep for the next pause."""
--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -57,10 +57,10 @@
                     await self._grant_vacant()
             except PreconditionFailed as conflict:
                 log.debug("claim or grant not made: %s changed meanwhile", conflict)
-                await asyncio.sleep(self.membership.chance.uniform(*CONFLICT_PAUSE_S))
+                await asyncio.sleep(self.membership.rng.uniform(*CONFLICT_PAUSE_S))
             except ServiceError as fault:
                 log.debug("claim or grant not made: %s", fault)
-                await asyncio.sleep(self.membership.chance.uniform(*FAULT_PAUSE_S))
+                await asyncio.sleep(self.membership.rng.uniform(*FAULT_PAUSE_S))
 
     async def _claim_in_turn(self) -> float:
         """Claim the leadership if it is our turn; how many seconds to wait until the next pass."""
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -18,7 +18,7 @@
     shard_key,
 )
 from basaltlead.errors import ServiceError
-from basaltlead.runtime.clock import chance, now_us
+from basaltlead.runtime.clock import now_us, rng
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Drop, Precondition, Put
@@ -53,7 +53,7 @@
         # A shard leader acts no longer than a session lease after its last read of the open jobs
         # was sent, so a watch must come back well within that.
         self.watch_ms = min(LONGEST_WATCH_MS, self.ttl_us // 4000)
-        self.chance = chance
+        self.rng = rng
         self.wake = asyncio.Event()  # set when the election should look at the cluster again
         self.no_claim_until = 0
         self.session = SessionLeaseKeeper(
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -6,7 +6,7 @@
 from basaltlead.clients.backoff import Backoff
 from basaltlead.core.cluster_view import Claim, member_key, session_validity_end
 from basaltlead.errors import ServiceError, SessionLeaseExpired
-from basaltlead.runtime.clock import chance, now_us
+from basaltlead.runtime.clock import now_us, rng
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Precondition, Put
@@ -91,7 +91,7 @@
 
     async def keep(self) -> None:
         """Join, renew the session lease, and join anew whenever it is lost; never returns."""
-        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, chance)
+        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, rng)
         while True:
             try:
                 if not self.version:
@@ -122,7 +122,7 @@
         sent = now_us()
         lease = await self.store.create_lease(self.ttl_us)
         old = await self.store.get(member_key(self.name))
-        incarnation = f"{chance.getrandbits(INCARNATION_BITS):012x}"
+        incarnation = f"{rng.getrandbits(INCARNATION_BITS):012x}"
         claim = Claim(self.name, incarnation, self.record_version)
         # On condition of what the key held, so that a late copy of this very request from an
         # earlier incarnation can't overwrite the record of a later one.
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -85,7 +85,7 @@
         await self.run()
 
     async def _record_acquisition(self) -> None:
-        backoff = Backoff(100_000, 1_000_000, self.membership.chance)
+        backoff = Backoff(100_000, 1_000_000, self.membership.rng)
         while True:
             try:
                 await self.history.load()
--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -41,12 +41,12 @@
     """
 
     def __init__(
-        self, store: KeyValueStore, cloud: Cloud, holder: GrantHolder, chance: Random
+        self, store: KeyValueStore, cloud: Cloud, holder: GrantHolder, rng: Random
     ) -> None:
         self.store = store
         self.cloud = cloud
         self.holder = holder
-        self.chance = chance
+        self.rng = rng
 
     def _holds_valid_lease(self) -> bool:
         return self.holder.holds_valid_lease
@@ -56,7 +56,7 @@
     ) -> list[str] | None:
         """Send a request until the cloud has carried it out; the names of the machines, or None if
         there is no capacity. Nothing is sent while the lease is not valid."""
-        backoff = Backoff(200_000, 4_000_000, self.chance)
+        backoff = Backoff(200_000, 4_000_000, self.rng)
         request = RentRequest(name, stored.type_name, stored.zone, stored.spot, stored.number)
         while True:
             if not self.holder.holds_valid_lease:
@@ -101,7 +101,7 @@
         """
         key = SCALE_OUT + name
         change: Put | Drop = Drop(key) if stored is None else Put(key, stored)
-        backoff = Backoff(200_000, 4_000_000, self.chance)
+        backoff = Backoff(200_000, 4_000_000, self.rng)
         for _ in range(MOST_RECORDING_ATTEMPTS):
             try:
                 await (commit or self._write)([Precondition(key, version)], [change])
--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -48,7 +48,7 @@
 
     def __init__(self, services: DutyServices, grant: Grant, version: int) -> None:
         super().__init__(services, grant, version)
-        self.machine_rental = MachineRental(self.store, self.cloud, self, self.membership.chance)
+        self.machine_rental = MachineRental(self.store, self.cloud, self, self.membership.rng)
         self.versions: dict[str, int] = {}  # of the records of open requests, by name
         self.requests: dict[str, asyncio.Task[None]] = {}  # that carry out the open ones
         # Requests whose outcome is being recorded. The watch may show the record before the
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -61,7 +61,7 @@
         self.returns.pop(key, None)
 
     async def _carry_out(self) -> None:
-        backoff = Backoff(500_000, 4_000_000, self.membership.chance)
+        backoff = Backoff(500_000, 4_000_000, self.membership.rng)
         while True:
             await wait_for_event(self.wake, PASS_INTERVAL_S)
             if not self.holds_valid_lease:
--- a/basaltlead/runtime/clock.py
+++ b/basaltlead/runtime/clock.py
@@ -6,7 +6,7 @@
 
 _steady: Callable[[], int] = time.monotonic_ns
 _wall: Callable[[], int] = time.time_ns
-chance = random.Random()
+rng = random.Random()
 
 
 def now_us() -> int:
@@ -29,4 +29,4 @@
     """Replace both clocks, which return nanoseconds, and seed the random numbers."""
     global _steady, _wall
     _steady, _wall = steady, wall
-    chance.seed(seed)
+    rng.seed(seed)
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -39,7 +39,7 @@
     async def load(self) -> None:
         """Read what earlier shard leaders have reserved; tries until it succeeds."""
         backoff = Backoff(
-            LOAD_SHORTEST_RETRY_US, LOAD_LONGEST_RETRY_US, self.context.membership.chance
+            LOAD_SHORTEST_RETRY_US, LOAD_LONGEST_RETRY_US, self.context.membership.rng
         )
         while not self.loaded:
             try:
--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -73,7 +73,7 @@
 
     async def follow(self) -> None:
         """Read the types and their present prices again and again; never returns."""
-        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, self.membership.chance)
+        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, self.membership.rng)
         while True:
             try:
                 types = await self.cloud.types()
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -54,7 +54,7 @@
 
     async def _return_terminating(self) -> None:
         """Record or delete the machines that are marked as terminating; never returns."""
-        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, self.context.membership.chance)
+        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, self.context.membership.rng)
         while True:
             await asyncio.sleep(PAUSE_S)
             names = [m.name for m in self.context.shard.machines.values() if m.terminating]
--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -27,7 +27,7 @@
         self.context = context
         self.requests = requests
         self.machine_rental = MachineRental(
-            context.store.client, cloud, context.lease, context.membership.chance
+            context.store.client, cloud, context.lease, context.membership.rng
         )
         self.running: dict[str, asyncio.Task[None]] = {}
 
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -93,7 +93,7 @@
                 self.dispatcher.probe(machine)
 
     async def _load(self) -> int:
-        backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
+        backoff = Backoff(100_000, 1_000_000, self.context.membership.rng)
         while True:
             if not self.context.machine_types:  # without them no machine's room is known
                 await asyncio.sleep(MACHINE_TYPES_PAUSE_S)
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -128,7 +128,7 @@
         self, ref: str, changed: TaskAssignment, preconditions: list[Precondition]
     ) -> None:
         """Write the new assignment until it is certain whether it stands."""
-        backoff = Backoff(100_000, 1_000_000, self.context.membership.chance)
+        backoff = Backoff(100_000, 1_000_000, self.context.membership.rng)
         store, key = self.context.store.client, ASSIGNMENT + ref
         while not self.context.lease.stepped_down:
             try:
--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -6,7 +6,7 @@
 
 from basaltlead.clients.backoff import Backoff
 from basaltlead.errors import RevisionCompacted, ServiceError
-from basaltlead.runtime.clock import chance, now_us
+from basaltlead.runtime.clock import now_us, rng
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Change, Row
@@ -45,7 +45,7 @@
         after each list or watch that was answered, with the time at which it was *sent* and
         whether it brought changes: only what was recorded before that time is known for certain.
         """
-        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, chance)
+        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, rng)
         while True:
             try:
                 if self.revision is None:
