--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -41,7 +41,7 @@
     Transaction,
 )
 
-PAGE = 500  # rows in one answer
+PAGE_ROWS = 500  # rows in one answer
 CONNECTIONS = 24
 WATCH_CONNECTIONS = 8
 RENEWAL_CONNECTIONS = 4
@@ -110,7 +110,7 @@
             raise RequestFailed(f"get: {status}", sent=True)
         return decode(body, Row)
 
-    async def page(self, prefix: str, since: str = "", most: int = PAGE) -> Rows:
+    async def page(self, prefix: str, since: str = "", most: int = PAGE_ROWS) -> Rows:
         """At most so many rows under a prefix, those after the key `since`."""
         path = f"/kv?Starts={quote(prefix, safe='/')}&Most={most}"
         if since:
