--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -49,7 +49,7 @@
 REQUESTS_SHARE = 0.8
 WRITES_SHARE = 0.85
 SINGLE_WRITER_SHARE = 0.6  # of the writes, what the only shard leader uses
-CALL_US = 1_500_000  # deadlines
+CALL_TIMEOUT_US = 1_500_000  # deadlines
 PAGE_US = 2_500_000
 AFTER_HOLD_US = 2_000_000  # of a watch, in addition to the time that the store may hold it
 
@@ -89,7 +89,7 @@
         return max(waits, self.writes.queue_delay_s()) if writing else waits
 
     async def _call(
-        self, method: str, path: str, raw: bytes = b"", timeout_us: int = CALL_US
+        self, method: str, path: str, raw: bytes = b"", timeout_us: int = CALL_TIMEOUT_US
     ) -> HttpAnswer:
         await self.requests.take()
         return self._checked(await self.pool.request(method, path, raw, timeout_us))
