--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -50,7 +50,7 @@
 WRITES_SHARE = 0.85
 SINGLE_WRITER_SHARE = 0.6  # of the writes, what the only shard leader uses
 CALL_TIMEOUT_US = 1_500_000  # deadlines
-PAGE_US = 2_500_000
+PAGE_TIMEOUT_US = 2_500_000
 AFTER_HOLD_US = 2_000_000  # of a watch, in addition to the time that the store may hold it
 
 STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
@@ -115,7 +115,7 @@
         path = f"/kv?Starts={quote(prefix, safe='/')}&Most={most}"
         if since:
             path += f"&Since={quote(since, safe='/')}"
-        status, body = await self._call("GET", path, timeout_us=PAGE_US)
+        status, body = await self._call("GET", path, timeout_us=PAGE_TIMEOUT_US)
         if status != STATUS_OK:
             raise RequestFailed(f"list: {status}", sent=True)
         return decode(body, Rows)
