--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -51,7 +51,9 @@
 SINGLE_WRITER_SHARE = 0.6  # of the writes, what the only shard leader uses
 CALL_TIMEOUT_US = 1_500_000  # deadlines
 PAGE_TIMEOUT_US = 2_500_000
-AFTER_HOLD_US = 2_000_000  # of a watch, in addition to the time that the store may hold it
+WATCH_TIMEOUT_MARGIN_US = (
+    2_000_000  # of a watch, in addition to the time that the store may hold it
+)
 
 STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
 
@@ -189,7 +191,7 @@
             await self.watches.request(
                 "GET",
                 f"/changes?Starts={quote(prefix, safe='/')}&Since={since}&HoldMs={hold_ms}",
-                timeout_us=hold_ms * 1000 + AFTER_HOLD_US,
+                timeout_us=hold_ms * 1000 + WATCH_TIMEOUT_MARGIN_US,
             )
         )
         if status == STATUS_GONE:
