--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -66,7 +66,7 @@
         """The open job's rows: itself first, then its results; empty if it is not open."""
         if self.membership.cut_off:
             raise Unavailable("the state service does not answer")
-        page = await self.store.page(OPEN + ref, most=self._max_rows)
+        page = await self.store.page(OPEN + ref, limit=self._max_rows)
         rows = [row for row in page.rows if split_open(row.key)[0] == ref]
         return rows if rows and rows[0].key == OPEN + ref else []
 
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -67,7 +67,7 @@
         )
 
     async def _history_page(self, after: str) -> HistoryAnswer:
-        page = await self.store.page(HISTORY, since=after, most=1)
+        page = await self.store.page(HISTORY, since=after, limit=1)
         if not page.rows:
             return HistoryAnswer()
         return HistoryAnswer(key=page.rows[0].key, page=page.rows[0].value)
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -112,9 +112,9 @@
             raise RequestFailed(f"get: {status}", sent=True)
         return decode(body, Row)
 
-    async def page(self, prefix: str, since: str = "", most: int = PAGE_ROWS) -> Rows:
+    async def page(self, prefix: str, since: str = "", limit: int = PAGE_ROWS) -> Rows:
         """At most so many rows under a prefix, those after the key `since`."""
-        path = f"/kv?Starts={quote(prefix, safe='/')}&Most={most}"
+        path = f"/kv?Starts={quote(prefix, safe='/')}&Most={limit}"
         if since:
             path += f"&Since={quote(since, safe='/')}"
         status, body = await self._call("GET", path, timeout_us=PAGE_TIMEOUT_US)
