--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -175,9 +175,9 @@
             else:
                 changes.append(change)
         raw = encode(Transaction(preconditions, changes))
-        excess = self.limits.excess(len(preconditions), len(apply), value_sizes, len(raw))
-        if excess:
-            raise TransactionTooLarge(excess)
+        limit_error = self.limits.limit_error(len(preconditions), len(apply), value_sizes, len(raw))
+        if limit_error:
+            raise TransactionTooLarge(limit_error)
         return raw
 
     async def changes(self, prefix: str, since: int, hold_ms: int) -> Changes:
--- a/basaltlead/storage/limits.py
+++ b/basaltlead/storage/limits.py
@@ -24,7 +24,7 @@
         """How many preconditions one transaction may have."""
         return self.operations * PRECONDITIONS_PER_OPERATION
 
-    def excess(
+    def limit_error(
         self, preconditions: int, operations: int, value_sizes: list[int], total: int
     ) -> str:
         """Which limit a transaction of these numbers and sizes in bytes would break, in words;
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -36,7 +36,7 @@
 
 
 def _excess(preconditions: int, values: list[int], total: int) -> str:
-    return LIMITS.excess(preconditions, len(values), values, total)
+    return LIMITS.limit_error(preconditions, len(values), values, total)
 
 
 def test_each_limit_is_exact_to_the_byte_and_to_the_operation() -> None:
