--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -98,7 +98,9 @@
             await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
 
     async def _drop(self, what: str, keys: list[str], preconditions: list[Precondition]) -> None:
-        for batch in self.store.limits.drops(keys, extra_operations=1):  # the page of history
+        for batch in self.store.limits.delete_batches(
+            keys, extra_operations=1
+        ):  # the page of history
             event = Event.of_rows(what, len(batch))
             await self.history.commit(
                 preconditions, list(map(Drop, batch)), event, low_priority=True
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -103,7 +103,7 @@
         stored = found.stored
         records = [MACHINE + name for name in stored.names]
         # The last batch is dropped together with the return, in addition to the page of history.
-        *batches, last = list(self.store.limits.drops(records, extra_operations=2)) or [[]]
+        *batches, last = list(self.store.limits.delete_batches(records, extra_operations=2)) or [[]]
         try:
             for batch in batches:
                 await self.store.compare_and_swap(
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -152,7 +152,7 @@
 
     async def _drop_records(self, keys: list[str]) -> None:
         """Drop records, as many in one transaction as the key-value store accepts."""
-        for batch in self.context.store.limits.drops(keys):
+        for batch in self.context.store.limits.delete_batches(keys):
             await self._drop_batch(batch)
 
     async def _drop_batch(self, keys: list[str]) -> None:
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -141,7 +141,7 @@
         if self.context.membership.duties_granted:
             return  # the holder of the clean-up duty does it
         preconditions = [*self.context.lease.preconditions(), Precondition(OPEN + ref, 0)]
-        for batch in self.context.store.limits.drops(keys):
+        for batch in self.context.store.limits.delete_batches(keys):
             await attempt_write(self._drop(batch, preconditions))
 
     async def _drop(self, keys: list[str], preconditions: list[Precondition]) -> None:
--- a/basaltlead/storage/limits.py
+++ b/basaltlead/storage/limits.py
@@ -41,7 +41,7 @@
             return f"{total} bytes, {TRANSACTION_BYTES} are allowed"
         return ""
 
-    def drops(self, keys: Iterable[str], extra_operations: int = 0) -> Iterator[list[str]]:
+    def delete_batches(self, keys: Iterable[str], extra_operations: int = 0) -> Iterator[list[str]]:
         """Divide keys that are to be dropped into batches, one transaction each, with room for
         `extra_operations` other changes in each."""
         return self.batches(dict.fromkeys(keys, 0), extra_operations)
