--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -11,7 +11,7 @@
 from basaltlead.errors import Unavailable
 from basaltlead.runtime.clock import now_us
 from basaltlead.storage.client import KeyValueStore
-from basaltlead.storage.records import OPEN, OVER, Final
+from basaltlead.storage.records import OPEN, OVER, FinalState
 from basaltlead.storage.result_rows import Progress, ResultLayout, split_open
 from basaltlead.wire.store import Row
 
@@ -46,14 +46,14 @@
         self.on_cancelled = on_cancelled
         layout = ResultLayout(settings.store_limits.value_bytes)
         self._max_rows = 1 + layout.most_rows(MAX_JOB_TASKS, settings.operator.shards)
-        self._finals: dict[str, Final] = {}
+        self._finals: dict[str, FinalState] = {}
 
     def known_final(self, ref: str) -> JobStatus | None:
         """The final state of a job, if it was read or written before."""
         final = self._finals.get(ref)
         return None if final is None else JobStatus(final.stage, final.done)
 
-    def remember(self, ref: str, final: Final) -> None:
+    def remember(self, ref: str, final: FinalState) -> None:
         """Note a final state. To be called before any user is told: shard leaders must know of
         every cancellation that was confirmed."""
         self._finals[ref] = final
@@ -75,7 +75,7 @@
         row = await self.store.get(OVER + ref)
         if row is None:
             return None
-        final = msgspec.json.decode(row.value, type=Final)
+        final = msgspec.json.decode(row.value, type=FinalState)
         self.remember(ref, final)
         return JobStatus(final.stage, final.done)
 
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -21,7 +21,7 @@
 from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.shard.leader import team_quotas
 from basaltlead.storage.client import KeyValueStore
-from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, Final, StoredJob
+from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, FinalState, StoredJob
 from basaltlead.storage.result_rows import Progress
 from basaltlead.wire.store import Drop, Precondition, Put, Row
 from basaltlead.wire.users import REF, Submission
@@ -183,7 +183,7 @@
         """Move an open job to over, with as many of its rows as one transaction takes. Does nothing
         if the job has changed meanwhile."""
         done = sum(msgspec.json.decode(row.value, type=Progress).count for row in rows[1:])
-        final = Final(CANCELLED, done)
+        final = FinalState(CANCELLED, done)
         drops = [Drop(row.key) for row in rows]
         if self.settings.operator.shards > 1:
             drops.insert(1, Drop(ASSIGNMENT + ref))
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -10,7 +10,7 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
-from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, Final
+from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, FinalState
 from basaltlead.storage.result_rows import split_open
 from basaltlead.wire.store import Drop, Precondition, Put
 
@@ -98,7 +98,7 @@
         if self.context.sharded:
             rows.insert(0, ASSIGNMENT + ref)
         room = self.context.store.limits.operations - FINAL_OPERATIONS
-        final = Final("done", job_state.job.tasks)
+        final = FinalState("done", job_state.job.tasks)
         try:
             await self.context.store.commit(
                 [Put(OVER + ref, final), Drop(OPEN + ref), *map(Drop, rows[:room])],
--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -82,7 +82,7 @@
         return [(part.first, part.end) for part in self.parts if part.shard == shard]
 
 
-class Final(Struct):
+class FinalState(Struct):
     """How a job ended; `stage` is what users see."""
 
     stage: str
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,7 @@
 from basaltlead.core.cluster_view import Claim, ClusterView, Counter, Grant, Versioned
 from basaltlead.core.jobs import Shape
 from basaltlead.core.market import TeamRecord
-from basaltlead.storage.records import Final, StoredJob, StoredMachine, StoredScaleOut, job_of
+from basaltlead.storage.records import FinalState, StoredJob, StoredMachine, StoredScaleOut, job_of
 from basaltlead.storage.result_rows import Progress
 from tests.fakes import Deployment, FakeWorker, old_schemas
 from tests.simulation import Loop, simulated
@@ -36,7 +36,7 @@
     "hire": StoredScaleOut,
     "mach": StoredMachine,
     "open": StoredJob,
-    "over": Final,
+    "over": FinalState,
     "result": Progress,
     "team": TeamRecord,
 }
