--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -113,7 +113,7 @@
         if prefix == OPEN:
             ref, part = split_open(key)
             if part is None:
-                job = job_of(msgspec.json.decode(raw, type=StoredJob).sent)
+                job = job_of(msgspec.json.decode(raw, type=StoredJob).submission)
                 self._jobs[ref] = OpenJob(job, version)
                 self._wake.set()
         elif prefix == ASSIGNMENT:
--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -77,7 +77,7 @@
         if self.is_cancelled(ref):
             return  # its user was told so already, and the watch will show it too
         age = age_us(stored.at)
-        job = job_of(stored.sent)
+        job = job_of(stored.submission)
         job_state = self.shard.add_job(job, version, now, age)
         if self.context.sharded:
             job_state.assign(self.rebalancer.ranges_of(ref))
--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -56,7 +56,7 @@
         return StoredJob(job=sent, at=at)
 
     @property
-    def sent(self) -> Submission:
+    def submission(self) -> Submission:
         """The job as it was submitted. Raises `msgspec.ValidationError` if there is none."""
         found = self.job if self.job is not None else self.service
         if found is None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -61,9 +61,9 @@
         if isinstance(read, Claim):
             assert read.version == 0
         if isinstance(read, StoredJob):
-            assert read.sent.ref == key.removeprefix("open/")
+            assert read.submission.ref == key.removeprefix("open/")
             shapes = {"batch": Shape.ARRAY, "group": Shape.GANG, "service": Shape.SERVICE}
-            assert job_of(read.sent).shape is shapes[value["job"]["Shape"]]
+            assert job_of(read.submission).shape is shapes[value["job"]["Shape"]]
         elif not isinstance(read, Claim):
             assert msgspec.to_builtins(read) == value
     assert machine_types == set(TYPES)
@@ -139,7 +139,7 @@
         old_schemas.read("open/req-000001", deployment.store.keys["open/req-000001"][0])
     stored = deployment.store.keys["open/req-000001"][0]
 
-    assert msgspec.convert(stored, StoredJob).sent.shape == "service"
+    assert msgspec.convert(stored, StoredJob).submission.shape == "service"
     await deployment.wait_until_served("req-000001")
     deployment.assert_no_violation()
 
