--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -19,7 +19,7 @@
 from basaltlead.core.jobs import Shape
 from basaltlead.storage.records import OPEN
 
-STRETCH = 24_576  # tasks whose results share a stretch row: 4 KiB of text
+SEGMENT_TASKS = 24_576  # tasks whose results share a stretch row: 4 KiB of text
 CHUNK_SHARDS = 1000  # shard numbers from this one on stand for chunk rows
 CHUNK_OVERHEAD = 128  # bytes of a chunk row in addition to its results
 LEAST_CHUNK = 64  # tasks in a chunk row, however small the limit
@@ -75,13 +75,13 @@
 
     def chunked(self, tasks: int) -> bool:
         """Whether the results of a job of so many tasks are kept in chunk rows."""
-        return min(tasks, STRETCH) > self.chunk
+        return min(tasks, SEGMENT_TASKS) > self.chunk
 
     def keys(self, ref: str, tasks: int, shards: Iterable[int]) -> list[str]:
         """The key of every row that may hold results of a job."""
         out: list[str] = []
         for shard in shards:
-            out += [progress_key(ref, shard, n) for n in range(row_count(tasks, STRETCH))]
+            out += [progress_key(ref, shard, n) for n in range(row_count(tasks, SEGMENT_TASKS))]
             if self.chunked(tasks):
                 chunks = range(row_count(tasks, self.chunk))
                 out += [progress_key(ref, CHUNK_SHARDS + shard, n) for n in chunks]
@@ -89,13 +89,13 @@
 
     def most_rows(self, tasks: int, shards: int) -> int:
         """How many rows a job of so many tasks may have at most."""
-        return shards * (row_count(tasks, STRETCH) + row_count(tasks, self.chunk))
+        return shards * (row_count(tasks, SEGMENT_TASKS) + row_count(tasks, self.chunk))
 
     def unstored(self, job_state: JobState, shard: int) -> list[ResultRow]:
         """The rows to be written so that all results of this shard are stored. The first row shows
         how many tasks run, so it is written also if there is no result."""
         chunked = self.chunked(job_state.job.tasks)
-        size = self.chunk if chunked else STRETCH
+        size = self.chunk if chunked else SEGMENT_TASKS
         parts: dict[int, list[int]] = {}
         for index in job_state.unstored:
             parts.setdefault(index // size, []).append(index)
@@ -117,7 +117,7 @@
 
 def stretch_row(job_state: JobState, number: int) -> Progress:
     """The stretch row with this number: what this shard has recorded of these tasks."""
-    done = bytes(job_state.own[number * STRETCH // 8 : (number + 1) * STRETCH // 8])
+    done = bytes(job_state.own[number * SEGMENT_TASKS // 8 : (number + 1) * SEGMENT_TASKS // 8])
     return Progress(done, count_bits(done), shown_running(job_state, number))
 
 
@@ -152,7 +152,7 @@
         return
     row = msgspec.json.decode(raw, type=Progress)
     own = row_shard == shard and not layout.chunked(job_state.job.tasks)
-    note_bits(job_state, number * STRETCH, row.done, own)
+    note_bits(job_state, number * SEGMENT_TASKS, row.done, own)
 
 
 def note_bits(job_state: JobState, first: int, bits: bytes, own: bool) -> None:
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -20,7 +20,7 @@
 from basaltlead.storage.limits import TRANSACTION_BYTES, StoreLimits
 from basaltlead.storage.result_rows import (
     CHUNK_SHARDS,
-    STRETCH,
+    SEGMENT_TASKS,
     ProgressChunk,
     ResultLayout,
     load_results,
@@ -114,13 +114,13 @@
 
 def test_results_stored_under_larger_limits_are_read_and_not_rewritten() -> None:
     before, after = ResultLayout(32_768), ResultLayout(2048)
-    old = _job_state(STRETCH)
+    old = _job_state(SEGMENT_TASKS)
 
     for index in range(0, 20_000, 3):
         old.finish(index)
     (row,) = before.unstored(old, 0)
     assert len(encode(row.value)) > 2048
-    job_state = _job_state(STRETCH)
+    job_state = _job_state(SEGMENT_TASKS)
     load_results(job_state, 0, 0, 0, msgspec.Raw(encode(row.value)), after)
     assert job_state.done_count == old.done_count
     job_state.finish(1)
