--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -106,7 +106,7 @@
                 rows.append(ResultRow(key, self._chunk_row(job_state, number), tasks))
             else:
                 key = progress_key(job_state.job.ref, shard, number)
-                rows.append(ResultRow(key, stretch_row(job_state, number), tasks))
+                rows.append(ResultRow(key, segment_row(job_state, number), tasks))
         return rows
 
     def _chunk_row(self, job_state: JobState, number: int) -> ProgressChunk:
@@ -115,7 +115,7 @@
         return ProgressChunk(b"", count_bits(bits), shown_running(job_state, number), first, bits)
 
 
-def stretch_row(job_state: JobState, number: int) -> Progress:
+def segment_row(job_state: JobState, number: int) -> Progress:
     """The stretch row with this number: what this shard has recorded of these tasks."""
     done = bytes(job_state.own[number * SEGMENT_TASKS // 8 : (number + 1) * SEGMENT_TASKS // 8])
     return Progress(done, count_bits(done), shown_running(job_state, number))
