--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -12,7 +12,7 @@
 from basaltlead.shard.rebalancer import Rebalancer
 from basaltlead.shard.results import ResultWriter
 from basaltlead.storage.records import OPEN, StoredJob, job_of
-from basaltlead.storage.result_rows import CHUNK_SHARDS, load_results, split_open
+from basaltlead.storage.result_rows import CHUNK_SHARD_OFFSET, load_results, split_open
 from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Row
 
@@ -63,7 +63,7 @@
             if job_state is None:
                 self._add_job(ref, raw, version, now)
             return
-        own = part[0] in (self.context.number, CHUNK_SHARDS + self.context.number)
+        own = part[0] in (self.context.number, CHUNK_SHARD_OFFSET + self.context.number)
         if job_state is None:
             if not self._loaded:
                 self.orphaned_rows.append(key)
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -20,7 +20,7 @@
 from basaltlead.storage.records import OPEN
 
 SEGMENT_TASKS = 24_576  # tasks whose results share a stretch row: 4 KiB of text
-CHUNK_SHARDS = 1000  # shard numbers from this one on stand for chunk rows
+CHUNK_SHARD_OFFSET = 1000  # shard numbers from this one on stand for chunk rows
 CHUNK_OVERHEAD = 128  # bytes of a chunk row in addition to its results
 LEAST_CHUNK = 64  # tasks in a chunk row, however small the limit
 
@@ -58,7 +58,7 @@
 
 
 def progress_key(ref: str, shard: int, number: int) -> str:
-    """The key of a row of results; `shard` is raised by `CHUNK_SHARDS` for a chunk row."""
+    """The key of a row of results; `shard` is raised by `CHUNK_SHARD_OFFSET` for a chunk row."""
     return f"{OPEN}{ref}/{shard}.{number}"
 
 
@@ -84,7 +84,7 @@
             out += [progress_key(ref, shard, n) for n in range(row_count(tasks, SEGMENT_TASKS))]
             if self.chunked(tasks):
                 chunks = range(row_count(tasks, self.chunk))
-                out += [progress_key(ref, CHUNK_SHARDS + shard, n) for n in chunks]
+                out += [progress_key(ref, CHUNK_SHARD_OFFSET + shard, n) for n in chunks]
         return out
 
     def most_rows(self, tasks: int, shards: int) -> int:
@@ -102,7 +102,7 @@
         rows: list[ResultRow] = []
         for number, tasks in (parts or {0: []}).items():
             if chunked:
-                key = progress_key(job_state.job.ref, CHUNK_SHARDS + shard, number)
+                key = progress_key(job_state.job.ref, CHUNK_SHARD_OFFSET + shard, number)
                 rows.append(ResultRow(key, self._chunk_row(job_state, number), tasks))
             else:
                 key = progress_key(job_state.job.ref, shard, number)
@@ -146,9 +146,9 @@
     """
     if job_state.job.shape is Shape.SERVICE:
         return
-    if row_shard >= CHUNK_SHARDS:
+    if row_shard >= CHUNK_SHARD_OFFSET:
         chunk = msgspec.json.decode(raw, type=ProgressChunk)
-        note_bits(job_state, chunk.first, chunk.bits, own=row_shard - CHUNK_SHARDS == shard)
+        note_bits(job_state, chunk.first, chunk.bits, own=row_shard - CHUNK_SHARD_OFFSET == shard)
         return
     row = msgspec.json.decode(raw, type=Progress)
     own = row_shard == shard and not layout.chunked(job_state.job.tasks)
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -11,7 +11,7 @@
 from basaltlead.controller import Controller
 from basaltlead.shard.leader import ShardLeader
 from basaltlead.shard.open_jobs_watch import OpenJobsWatch
-from basaltlead.storage.result_rows import CHUNK_SHARDS, ResultLayout, split_open
+from basaltlead.storage.result_rows import CHUNK_SHARD_OFFSET, ResultLayout, split_open
 from tests.fakes import old_schemas
 
 
@@ -23,7 +23,7 @@
         if part is None:
             stored = msgspec.json.decode(raw, type=old_schemas.StoredJob)
             raw = msgspec.Raw(msgspec.json.encode(stored))
-        elif part[0] >= CHUNK_SHARDS:
+        elif part[0] >= CHUNK_SHARD_OFFSET:
             assert not msgspec.json.decode(raw, type=old_schemas.Progress).done
             return
         super().take_row(key, raw, version, now)
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -19,7 +19,7 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.limits import TRANSACTION_BYTES, StoreLimits
 from basaltlead.storage.result_rows import (
-    CHUNK_SHARDS,
+    CHUNK_SHARD_OFFSET,
     SEGMENT_TASKS,
     ProgressChunk,
     ResultLayout,
@@ -128,7 +128,7 @@
 
     assert isinstance(new.value, ProgressChunk)
     assert new.value.count == 1  # what the old row holds is not counted twice
-    assert split_open(new.key) == ("req-000001", (CHUNK_SHARDS, 0))
+    assert split_open(new.key) == ("req-000001", (CHUNK_SHARD_OFFSET, 0))
 
 
 def test_budgets_and_machine_types_fit_into_values_however_many_there_are() -> None:
