--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -22,7 +22,7 @@
 SEGMENT_TASKS = 24_576  # tasks whose results share a stretch row: 4 KiB of text
 CHUNK_SHARD_OFFSET = 1000  # shard numbers from this one on stand for chunk rows
 CHUNK_OVERHEAD_BYTES = 128  # bytes of a chunk row in addition to its results
-LEAST_CHUNK = 64  # tasks in a chunk row, however small the limit
+MIN_CHUNK_TASKS = 64  # tasks in a chunk row, however small the limit
 
 
 class Progress(Struct):
@@ -54,7 +54,7 @@
 def chunk_size(value_bytes: int) -> int:
     """How many tasks' results fit into a value of so many bytes, a bit each: base64 makes four
     characters of three bytes."""
-    return max(LEAST_CHUNK, (value_bytes - CHUNK_OVERHEAD_BYTES) // 4 * 3 * 8)
+    return max(MIN_CHUNK_TASKS, (value_bytes - CHUNK_OVERHEAD_BYTES) // 4 * 3 * 8)
 
 
 def progress_key(ref: str, shard: int, number: int) -> str:
