--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -73,7 +73,7 @@
     def __init__(self, value_bytes: int) -> None:
         self.chunk = chunk_size(value_bytes)
 
-    def chunked(self, tasks: int) -> bool:
+    def uses_chunks(self, tasks: int) -> bool:
         """Whether the results of a job of so many tasks are kept in chunk rows."""
         return min(tasks, SEGMENT_TASKS) > self.chunk
 
@@ -82,7 +82,7 @@
         out: list[str] = []
         for shard in shards:
             out += [progress_key(ref, shard, n) for n in range(row_count(tasks, SEGMENT_TASKS))]
-            if self.chunked(tasks):
+            if self.uses_chunks(tasks):
                 chunks = range(row_count(tasks, self.chunk))
                 out += [progress_key(ref, CHUNK_SHARD_OFFSET + shard, n) for n in chunks]
         return out
@@ -94,14 +94,14 @@
     def unstored(self, job_state: JobState, shard: int) -> list[ResultRow]:
         """The rows to be written so that all results of this shard are stored. The first row shows
         how many tasks run, so it is written also if there is no result."""
-        chunked = self.chunked(job_state.job.tasks)
-        size = self.chunk if chunked else SEGMENT_TASKS
+        uses_chunks = self.uses_chunks(job_state.job.tasks)
+        size = self.chunk if uses_chunks else SEGMENT_TASKS
         parts: dict[int, list[int]] = {}
         for index in job_state.unstored:
             parts.setdefault(index // size, []).append(index)
         rows: list[ResultRow] = []
         for number, tasks in (parts or {0: []}).items():
-            if chunked:
+            if uses_chunks:
                 key = progress_key(job_state.job.ref, CHUNK_SHARD_OFFSET + shard, number)
                 rows.append(ResultRow(key, self._chunk_row(job_state, number), tasks))
             else:
@@ -151,7 +151,7 @@
         note_bits(job_state, chunk.first, chunk.bits, own=row_shard - CHUNK_SHARD_OFFSET == shard)
         return
     row = msgspec.json.decode(raw, type=Progress)
-    own = row_shard == shard and not layout.chunked(job_state.job.tasks)
+    own = row_shard == shard and not layout.uses_chunks(job_state.job.tasks)
     note_bits(job_state, number * SEGMENT_TASKS, row.done, own)
 
 
