--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -71,11 +71,11 @@
     """In which rows results are kept, given the largest value in bytes."""
 
     def __init__(self, value_bytes: int) -> None:
-        self.chunk = chunk_size(value_bytes)
+        self.chunk_tasks = chunk_size(value_bytes)
 
     def uses_chunks(self, tasks: int) -> bool:
         """Whether the results of a job of so many tasks are kept in chunk rows."""
-        return min(tasks, SEGMENT_TASKS) > self.chunk
+        return min(tasks, SEGMENT_TASKS) > self.chunk_tasks
 
     def keys(self, ref: str, tasks: int, shards: Iterable[int]) -> list[str]:
         """The key of every row that may hold results of a job."""
@@ -83,19 +83,19 @@
         for shard in shards:
             out += [progress_key(ref, shard, n) for n in range(row_count(tasks, SEGMENT_TASKS))]
             if self.uses_chunks(tasks):
-                chunks = range(row_count(tasks, self.chunk))
+                chunks = range(row_count(tasks, self.chunk_tasks))
                 out += [progress_key(ref, CHUNK_SHARD_OFFSET + shard, n) for n in chunks]
         return out
 
     def most_rows(self, tasks: int, shards: int) -> int:
         """How many rows a job of so many tasks may have at most."""
-        return shards * (row_count(tasks, SEGMENT_TASKS) + row_count(tasks, self.chunk))
+        return shards * (row_count(tasks, SEGMENT_TASKS) + row_count(tasks, self.chunk_tasks))
 
     def unstored(self, job_state: JobState, shard: int) -> list[ResultRow]:
         """The rows to be written so that all results of this shard are stored. The first row shows
         how many tasks run, so it is written also if there is no result."""
         uses_chunks = self.uses_chunks(job_state.job.tasks)
-        size = self.chunk if uses_chunks else SEGMENT_TASKS
+        size = self.chunk_tasks if uses_chunks else SEGMENT_TASKS
         parts: dict[int, list[int]] = {}
         for index in job_state.unstored:
             parts.setdefault(index // size, []).append(index)
@@ -110,8 +110,8 @@
         return rows
 
     def _chunk_row(self, job_state: JobState, number: int) -> ProgressChunk:
-        first = number * self.chunk
-        bits = bytes(job_state.own[first // 8 : (first + self.chunk) // 8])
+        first = number * self.chunk_tasks
+        bits = bytes(job_state.own[first // 8 : (first + self.chunk_tasks) // 8])
         return ProgressChunk(b"", count_bits(bits), shown_running(job_state, number), first, bits)
 
 
