--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -45,7 +45,7 @@
         self.cancellations = cancellations
         self.on_cancelled = on_cancelled
         layout = ResultLayout(settings.store_limits.value_bytes)
-        self._max_rows = 1 + layout.most_rows(MAX_JOB_TASKS, settings.operator.shards)
+        self._max_rows = 1 + layout.max_rows(MAX_JOB_TASKS, settings.operator.shards)
         self._finals: dict[str, FinalState] = {}
 
     def known_final(self, ref: str) -> JobStatus | None:
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -87,7 +87,7 @@
                 out += [progress_key(ref, CHUNK_SHARD_OFFSET + shard, n) for n in chunks]
         return out
 
-    def most_rows(self, tasks: int, shards: int) -> int:
+    def max_rows(self, tasks: int, shards: int) -> int:
         """How many rows a job of so many tasks may have at most."""
         return shards * (row_count(tasks, SEGMENT_TASKS) + row_count(tasks, self.chunk_tasks))
 
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -108,7 +108,7 @@
     assert {index for index in range(tasks) if again.is_done(index)} == wanted
     assert {index for row in rows for index in row.tasks} == wanted
     assert {row.key for row in rows} <= set(layout.keys(job_state.job.ref, tasks, [0]))
-    assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.most_rows(tasks, 1)
+    assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.max_rows(tasks, 1)
     assert sum(row.value.count for row in rows) == len(wanted)
 
 
