--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -148,14 +148,16 @@
         return
     if row_shard >= CHUNK_SHARD_OFFSET:
         chunk = msgspec.json.decode(raw, type=ProgressChunk)
-        note_bits(job_state, chunk.first, chunk.bits, own=row_shard - CHUNK_SHARD_OFFSET == shard)
+        record_bitmap(
+            job_state, chunk.first, chunk.bits, own=row_shard - CHUNK_SHARD_OFFSET == shard
+        )
         return
     row = msgspec.json.decode(raw, type=Progress)
     own = row_shard == shard and not layout.uses_chunks(job_state.job.tasks)
-    note_bits(job_state, number * SEGMENT_TASKS, row.done, own)
+    record_bitmap(job_state, number * SEGMENT_TASKS, row.done, own)
 
 
-def note_bits(job_state: JobState, first: int, bits: bytes, own: bool) -> None:
+def record_bitmap(job_state: JobState, first: int, bits: bytes, own: bool) -> None:
     """Note as done the tasks from `first` on whose bits are set."""
     for offset, byte in enumerate(bits):
         if byte:
