--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -12,7 +12,7 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.records import OPEN, OVER, FinalState
-from basaltlead.storage.result_rows import Progress, ResultLayout, split_open
+from basaltlead.storage.result_rows import Progress, ResultLayout, parse_open_key
 from basaltlead.wire.store import Row
 
 MAX_JOB_TASKS = 100_000  # of one job
@@ -67,7 +67,7 @@
         if self.membership.cut_off:
             raise Unavailable("the state service does not answer")
         page = await self.store.page(OPEN + ref, limit=self._max_rows)
-        rows = [row for row in page.rows if split_open(row.key)[0] == ref]
+        rows = [row for row in page.rows if parse_open_key(row.key)[0] == ref]
         return rows if rows and rows[0].key == OPEN + ref else []
 
     async def read_final(self, ref: str) -> JobStatus | None:
--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -17,7 +17,7 @@
 from basaltlead.runtime.clock import age_us
 from basaltlead.runtime.logs import log
 from basaltlead.storage.records import MACHINE, OPEN, SCALE_OUT, StoredScaleOut
-from basaltlead.storage.result_rows import split_open
+from basaltlead.storage.result_rows import parse_open_key
 from basaltlead.wire.store import Drop, Precondition, Row
 
 PASS_INTERVAL_S = 30.0
@@ -39,7 +39,7 @@
     open_jobs: set[str] = set()
     results: dict[str, list[str]] = {}
     for row in rows:
-        ref, part = split_open(row.key)
+        ref, part = parse_open_key(row.key)
         if part is None:
             open_jobs.add(ref)
         else:
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -29,7 +29,7 @@
     TaskAssignment,
     job_of,
 )
-from basaltlead.storage.result_rows import split_open
+from basaltlead.storage.result_rows import parse_open_key
 from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Precondition, Put, Row
 
@@ -111,7 +111,7 @@
     def _put(self, prefix: str, key: str, raw: msgspec.Raw, version: int) -> None:
         name = key[len(prefix) :]
         if prefix == OPEN:
-            ref, part = split_open(key)
+            ref, part = parse_open_key(key)
             if part is None:
                 job = job_of(msgspec.json.decode(raw, type=StoredJob).submission)
                 self._jobs[ref] = OpenJob(job, version)
@@ -132,7 +132,7 @@
     def _drop(self, prefix: str, key: str) -> None:
         name = key[len(prefix) :]
         if prefix == OPEN:
-            ref, part = split_open(key)
+            ref, part = parse_open_key(key)
             if part is None:
                 self._jobs.pop(ref, None)
         elif prefix == ASSIGNMENT:
--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -12,7 +12,7 @@
 from basaltlead.shard.rebalancer import Rebalancer
 from basaltlead.shard.results import ResultWriter
 from basaltlead.storage.records import OPEN, StoredJob, job_of
-from basaltlead.storage.result_rows import CHUNK_SHARD_OFFSET, load_results, split_open
+from basaltlead.storage.result_rows import CHUNK_SHARD_OFFSET, load_results, parse_open_key
 from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Row
 
@@ -57,7 +57,7 @@
 
     def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
         """Take in a row under `open/`: a job, or results of some of its tasks."""
-        ref, part = split_open(key)
+        ref, part = parse_open_key(key)
         job_state = self.shard.job_states.get(ref)
         if part is None:
             if job_state is None:
@@ -91,12 +91,12 @@
         if change.put is not None:
             self.take_row(change.put, change.value, change.version, now_us())
         elif change.drop is not None:
-            ref, part = split_open(change.drop)
+            ref, part = parse_open_key(change.drop)
             if part is None:
                 self.close(ref)
 
     def _relist(self, rows: list[Row]) -> None:
-        listed = {split_open(row.key)[0] for row in rows}
+        listed = {parse_open_key(row.key)[0] for row in rows}
         for row in rows:
             self.take_row(row.key, row.value, row.version, now_us())
         for ref in [ref for ref in self.shard.job_states if ref not in listed]:
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -11,7 +11,7 @@
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
 from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, FinalState
-from basaltlead.storage.result_rows import split_open
+from basaltlead.storage.result_rows import parse_open_key
 from basaltlead.wire.store import Drop, Precondition, Put
 
 SCAN_INTERVAL_S = 0.1
@@ -152,6 +152,6 @@
         """Drop the rows that an earlier shard leader left behind when their jobs ended."""
         keys_by_job: dict[str, list[str]] = {}
         for key in keys:
-            keys_by_job.setdefault(split_open(key)[0], []).append(key)
+            keys_by_job.setdefault(parse_open_key(key)[0], []).append(key)
         for ref, rows in keys_by_job.items():
             await self._sweep(ref, rows)
--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -180,7 +180,7 @@
     place: RowPlace | None
 
 
-def split_open(key: str) -> OpenKey:
+def parse_open_key(key: str) -> OpenKey:
     """What a key under `open/` stands for."""
     ref, _, tail = key[len(OPEN) :].partition("/")
     shard, _, number = tail.partition(".")
--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -11,7 +11,7 @@
 from basaltlead.controller import Controller
 from basaltlead.shard.leader import ShardLeader
 from basaltlead.shard.open_jobs_watch import OpenJobsWatch
-from basaltlead.storage.result_rows import CHUNK_SHARD_OFFSET, ResultLayout, split_open
+from basaltlead.storage.result_rows import CHUNK_SHARD_OFFSET, ResultLayout, parse_open_key
 from tests.fakes import old_schemas
 
 
@@ -19,7 +19,7 @@
     """Takes a service for an array, and of a chunk row sees an empty list."""
 
     def take_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
-        _, part = split_open(key)
+        _, part = parse_open_key(key)
         if part is None:
             stored = msgspec.json.decode(raw, type=old_schemas.StoredJob)
             raw = msgspec.Raw(msgspec.json.encode(stored))
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -24,7 +24,7 @@
     ProgressChunk,
     ResultLayout,
     load_results,
-    split_open,
+    parse_open_key,
 )
 from basaltlead.wire.cloud import MachineTypeInfo
 from basaltlead.wire.store import Drop, Precondition, Put
@@ -101,7 +101,7 @@
     for row in rows:
         raw = encode(row.value)
         assert len(raw) <= value_bytes
-        _, part = split_open(row.key)
+        _, part = parse_open_key(row.key)
         assert part is not None
         load_results(again, 0, *part, msgspec.Raw(raw), layout)
 
@@ -128,7 +128,7 @@
 
     assert isinstance(new.value, ProgressChunk)
     assert new.value.count == 1  # what the old row holds is not counted twice
-    assert split_open(new.key) == ("req-000001", (CHUNK_SHARD_OFFSET, 0))
+    assert parse_open_key(new.key) == ("req-000001", (CHUNK_SHARD_OFFSET, 0))
 
 
 def test_budgets_and_machine_types_fit_into_values_however_many_there_are() -> None:
