--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -166,7 +166,7 @@
                     job_state.note(first + offset * 8 + bit, own)
 
 
-class RowPlace(NamedTuple):
+class ResultRowId(NamedTuple):
     """Which row of results of a job: the shard that its key names, and its number."""
 
     shard: int
@@ -177,7 +177,7 @@
     """A key under `open/`: the job, and the row of results, None if it is the job's own key."""
 
     ref: str
-    place: RowPlace | None
+    place: ResultRowId | None
 
 
 def parse_open_key(key: str) -> OpenKey:
@@ -185,5 +185,5 @@
     ref, _, tail = key[len(OPEN) :].partition("/")
     shard, _, number = tail.partition(".")
     if shard.isdigit() and number.isdigit():
-        return OpenKey(ref, RowPlace(int(shard), int(number)))
+        return OpenKey(ref, ResultRowId(int(shard), int(number)))
     return OpenKey(ref, None)
