--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -177,7 +177,7 @@
     """A key under `open/`: the job, and the row of results, None if it is the job's own key."""
 
     ref: str
-    place: ResultRowId | None
+    result_row: ResultRowId | None
 
 
 def parse_open_key(key: str) -> OpenKey:
