--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -11,7 +11,7 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Change, Row
 
-SHORTEST_RETRY_US = 100_000
+MIN_RETRY_DELAY_US = 100_000
 LONGEST_RETRY_US = 1_000_000
 
 LoadRows = Callable[[list[Row]], None]
@@ -45,7 +45,7 @@
         after each list or watch that was answered, with the time at which it was *sent* and
         whether it brought changes: only what was recorded before that time is known for certain.
         """
-        backoff = Backoff(SHORTEST_RETRY_US, LONGEST_RETRY_US, rng)
+        backoff = Backoff(MIN_RETRY_DELAY_US, LONGEST_RETRY_US, rng)
         while True:
             try:
                 if self.revision is None:
