--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -12,7 +12,7 @@
 from basaltlead.wire.store import Change, Row
 
 MIN_RETRY_DELAY_US = 100_000
-LONGEST_RETRY_US = 1_000_000
+MAX_RETRY_DELAY_US = 1_000_000
 
 LoadRows = Callable[[list[Row]], None]
 ApplyChange = Callable[[Change], None]
@@ -45,7 +45,7 @@
         after each list or watch that was answered, with the time at which it was *sent* and
         whether it brought changes: only what was recorded before that time is known for certain.
         """
-        backoff = Backoff(MIN_RETRY_DELAY_US, LONGEST_RETRY_US, rng)
+        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, rng)
         while True:
             try:
                 if self.revision is None:
