--- a/basaltlead/clients/backoff.py
+++ b/basaltlead/clients/backoff.py
@@ -11,15 +11,15 @@
     again together.
     """
 
-    def __init__(self, low_us: int, high_us: int, rng: random.Random) -> None:
-        self.low_us = low_us
+    def __init__(self, min_us: int, high_us: int, rng: random.Random) -> None:
+        self.min_us = min_us
         self.high_us = high_us
         self.rng = rng
-        self.pause_us = low_us
+        self.pause_us = min_us
 
     def reset(self) -> None:
         """Begin with the shortest pause again, after an attempt that succeeded."""
-        self.pause_us = self.low_us
+        self.pause_us = self.min_us
 
     def next_us(self) -> int:
         """The length of the next pause; the one after it is twice as long."""
