--- a/basaltlead/clients/backoff.py
+++ b/basaltlead/clients/backoff.py
@@ -11,9 +11,9 @@
     again together.
     """
 
-    def __init__(self, min_us: int, high_us: int, rng: random.Random) -> None:
+    def __init__(self, min_us: int, max_us: int, rng: random.Random) -> None:
         self.min_us = min_us
-        self.high_us = high_us
+        self.max_us = max_us
         self.rng = rng
         self.pause_us = min_us
 
@@ -24,7 +24,7 @@
     def next_us(self) -> int:
         """The length of the next pause; the one after it is twice as long."""
         pause_us = self.pause_us
-        self.pause_us = min(self.high_us, pause_us * 2)
+        self.pause_us = min(self.max_us, pause_us * 2)
         return int(pause_us * self.rng.uniform(0.5, 1.0))
 
     async def wait(self) -> None:
