--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -54,9 +54,9 @@
     def __init__(self, address: str, rps: float) -> None:
         self.pool = Pool(address, limit=CONNECTIONS)
         self.unanswered_since = 0  # since when no call got any answer; 0: the last one did
-        self.use_rate(rps)
+        self.set_rate(rps)
 
-    def use_rate(self, rps: float) -> None:
+    def set_rate(self, rps: float) -> None:
         """From now on make so many calls a second at most."""
         self.budget = RateBudget(max(LEAST_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
 
--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -58,7 +58,7 @@
         rate = self.services.settings.facts.cloud.rps * share
         if rate != self.cloud_rate:
             self.cloud_rate = rate
-            self.cloud.use_rate(rate)
+            self.cloud.set_rate(rate)
 
     async def release_stepped_down(self) -> None:
         """Release the duties whose holders have stepped down, for other controllers to acquire."""
