--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -31,7 +31,7 @@
 TIMEOUT_US = 4_000_000
 CONNECTIONS = 6
 RATE_SHARE = 0.85  # of our part of the allowed rate
-LEAST_RATE = 0.2
+MIN_RATE = 0.2
 BURST_S = 1.5  # seconds' worth of that part that may be called at once
 STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
 STATUSES_REJECTED = (
@@ -58,7 +58,7 @@
 
     def set_rate(self, rps: float) -> None:
         """From now on make so many calls a second at most."""
-        self.budget = RateBudget(max(LEAST_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
+        self.budget = RateBudget(max(MIN_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
 
     def reset_unanswered(self) -> None:
         """Measure anew for how long the cloud has not answered."""
