--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -4,7 +4,7 @@
 from urllib.parse import quote
 
 from basaltlead.clients.codec import decode, encode
-from basaltlead.clients.rate_budget import RateBudget
+from basaltlead.clients.rate_budget import RateLimiter
 from basaltlead.errors import NoCapacity, RequestFailed, RequestRejected, Unavailable
 from basaltlead.net.http.client import Pool
 from basaltlead.net.http.messages import (
@@ -58,7 +58,7 @@
 
     def set_rate(self, rps: float) -> None:
         """From now on make so many calls a second at most."""
-        self.budget = RateBudget(max(MIN_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
+        self.budget = RateLimiter(max(MIN_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
 
     def reset_unanswered(self) -> None:
         """Measure anew for how long the cloud has not answered."""
--- a/basaltlead/clients/rate_budget.py
+++ b/basaltlead/clients/rate_budget.py
@@ -6,7 +6,7 @@
 ROUNDING_S = 1e-6  # waits below this are rounding errors of the arithmetic
 
 
-class RateBudget:
+class RateLimiter:
     """A rate with a burst of one second's worth (a leaky bucket, measured in time).
 
     `full_at` is the time at which the budget will be whole again if nothing more is taken.
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from basaltlead.clients.codec import decode, encode
-from basaltlead.clients.rate_budget import RateBudget
+from basaltlead.clients.rate_budget import RateLimiter
 from basaltlead.errors import (
     PreconditionFailed,
     RequestFailed,
@@ -79,11 +79,11 @@
         self.pool = Pool(address, limit=CONNECTIONS)
         self.watches = Pool(address, limit=WATCH_CONNECTIONS)
         self.renewals = Pool(address, limit=RENEWAL_CONNECTIONS)
-        self.requests = RateBudget(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
+        self.requests = RateLimiter(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
         # Shard leaders store results; all others only what users request now and then.
         share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
         rate = limits.write_rps * WRITES_SHARE * share
-        self.writes = RateBudget(max(0.5, rate), burst=max(1.0, rate))
+        self.writes = RateLimiter(max(0.5, rate), burst=max(1.0, rate))
 
     def queue_delay_s(self, writing: bool) -> float:
         """How many seconds a user's request would have to wait for its turn."""
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from basaltlead.clients.rate_budget import RateBudget
+from basaltlead.clients.rate_budget import RateLimiter
 from basaltlead.clients.workers import Workers
 from basaltlead.errors import RequestFailed
 from basaltlead.net.http.client import Pool
@@ -336,7 +336,7 @@
 @simulated
 async def test_background_writes_wait_for_user_writes(loop: Loop) -> None:
     """Hundreds of machines and results fill the limit on writes by themselves."""
-    budget = RateBudget(rate=20.0)
+    budget = RateLimiter(rate=20.0)
     records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
     for _ in range(10):
         await asyncio.sleep(0.5)
