--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -4,7 +4,7 @@
 from urllib.parse import quote
 
 from basaltlead.clients.codec import decode, encode
-from basaltlead.clients.rate_budget import RateLimiter
+from basaltlead.clients.rate_limiter import RateLimiter
 from basaltlead.errors import NoCapacity, RequestFailed, RequestRejected, Unavailable
 from basaltlead.net.http.client import Pool
 from basaltlead.net.http.messages import (
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from basaltlead.clients.codec import decode, encode
-from basaltlead.clients.rate_budget import RateLimiter
+from basaltlead.clients.rate_limiter import RateLimiter
 from basaltlead.errors import (
     PreconditionFailed,
     RequestFailed,
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from basaltlead.clients.rate_budget import RateLimiter
+from basaltlead.clients.rate_limiter import RateLimiter
 from basaltlead.clients.workers import Workers
 from basaltlead.errors import RequestFailed
 from basaltlead.net.http.client import Pool
