--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -79,7 +79,7 @@
         self.pool = Pool(address, limit=CONNECTIONS)
         self.watches = Pool(address, limit=WATCH_CONNECTIONS)
         self.renewals = Pool(address, limit=RENEWAL_CONNECTIONS)
-        self.requests = RateLimiter(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
+        self.request_limiter = RateLimiter(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
         # Shard leaders store results; all others only what users request now and then.
         share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
         rate = limits.write_rps * WRITES_SHARE * share
@@ -87,13 +87,13 @@
 
     def queue_delay_s(self, writing: bool) -> float:
         """How many seconds a user's request would have to wait for its turn."""
-        waits = self.requests.queue_delay_s()
+        waits = self.request_limiter.queue_delay_s()
         return max(waits, self.writes.queue_delay_s()) if writing else waits
 
     async def _call(
         self, method: str, path: str, raw: bytes = b"", timeout_us: int = CALL_TIMEOUT_US
     ) -> HttpAnswer:
-        await self.requests.take()
+        await self.request_limiter.take()
         return self._checked(await self.pool.request(method, path, raw, timeout_us))
 
     @staticmethod
@@ -186,7 +186,7 @@
 
         Raises `RevisionCompacted` if the store no longer keeps the changes from there on.
         """
-        await self.requests.take()
+        await self.request_limiter.take()
         status, body = self._checked(
             await self.watches.request(
                 "GET",
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -288,7 +288,7 @@
     await deployment.start_with_running_job(1, 60.0)
     desk = deployment.controllers["node-0"].user_api
 
-    desk.store.requests.full_at = loop.time() + 60.0
+    desk.store.request_limiter.full_at = loop.time() + 60.0
     bad = await desk.handle(Request("POST", "/api/jobs", "", b"[]"))
     assert bad.status == 400  # malformed is told apart, and not asked again
     pool = Pool(dict(deployment.front_addresses())["node-0"], 1)
@@ -296,7 +296,7 @@
     status, _ = await pool.request("GET", "/api/jobs/req-000001")
     assert status == 503
     assert loop.time() - asked < 0.1
-    desk.store.requests.full_at = 0.0
+    desk.store.request_limiter.full_at = 0.0
     answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 200
     # Connections hang: nobody answers, nobody refuses
