--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -146,7 +146,7 @@
         machines = self.context.shard.machines
         unrecorded = sum(not machine.recorded for machine in machines.values())
         span_s = self.demand.shortest_boot_us() / US + RECORD_S
-        recordable = int(span_s * self.context.store.client.writes.rate) - unrecorded
+        recordable = int(span_s * self.context.store.client.write_limiter.rate) - unrecorded
         return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
     def _update_silent_zones(self, now: int) -> None:
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -83,12 +83,12 @@
         # Shard leaders store results; all others only what users request now and then.
         share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
         rate = limits.write_rps * WRITES_SHARE * share
-        self.writes = RateLimiter(max(0.5, rate), burst=max(1.0, rate))
+        self.write_limiter = RateLimiter(max(0.5, rate), burst=max(1.0, rate))
 
     def queue_delay_s(self, writing: bool) -> float:
         """How many seconds a user's request would have to wait for its turn."""
         waits = self.request_limiter.queue_delay_s()
-        return max(waits, self.writes.queue_delay_s()) if writing else waits
+        return max(waits, self.write_limiter.queue_delay_s()) if writing else waits
 
     async def _call(
         self, method: str, path: str, raw: bytes = b"", timeout_us: int = CALL_TIMEOUT_US
@@ -152,7 +152,7 @@
         submissions and cancellations go first.
         """
         raw = self._encoded(preconditions, apply)
-        take = self.writes.take_low_priority if low_priority else self.writes.take
+        take = self.write_limiter.take_low_priority if low_priority else self.write_limiter.take
         await take(max(1, len(apply)))
         status, body = await self._call("POST", "/multi", raw)
         if status == STATUS_OK:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -124,7 +124,7 @@
     name = await deployment.start_with_running_job(8, 4.0)
     # Has results to store all the time
     await deployment.submit(deployment.job(2, Pieces=40, RunS=4.0))
-    writes = deployment.controllers[name].shard_leaders[0].context.store.client.writes
+    writes = deployment.controllers[name].shard_leaders[0].context.store.client.write_limiter
 
     records = [loop.create_task(writes.take_low_priority(4)) for _ in range(100)]
     await deployment.submit(deployment.job(3, RunS=2.0, Rank="high"))
