--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -77,7 +77,7 @@
         """`nodes` is the number of controllers, `writers` that of those that lead a shard."""
         self.limits = limits
         self.pool = Pool(address, limit=CONNECTIONS)
-        self.watches = Pool(address, limit=WATCH_CONNECTIONS)
+        self.watch_pool = Pool(address, limit=WATCH_CONNECTIONS)
         self.renewals = Pool(address, limit=RENEWAL_CONNECTIONS)
         self.request_limiter = RateLimiter(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
         # Shard leaders store results; all others only what users request now and then.
@@ -188,7 +188,7 @@
         """
         await self.request_limiter.take()
         status, body = self._checked(
-            await self.watches.request(
+            await self.watch_pool.request(
                 "GET",
                 f"/changes?Starts={quote(prefix, safe='/')}&Since={since}&HoldMs={hold_ms}",
                 timeout_us=hold_ms * 1000 + WATCH_TIMEOUT_MARGIN_US,
