--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -78,7 +78,7 @@
         self.limits = limits
         self.pool = Pool(address, limit=CONNECTIONS)
         self.watch_pool = Pool(address, limit=WATCH_CONNECTIONS)
-        self.renewals = Pool(address, limit=RENEWAL_CONNECTIONS)
+        self.renewal_pool = Pool(address, limit=RENEWAL_CONNECTIONS)
         self.request_limiter = RateLimiter(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
         # Shard leaders store results; all others only what users request now and then.
         share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
@@ -203,7 +203,7 @@
     async def create_lease(self, ttl_us: int) -> int:
         """The number of a new lease, valid for `ttl_us` from some time after this was sent."""
         status, body = self._checked(
-            await self.renewals.request("POST", "/holds", encode({"TtlMs": ttl_us // 1000}))
+            await self.renewal_pool.request("POST", "/holds", encode({"TtlMs": ttl_us // 1000}))
         )
         if status not in (STATUS_OK, STATUS_CREATED):
             raise RequestFailed(f"session lease: {status}", sent=True)
@@ -212,7 +212,9 @@
     async def renew_lease(self, session_lease: int, timeout_us: int) -> None:
         """Let a lease last its whole time again. Raises `SessionLeaseExpired` if it has ended."""
         status, _ = self._checked(
-            await self.renewals.request("POST", f"/holds/{session_lease}/touch", b"", timeout_us)
+            await self.renewal_pool.request(
+                "POST", f"/holds/{session_lease}/touch", b"", timeout_us
+            )
         )
         if status == STATUS_NOT_FOUND:
             raise SessionLeaseExpired
