--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -58,7 +58,9 @@
 
     def set_rate(self, rps: float) -> None:
         """From now on make so many calls a second at most."""
-        self.budget = RateLimiter(max(MIN_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S))
+        self.rate_limiter = RateLimiter(
+            max(MIN_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S)
+        )
 
     def reset_unanswered(self) -> None:
         """Measure anew for how long the cloud has not answered."""
@@ -71,7 +73,7 @@
         body: bytes = b"",
         may_send: Callable[[], bool] = lambda: True,
     ) -> bytes:
-        await self.budget.take()
+        await self.rate_limiter.take()
         try:
             status, answer = await self.pool.request(method, path, body, TIMEOUT_US, may_send)
         except RequestFailed:
