--- a/basaltlead/clients/rate_limiter.py
+++ b/basaltlead/clients/rate_limiter.py
@@ -15,21 +15,21 @@
     def __init__(self, rate: float, burst: float | None = None) -> None:
         """`rate` and `burst` are in calls a second and calls."""
         self.rate = rate
-        self.gap = 1.0 / rate
-        self.depth = (burst if burst is not None else rate) * self.gap
+        self.interval_s = 1.0 / rate
+        self.depth = (burst if burst is not None else rate) * self.interval_s
         self.full_at = 0.0
         self.low_priority = asyncio.Lock()  # held by the first of those that can wait
 
     def queue_delay_s(self) -> float:
         """How long the next caller of `take` would have to wait, in seconds."""
         late = self.full_at - asyncio.get_running_loop().time() - self.depth
-        return max(0.0, late + self.gap)
+        return max(0.0, late + self.interval_s)
 
     async def take(self, amount: float = 1.0) -> None:
         """Take so many calls from the budget, and wait until they are allowed."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self.full_at = max(self.full_at, now) + amount * self.gap
+        self.full_at = max(self.full_at, now) + amount * self.interval_s
         wait = self.full_at - now - self.depth
         if wait > 0:
             await asyncio.sleep(wait)
@@ -42,8 +42,8 @@
             while True:
                 now = loop.time()
                 used = max(self.full_at, now) - now
-                wait = used - max(0.0, self.depth / 2 - amount * self.gap)
+                wait = used - max(0.0, self.depth / 2 - amount * self.interval_s)
                 if wait <= ROUNDING_S:
                     break
                 await asyncio.sleep(max(wait, SHORTEST_SLEEP_S))
-            self.full_at = max(self.full_at, now) + amount * self.gap
+            self.full_at = max(self.full_at, now) + amount * self.interval_s
