--- a/basaltlead/clients/rate_limiter.py
+++ b/basaltlead/clients/rate_limiter.py
@@ -16,13 +16,13 @@
         """`rate` and `burst` are in calls a second and calls."""
         self.rate = rate
         self.interval_s = 1.0 / rate
-        self.depth = (burst if burst is not None else rate) * self.interval_s
+        self.burst_s = (burst if burst is not None else rate) * self.interval_s
         self.full_at = 0.0
         self.low_priority = asyncio.Lock()  # held by the first of those that can wait
 
     def queue_delay_s(self) -> float:
         """How long the next caller of `take` would have to wait, in seconds."""
-        late = self.full_at - asyncio.get_running_loop().time() - self.depth
+        late = self.full_at - asyncio.get_running_loop().time() - self.burst_s
         return max(0.0, late + self.interval_s)
 
     async def take(self, amount: float = 1.0) -> None:
@@ -30,7 +30,7 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         self.full_at = max(self.full_at, now) + amount * self.interval_s
-        wait = self.full_at - now - self.depth
+        wait = self.full_at - now - self.burst_s
         if wait > 0:
             await asyncio.sleep(wait)
 
@@ -42,7 +42,7 @@
             while True:
                 now = loop.time()
                 used = max(self.full_at, now) - now
-                wait = used - max(0.0, self.depth / 2 - amount * self.interval_s)
+                wait = used - max(0.0, self.burst_s / 2 - amount * self.interval_s)
                 if wait <= ROUNDING_S:
                     break
                 await asyncio.sleep(max(wait, SHORTEST_SLEEP_S))
