--- a/basaltlead/clients/rate_limiter.py
+++ b/basaltlead/clients/rate_limiter.py
@@ -18,7 +18,7 @@
         self.interval_s = 1.0 / rate
         self.burst_s = (burst if burst is not None else rate) * self.interval_s
         self.full_at = 0.0
-        self.low_priority = asyncio.Lock()  # held by the first of those that can wait
+        self.low_priority_lock = asyncio.Lock()  # held by the first of those that can wait
 
     def queue_delay_s(self) -> float:
         """How long the next caller of `take` would have to wait, in seconds."""
@@ -38,7 +38,7 @@
         """Take calls that can wait: one caller at a time, and only while half of the burst is left,
         so that whoever calls `take` meanwhile finds no queue before it."""
         loop = asyncio.get_running_loop()
-        async with self.low_priority:
+        async with self.low_priority_lock:
             while True:
                 now = loop.time()
                 used = max(self.full_at, now) - now
