--- a/basaltlead/clients/rate_limiter.py
+++ b/basaltlead/clients/rate_limiter.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-SHORTEST_SLEEP_S = 0.001  # timers are no finer
+MIN_SLEEP_S = 0.001  # timers are no finer
 ROUNDING_S = 1e-6  # waits below this are rounding errors of the arithmetic
 
 
@@ -45,5 +45,5 @@
                 wait = used - max(0.0, self.burst_s / 2 - amount * self.interval_s)
                 if wait <= ROUNDING_S:
                     break
-                await asyncio.sleep(max(wait, SHORTEST_SLEEP_S))
+                await asyncio.sleep(max(wait, MIN_SLEEP_S))
             self.full_at = max(self.full_at, now) + amount * self.interval_s
