--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -21,7 +21,7 @@
     heartbeat: Heartbeat
 
 
-class Workers:
+class WorkerClient:
     """Connections to workers, one a machine; a machine that does not answer delays no other.
 
     There may be far more machines than a controller has sockets: only so many are called at once,
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -7,7 +7,7 @@
 from basaltlead.api.routing import HeartbeatApi, Router
 from basaltlead.api.users import UserApi
 from basaltlead.clients.cloud import Cloud
-from basaltlead.clients.workers import Workers
+from basaltlead.clients.workers import WorkerClient
 from basaltlead.cluster.cancellation_exchange import CancellationExchange
 from basaltlead.cluster.election import LeaderElection
 from basaltlead.cluster.membership import Membership
@@ -182,7 +182,7 @@
             self.result_layout(),
             self.machine_types,
             BackgroundTasks(lease.step_down),  # a fresh grant starts from what is stored
-            Workers(worker_sockets(settings), self._worker_sockets_left),
+            WorkerClient(worker_sockets(settings), self._worker_sockets_left),
         )
         market = new_market(settings)
         leader = self.shard_leader_class(context, market, self.cancellations.__contains__)
--- a/basaltlead/shard/context.py
+++ b/basaltlead/shard/context.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from basaltlead.clients.workers import Workers
+from basaltlead.clients.workers import WorkerClient
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
 from basaltlead.core.jobs import US, MachineType
@@ -43,7 +43,7 @@
     layout: ResultLayout
     machine_types: dict[str, MachineType]
     tasks: BackgroundTasks
-    workers: Workers
+    workers: WorkerClient
     intents: ScalingIntents = field(default_factory=ScalingIntents)
     wake: asyncio.Event = field(default_factory=asyncio.Event)  # something may be startable now
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from basaltlead.clients.workers import Workers
+from basaltlead.clients.workers import WorkerClient
 from basaltlead.core.entities import Machine
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.dispatcher import WorkerDispatcher, worker_sockets
@@ -148,7 +148,7 @@
 
     (live,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
     context = shard_leader.context
-    own_connections = Workers(worker_sockets(context.settings))  # from the test's own host
+    own_connections = WorkerClient(worker_sockets(context.settings))  # from the test's own host
     context = msgspec.structs.replace(context, workers=own_connections)
     shard_leader.dispatcher = WorkerDispatcher(context)
     for number in range(2 * shard_leader.dispatcher.workers.most):
