--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -30,17 +30,17 @@
 
     def __init__(
         self,
-        most: int,
+        max_connections: int,
         sockets_available: Callable[[], int] | None = None,
         timeout_us: int = TIMEOUT_US,
     ) -> None:
-        """`most` connections at any time, fewer when `sockets_available` returns less because
+        """At most `max_connections` are open, fewer when `sockets_available` returns less because
         others need them."""
         self.timeout_us = timeout_us
-        self.most = most
-        self.sockets_available = sockets_available or (lambda: most)
+        self.max_connections = max_connections
+        self.sockets_available = sockets_available or (lambda: max_connections)
         self.pools: dict[str, Pool] = {}  # the least recently used first
-        self.calls = asyncio.Semaphore(most)
+        self.calls = asyncio.Semaphore(max_connections)
 
     async def command(
         self, address: str, command: DirectCommand, may_send: Callable[[], bool] = lambda: True
@@ -65,7 +65,10 @@
 
     def _make_room(self) -> None:
         """Close idle connections until there is room for one more."""
-        while len(self.pools) >= min(self.most, self.sockets_available()) and self.close_idle():
+        while (
+            len(self.pools) >= min(self.max_connections, self.sockets_available())
+            and self.close_idle()
+        ):
             pass
 
     def close_idle(self) -> bool:
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -324,7 +324,7 @@
     addresses = [f"10.1.1.{number}:9000" for number in range(12)]
     for address in addresses:
         await Server(machine.handle, 100).start(address)
-    workers = WorkerClient(most=4)
+    workers = WorkerClient(max_connections=4)
     command = DirectCommand(0, 1, [])
     asked = [workers.command(address, command) for address in addresses]
     answers = await asyncio.gather(*asked)
@@ -354,7 +354,7 @@
     await deployment.start_with_running_job(1, 60.0)
     machine = next(iter(deployment.cloud.machines.values()))
 
-    workers = WorkerClient(most=4)
+    workers = WorkerClient(max_connections=4)
 
     def handle(request: Request) -> Response:
         return Response(200, b"{}")
@@ -389,7 +389,7 @@
     (machine,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
     (attempt,) = machine.attempts.values()
     halt = WorkerCommand("halt", "req-000001/0", attempt.attempt_number, 0.0)
-    workers = WorkerClient(most=1)
+    workers = WorkerClient(max_connections=1)
     async with workers.calls:
         command = DirectCommand(shard_leader.lease.fencing_token, machine.epoch, [halt])
         asked = loop.create_task(
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -151,7 +151,7 @@
     own_connections = WorkerClient(worker_sockets(context.settings))  # from the test's own host
     context = msgspec.structs.replace(context, workers=own_connections)
     shard_leader.dispatcher = WorkerDispatcher(context)
-    for number in range(2 * shard_leader.dispatcher.workers.most):
+    for number in range(2 * shard_leader.dispatcher.workers.max_connections):
         silent = Machine(f"m-9{number:05d}", live.machine_type, "b", False, now_us())
         silent.address = f"10.1.3.{number}:9000"
         deployment.net.cut(HOST.get(), f"10.1.3.{number}")  # this test sends from there
