--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -14,7 +14,7 @@
 MOST_ANSWER_BYTES = 4 * 1024 * 1024
 
 
-class CommandAnswer(NamedTuple):
+class CommandResponse(NamedTuple):
     """A worker's answer to pushed commands."""
 
     executed: bool  # else refused: a newer fencing token was seen, or the epoch is another one
@@ -44,7 +44,7 @@
 
     async def command(
         self, address: str, command: DirectCommand, may_send: Callable[[], bool] = lambda: True
-    ) -> CommandAnswer:
+    ) -> CommandResponse:
         """Push commands to a worker and await its answer.
 
         `may_send` is called when they are about to be sent. Raises `RequestFailed` if it
@@ -61,7 +61,7 @@
             )
         if status not in (STATUS_OK, STATUS_CONFLICT):
             raise RequestFailed(f"worker: {status}", sent=True)
-        return CommandAnswer(status == STATUS_OK, decode(body, Heartbeat))
+        return CommandResponse(status == STATUS_OK, decode(body, Heartbeat))
 
     def _make_room(self) -> None:
         """Close idle connections until there is room for one more."""
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from basaltlead.clients.workers import CommandAnswer
+from basaltlead.clients.workers import CommandResponse
 from basaltlead.config.settings import Settings
 from basaltlead.core.commands import TaskCommand
 from basaltlead.core.entities import Attempt, Machine
@@ -125,7 +125,7 @@
                 self.shard.mark_unreachable(machine, now_us())
             self.context.wake.set()
 
-    async def _send(self, machine: Machine, push: PushedCommands) -> CommandAnswer:
+    async def _send(self, machine: Machine, push: PushedCommands) -> CommandResponse:
         """Send commands; whether they were executed, and the machine's report after them."""
         worker_commands = [to_worker_command(command) for command in push.commands]
         request = DirectCommand(self.lease.fencing_token, push.epoch, worker_commands)
