--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -40,7 +40,7 @@
         self.max_connections = max_connections
         self.sockets_available = sockets_available or (lambda: max_connections)
         self.pools: dict[str, Pool] = {}  # the least recently used first
-        self.calls = asyncio.Semaphore(max_connections)
+        self.call_slots = asyncio.Semaphore(max_connections)
 
     async def command(
         self, address: str, command: DirectCommand, may_send: Callable[[], bool] = lambda: True
@@ -50,7 +50,7 @@
         `may_send` is called when they are about to be sent. Raises `RequestFailed` if it
         returns False, or if there is no usable answer.
         """
-        async with self.calls:
+        async with self.call_slots:
             pool = self.pools.pop(address, None)
             if pool is None:
                 pool = Pool(address, limit=1, most_answer_bytes=MOST_ANSWER_BYTES)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -390,7 +390,7 @@
     (attempt,) = machine.attempts.values()
     halt = WorkerCommand("halt", "req-000001/0", attempt.attempt_number, 0.0)
     workers = WorkerClient(max_connections=1)
-    async with workers.calls:
+    async with workers.call_slots:
         command = DirectCommand(shard_leader.lease.fencing_token, machine.epoch, [halt])
         asked = loop.create_task(
             workers.command(machine.address, command, lambda: shard_leader.holds_valid_lease)
