--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -54,7 +54,7 @@
             pool = self.pools.pop(address, None)
             if pool is None:
                 pool = Pool(address, limit=1, most_answer_bytes=MOST_ANSWER_BYTES)
-            self._make_room()
+            self._close_excess_idle()
             self.pools[address] = pool
             status, body = await pool.request(
                 "POST", "/do", encode(command), self.timeout_us, may_send
@@ -63,7 +63,7 @@
             raise RequestFailed(f"worker: {status}", sent=True)
         return CommandResponse(status == STATUS_OK, decode(body, Heartbeat))
 
-    def _make_room(self) -> None:
+    def _close_excess_idle(self) -> None:
         """Close idle connections until there is room for one more."""
         while (
             len(self.pools) >= min(self.max_connections, self.sockets_available())
