--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -16,7 +16,7 @@
 from basaltlead.core.jobs import MachineType
 from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
 from basaltlead.net.http.messages import GET, POST, Request, Response
-from basaltlead.net.limiter import Limiter
+from basaltlead.net.limiter import ConcurrencyLimiter
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.shard.leader import team_quotas
@@ -56,7 +56,7 @@
         self.teams = team_quotas(settings)
         self.admission = AdmissionCheck(self.teams, machine_types)
         self.jobs = JobReader(settings, store, membership, cancellations, on_cancelled)
-        self.limiter = Limiter()
+        self.limiter = ConcurrencyLimiter()
         self._log_limiter = LogRateLimiter()
 
     async def handle(self, request: Request) -> Response:
--- a/basaltlead/net/limiter.py
+++ b/basaltlead/net/limiter.py
@@ -13,7 +13,7 @@
 DECREASE = 0.95
 
 
-class Limiter:
+class ConcurrencyLimiter:
     """A limit on requests in progress that follows measured times."""
 
     def __init__(self, low: int = 4, high: int = 256) -> None:
