--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -15,8 +15,8 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.jobs import MachineType
 from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
+from basaltlead.net.concurrency_limiter import ConcurrencyLimiter
 from basaltlead.net.http.messages import GET, POST, Request, Response
-from basaltlead.net.limiter import ConcurrencyLimiter
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.shard.leader import team_quotas
