--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -69,7 +69,7 @@
                 return refusal(400, str(fault)[:200])
         if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUED_S:
             return refusal(503, "busy", RETRY_LATER)
-        if not self.limiter.enter():
+        if not self.limiter.acquire():
             return refusal(503, "busy", RETRY_SOON)
         started = now_us()
         try:
--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -24,7 +24,7 @@
         self.best_us = 0.0
         self.mean_us = 0.0
 
-    def enter(self) -> bool:
+    def acquire(self) -> bool:
         """Whether one more request may start; if so, it is counted until `leave`."""
         if self.running >= int(self.limit):
             return False
