--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -82,7 +82,7 @@
                 log.info("%s %s answered 503: %s", request.method, request.path, fault)
             return refusal(503, "not sure right now", RETRY_SOON)
         finally:
-            self.limiter.leave(now_us() - started)
+            self.limiter.release(now_us() - started)
 
     async def _route(self, request: Request) -> Response:
         rest = request.path.removeprefix(JOBS_PATH)
--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -25,13 +25,13 @@
         self.mean_us = 0.0
 
     def acquire(self) -> bool:
-        """Whether one more request may start; if so, it is counted until `leave`."""
+        """Whether one more request may start; if so, it is counted until `release`."""
         if self.running >= int(self.limit):
             return False
         self.running += 1
         return True
 
-    def leave(self, took_us: int) -> None:
+    def release(self, took_us: int) -> None:
         """A request is answered after so long: adjust the limit."""
         self.running -= 1
         took = float(max(took_us, 1))
