--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -7,7 +7,7 @@
 MOST_LENGTH_DIGITS = 12
 
 
-class BadFrame(Exception):
+class MalformedFrame(Exception):
     """Bytes that are no netstring."""
 
 
@@ -24,23 +24,23 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in bytes; the frames that are whole now. Raises `BadFrame`."""
+        """Take in bytes; the frames that are whole now. Raises `MalformedFrame`."""
         self.buffer += data
         out: list[bytes] = []
         while self.buffer:
             colon = self.buffer.find(b":", 0, MOST_LENGTH_DIGITS)
             if colon < 0:
                 if len(self.buffer) >= MOST_LENGTH_DIGITS or not self.buffer.isdigit():
-                    raise BadFrame("no length")
+                    raise MalformedFrame("no length")
                 break
             digits = bytes(self.buffer[:colon])
             if not digits.isdigit() or int(digits) > self.limit:
-                raise BadFrame("bad length")
+                raise MalformedFrame("bad length")
             end = colon + 1 + int(digits)
             if len(self.buffer) <= end:
                 break
             if self.buffer[end] != ord(","):
-                raise BadFrame("no comma")
+                raise MalformedFrame("no comma")
             out.append(bytes(self.buffer[colon + 1 : end]))
             del self.buffer[: end + 1]
         return out
@@ -74,7 +74,7 @@
         """Called by asyncio: pass on the frames that are whole; close after bytes that are none."""
         try:
             frames = self.splitter.feed(data)
-        except BadFrame:
+        except MalformedFrame:
             self.close()
             return
         for body in frames:
