--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -16,7 +16,7 @@
     return b"%d:%b," % (len(body), body)
 
 
-class Splitter:
+class FrameDecoder:
     """Cuts a stream of bytes into frames."""
 
     def __init__(self, limit: int = MAX_FRAME) -> None:
@@ -57,7 +57,7 @@
         """`received` gets each frame, and `lost` is called once the connection is closed."""
         self.received = received
         self.lost = lost
-        self.splitter = Splitter()
+        self.splitter = FrameDecoder()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
