--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -57,7 +57,7 @@
         """`received` gets each frame, and `lost` is called once the connection is closed."""
         self.received = received
         self.lost = lost
-        self.splitter = FrameDecoder()
+        self.decoder = FrameDecoder()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -73,7 +73,7 @@
     def data_received(self, data: bytes) -> None:
         """Called by asyncio: pass on the frames that are whole; close after bytes that are none."""
         try:
-            frames = self.splitter.feed(data)
+            frames = self.decoder.feed(data)
         except MalformedFrame:
             self.close()
             return
