--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -11,7 +11,7 @@
     """Bytes that are no netstring."""
 
 
-def frame(body: bytes) -> bytes:
+def encode_frame(body: bytes) -> bytes:
     """A message as a netstring."""
     return b"%d:%b," % (len(body), body)
 
@@ -85,7 +85,7 @@
         must not fill our memory."""
         if self.transport is None or self.transport.get_write_buffer_size() > MAX_FRAME:
             return False
-        self.transport.write(frame(body))
+        self.transport.write(encode_frame(body))
         return True
 
     def close(self) -> None:
