--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-MAX_FRAME = 256 * 1024
+MAX_FRAME_BYTES = 256 * 1024
 MOST_LENGTH_DIGITS = 12
 
 
@@ -19,7 +19,7 @@
 class FrameDecoder:
     """Cuts a stream of bytes into frames."""
 
-    def __init__(self, limit: int = MAX_FRAME) -> None:
+    def __init__(self, limit: int = MAX_FRAME_BYTES) -> None:
         self.limit = limit
         self.buffer = bytearray()
 
@@ -83,7 +83,7 @@
     def send(self, body: bytes) -> bool:
         """Send a frame; False if the connection is closed or its other end does not read, which
         must not fill our memory."""
-        if self.transport is None or self.transport.get_write_buffer_size() > MAX_FRAME:
+        if self.transport is None or self.transport.get_write_buffer_size() > MAX_FRAME_BYTES:
             return False
         self.transport.write(encode_frame(body))
         return True
