--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 MAX_FRAME_BYTES = 256 * 1024
-MOST_LENGTH_DIGITS = 12
+MAX_LENGTH_DIGITS = 12
 
 
 class MalformedFrame(Exception):
@@ -28,9 +28,9 @@
         self.buffer += data
         out: list[bytes] = []
         while self.buffer:
-            colon = self.buffer.find(b":", 0, MOST_LENGTH_DIGITS)
+            colon = self.buffer.find(b":", 0, MAX_LENGTH_DIGITS)
             if colon < 0:
-                if len(self.buffer) >= MOST_LENGTH_DIGITS or not self.buffer.isdigit():
+                if len(self.buffer) >= MAX_LENGTH_DIGITS or not self.buffer.isdigit():
                     raise MalformedFrame("no length")
                 break
             digits = bytes(self.buffer[:colon])
