--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -51,11 +51,11 @@
 
     def __init__(
         self,
-        received: Callable[["FrameProtocol", bytes], None],
+        on_frame: Callable[["FrameProtocol", bytes], None],
         lost: Callable[["FrameProtocol"], None],
     ) -> None:
-        """`received` gets each frame, and `lost` is called once the connection is closed."""
-        self.received = received
+        """`on_frame` gets each frame, and `lost` is called once the connection is closed."""
+        self.on_frame = on_frame
         self.lost = lost
         self.decoder = FrameDecoder()
         self.transport: asyncio.Transport | None = None
@@ -78,7 +78,7 @@
             self.close()
             return
         for body in frames:
-            self.received(self, body)
+            self.on_frame(self, body)
 
     def send(self, body: bytes) -> bool:
         """Send a frame; False if the connection is closed or its other end does not read, which
