--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -52,11 +52,11 @@
     def __init__(
         self,
         on_frame: Callable[["FrameProtocol", bytes], None],
-        lost: Callable[["FrameProtocol"], None],
+        on_connection_lost: Callable[["FrameProtocol"], None],
     ) -> None:
-        """`on_frame` gets each frame, and `lost` is called once the connection is closed."""
+        """`on_frame` gets each frame; `on_connection_lost` is called after the connection closed."""
         self.on_frame = on_frame
-        self.lost = lost
+        self.on_connection_lost = on_connection_lost
         self.decoder = FrameDecoder()
         self.transport: asyncio.Transport | None = None
 
@@ -68,7 +68,7 @@
     def connection_lost(self, _fault: Exception | None) -> None:
         """Called by asyncio: the connection is closed, by either side."""
         self.transport = None
-        self.lost(self)
+        self.on_connection_lost(self)
 
     def data_received(self, data: bytes) -> None:
         """Called by asyncio: pass on the frames that are whole; close after bytes that are none."""
