--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -6,7 +6,7 @@
 from basaltlead.clients.codec import decode, encode
 from basaltlead.clients.rate_limiter import RateLimiter
 from basaltlead.errors import NoCapacity, RequestFailed, RequestRejected, Unavailable
-from basaltlead.net.http.client import Pool
+from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.messages import (
     STATUS_BAD_REQUEST,
     STATUS_CONFLICT,
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, address: str, rps: float) -> None:
-        self.pool = Pool(address, limit=CONNECTIONS)
+        self.pool = ConnectionPool(address, limit=CONNECTIONS)
         self.unanswered_since = 0  # since when no call got any answer; 0: the last one did
         self.set_rate(rps)
 
--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -6,7 +6,7 @@
 
 from basaltlead.clients.codec import decode, encode
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http.client import Pool
+from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.messages import STATUS_CONFLICT, STATUS_OK
 from basaltlead.wire.workers import DirectCommand, Heartbeat
 
@@ -39,7 +39,7 @@
         self.timeout_us = timeout_us
         self.max_connections = max_connections
         self.sockets_available = sockets_available or (lambda: max_connections)
-        self.pools: dict[str, Pool] = {}  # the least recently used first
+        self.pools: dict[str, ConnectionPool] = {}  # the least recently used first
         self.call_slots = asyncio.Semaphore(max_connections)
 
     async def command(
@@ -53,7 +53,7 @@
         async with self.call_slots:
             pool = self.pools.pop(address, None)
             if pool is None:
-                pool = Pool(address, limit=1, most_answer_bytes=MOST_ANSWER_BYTES)
+                pool = ConnectionPool(address, limit=1, most_answer_bytes=MOST_ANSWER_BYTES)
             self._close_excess_idle()
             self.pools[address] = pool
             status, body = await pool.request(
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -15,7 +15,7 @@
 class ClientProtocol(asyncio.Protocol):
     """One connection to a server, with one request at a time."""
 
-    def __init__(self, pool: "Pool") -> None:
+    def __init__(self, pool: "ConnectionPool") -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.reply: asyncio.Future[HttpAnswer] | None = None
@@ -90,7 +90,7 @@
             self.reply.set_result(answer)
 
 
-class Pool:
+class ConnectionPool:
     """Connections to one address, so many at most."""
 
     def __init__(
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -16,7 +16,7 @@
     TransactionTooLarge,
     Unavailable,
 )
-from basaltlead.net.http.client import Pool
+from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.messages import (
     STATUS_BAD_REQUEST,
     STATUS_CONFLICT,
@@ -76,9 +76,9 @@
     def __init__(self, address: str, limits: StoreLimits, nodes: int, writers: int) -> None:
         """`nodes` is the number of controllers, `writers` that of those that lead a shard."""
         self.limits = limits
-        self.pool = Pool(address, limit=CONNECTIONS)
-        self.watch_pool = Pool(address, limit=WATCH_CONNECTIONS)
-        self.renewal_pool = Pool(address, limit=RENEWAL_CONNECTIONS)
+        self.pool = ConnectionPool(address, limit=CONNECTIONS)
+        self.watch_pool = ConnectionPool(address, limit=WATCH_CONNECTIONS)
+        self.renewal_pool = ConnectionPool(address, limit=RENEWAL_CONNECTIONS)
         self.request_limiter = RateLimiter(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
         # Shard leaders store results; all others only what users request now and then.
         share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http.client import Pool
+from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.server import Server
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.duty_checker import DutyChecker
@@ -323,7 +323,7 @@
         raw = (
             b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
         )
-        pool = Pool(dict(self.front_addresses())[node], 1)
+        pool = ConnectionPool(dict(self.front_addresses())[node], 1)
         try:
             status, answer = await pool.request(method, path, raw, 5_000_000)
         except RequestFailed:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http.client import Pool
+from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.messages import Request, Response
 from basaltlead.net.http.server import Server
 from tests.fakes.replies import reply
@@ -108,11 +108,11 @@
     async def _send_heartbeats(self) -> None:
         nodes = self.deployment.front_addresses()
         at = self.deployment.rng.randrange(len(nodes))
-        pools: dict[str, Pool] = {}
+        pools: dict[str, ConnectionPool] = {}
         while True:
             await poll_until(lambda: not self.hung, 0.1)
             _, address = nodes[at % len(nodes)]
-            pool = pools.setdefault(address, Pool(address, 2))
+            pool = pools.setdefault(address, ConnectionPool(address, 2))
             sent, epoch = self.loop.time(), self.epoch
             if self.sends_no_heartbeats:
                 pool.close()
@@ -151,7 +151,7 @@
         """Deliver a copy of a heartbeat late, to any node, whatever has become of the machine."""
         await asyncio.sleep(self.deployment.rng.uniform(0.5, 2.5 * self.deployment.lease))
         _, address = self.deployment.rng.choice(self.deployment.front_addresses())
-        pool = Pool(address, 1)
+        pool = ConnectionPool(address, 1)
         try:
             await pool.request("POST", "/agent/beat", body, 4_000_000)
         except RequestFailed:
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -8,7 +8,7 @@
 from basaltlead.clients.rate_limiter import RateLimiter
 from basaltlead.clients.workers import WorkerClient
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http.client import Pool
+from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.messages import Request, Response
 from basaltlead.net.http.server import Server
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
@@ -291,7 +291,7 @@
     desk.store.request_limiter.full_at = loop.time() + 60.0
     bad = await desk.handle(Request("POST", "/api/jobs", "", b"[]"))
     assert bad.status == 400  # malformed is told apart, and not asked again
-    pool = Pool(dict(deployment.front_addresses())["node-0"], 1)
+    pool = ConnectionPool(dict(deployment.front_addresses())["node-0"], 1)
     asked = loop.time()
     status, _ = await pool.request("GET", "/api/jobs/req-000001")
     assert status == 503
@@ -366,13 +366,13 @@
         await Server(machine.handle, 100).start(address)
         await workers.command(address, DirectCommand(0, 1, []))
     assert len(workers.pools) == 4
-    comers = [Pool("10.0.0.9:80", 1) for _ in range(6)]
+    comers = [ConnectionPool("10.0.0.9:80", 1) for _ in range(6)]
     for comer in comers:
         assert (await comer.request("GET", "/"))[0] == 200
     assert len(workers.pools) == 0
     assert len(server.connections) == 6
     assert all(comer.idle for comer in comers)  # nobody was thrown out
-    late = Pool("10.0.0.9:80", 1)
+    late = ConnectionPool("10.0.0.9:80", 1)
     assert (await late.request("GET", "/"))[0] == 200  # now the longest unused goes
     await asyncio.sleep(0.1)
 
@@ -451,7 +451,7 @@
         return Response(200, b"{}")
 
     await Server(answer, 10).start("10.0.0.1:8080")
-    pool = Pool("10.0.0.1:8080", 1)
+    pool = ConnectionPool("10.0.0.1:8080", 1)
     with pytest.raises(RequestFailed) as failed:
         await pool.request("POST", "/", may_send=lambda: False)
     assert not failed.value.sent
