--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -57,7 +57,7 @@
     def connection_lost(self, _fault: Exception | None) -> None:
         """The connection is closed, by either side."""
         self.transport = None
-        self.pool.dropped(self)
+        self.pool.connection_closed(self)
         self._fail("connection lost")
 
     def data_received(self, data: bytes) -> None:
@@ -110,7 +110,7 @@
         """Whether a request is under way."""
         return self.running > 0
 
-    def dropped(self, connection: ClientProtocol) -> None:
+    def connection_closed(self, connection: ClientProtocol) -> None:
         """A connection was closed."""
         if connection in self.idle:
             self.idle.remove(connection)
