--- a/basaltlead/net/http/__init__.py
+++ b/basaltlead/net/http/__init__.py
@@ -1,7 +1,16 @@
 """HTTP/1.1 on `httptools` over `asyncio.Protocol`: server and client, without pipelining."""
 
 from basaltlead.net.http.client import ConnectionPool
-from basaltlead.net.http.messages import GET, POST, HttpAnswer, Request, Response
+from basaltlead.net.http.messages import GET, POST, ClientResponse, Request, Response
 from basaltlead.net.http.server import Server, listen
 
-__all__ = ["GET", "POST", "HttpAnswer", "ConnectionPool", "Request", "Response", "Server", "listen"]
+__all__ = [
+    "GET",
+    "POST",
+    "ClientResponse",
+    "ConnectionPool",
+    "Request",
+    "Response",
+    "Server",
+    "listen",
+]
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -6,7 +6,7 @@
 import httptools
 
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http.messages import HttpAnswer
+from basaltlead.net.http.messages import ClientResponse
 
 MOST_ANSWER_BYTES = 16 * 1024 * 1024
 TIMEOUT_US = 2_000_000
@@ -18,12 +18,12 @@
     def __init__(self, pool: "ConnectionPool") -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
-        self.reply: asyncio.Future[HttpAnswer] | None = None
+        self.reply: asyncio.Future[ClientResponse] | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
         self.size = 0
 
-    def send(self, request: bytes, may_send: Callable[[], bool]) -> asyncio.Future[HttpAnswer]:
+    def send(self, request: bytes, may_send: Callable[[], bool]) -> asyncio.Future[ClientResponse]:
         """Send a request; its answer comes as the result of the future.
 
         Raises `RequestFailed` if nothing was sent. The future is not made before that is certain:
@@ -81,7 +81,7 @@
 
     def on_message_complete(self) -> None:
         """The answer is whole."""
-        answer = HttpAnswer(self.parser.get_status_code(), b"".join(self.parts))
+        answer = ClientResponse(self.parser.get_status_code(), b"".join(self.parts))
         self.parts = []
         self.size = 0
         if not self.parser.should_keep_alive():
@@ -122,7 +122,7 @@
         body: bytes = b"",
         timeout_us: int = TIMEOUT_US,
         may_send: Callable[[], bool] = lambda: True,
-    ) -> HttpAnswer:
+    ) -> ClientResponse:
         """Send one request and await its answer.
 
         Raises `RequestFailed` if there is none in time; its connection is closed then, since the
--- a/basaltlead/net/http/messages.py
+++ b/basaltlead/net/http/messages.py
@@ -58,7 +58,7 @@
         self.headers = headers
 
 
-class HttpAnswer(NamedTuple):
+class ClientResponse(NamedTuple):
     """An answer that the client has received."""
 
     status: int
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -26,7 +26,7 @@
     STATUS_OK,
     STATUS_TOO_MANY_REQUESTS,
     STATUS_UNAVAILABLE,
-    HttpAnswer,
+    ClientResponse,
 )
 from basaltlead.storage.limits import StoreLimits
 from basaltlead.wire.store import (
@@ -92,12 +92,12 @@
 
     async def _call(
         self, method: str, path: str, raw: bytes = b"", timeout_us: int = CALL_TIMEOUT_US
-    ) -> HttpAnswer:
+    ) -> ClientResponse:
         await self.request_limiter.take()
         return self._checked(await self.pool.request(method, path, raw, timeout_us))
 
     @staticmethod
-    def _checked(answer: HttpAnswer) -> HttpAnswer:
+    def _checked(answer: ClientResponse) -> ClientResponse:
         if answer.status in STATUSES_UNAVAILABLE:
             raise Unavailable(f"state service: {answer.status}")
         return answer
