--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -11,7 +11,7 @@
 from basaltlead.wire.workers import DirectCommand, Heartbeat
 
 TIMEOUT_US = 2_000_000
-MOST_ANSWER_BYTES = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
 
 class CommandResponse(NamedTuple):
@@ -53,7 +53,7 @@
         async with self.call_slots:
             pool = self.pools.pop(address, None)
             if pool is None:
-                pool = ConnectionPool(address, limit=1, most_answer_bytes=MOST_ANSWER_BYTES)
+                pool = ConnectionPool(address, limit=1, most_answer_bytes=MAX_RESPONSE_BYTES)
             self._close_excess_idle()
             self.pools[address] = pool
             status, body = await pool.request(
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -8,7 +8,7 @@
 from basaltlead.errors import RequestFailed
 from basaltlead.net.http.messages import ClientResponse
 
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 TIMEOUT_US = 2_000_000
 
 
@@ -94,7 +94,7 @@
     """Connections to one address, so many at most."""
 
     def __init__(
-        self, address: str, limit: int, most_answer_bytes: int = MOST_ANSWER_BYTES
+        self, address: str, limit: int, most_answer_bytes: int = MAX_RESPONSE_BYTES
     ) -> None:
         host, port = address.rsplit(":", 1)
         self.host = host
