--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -53,7 +53,7 @@
         async with self.call_slots:
             pool = self.pools.pop(address, None)
             if pool is None:
-                pool = ConnectionPool(address, limit=1, most_answer_bytes=MAX_RESPONSE_BYTES)
+                pool = ConnectionPool(address, limit=1, max_response_bytes=MAX_RESPONSE_BYTES)
             self._close_excess_idle()
             self.pools[address] = pool
             status, body = await pool.request(
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -73,7 +73,7 @@
     def on_body(self, body: bytes) -> None:
         """A part of the answer's body."""
         self.size += len(body)
-        if self.size > self.pool.most_answer_bytes:
+        if self.size > self.pool.max_response_bytes:
             self._fail("answer too large")
             self.close()
         else:
@@ -94,13 +94,13 @@
     """Connections to one address, so many at most."""
 
     def __init__(
-        self, address: str, limit: int, most_answer_bytes: int = MAX_RESPONSE_BYTES
+        self, address: str, limit: int, max_response_bytes: int = MAX_RESPONSE_BYTES
     ) -> None:
         host, port = address.rsplit(":", 1)
         self.host = host
         self.port = int(port)
         self.limit = limit
-        self.most_answer_bytes = most_answer_bytes
+        self.max_response_bytes = max_response_bytes
         self.idle: list[ClientProtocol] = []  # open connections without a request
         self.slots = asyncio.Semaphore(limit)
         self.running = 0  # requests that wait for a connection or an answer
