--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -21,7 +21,7 @@
 MAX_BODY = 64 * 1024
 MAX_HEADER = 16 * 1024
 REQUEST_TIMEOUT_S = 10.0  # s that a started request may take to arrive
-IDLE_TIME = 75.0  # s that a connection may be idle between requests
+IDLE_TIMEOUT_S = 75.0  # s that a connection may be idle between requests
 SWEEP_S = 5.0  # between two checks of these times
 RETRY_LISTEN_S = 0.5
 BACKLOG = 256
@@ -242,7 +242,7 @@
         """Close connections that have been idle for long, or whose request does not arrive."""
         now = self.loop.time()
         for connection in list(self.connections):
-            limit = REQUEST_TIMEOUT_S if connection.request_started else IDLE_TIME
+            limit = REQUEST_TIMEOUT_S if connection.request_started else IDLE_TIMEOUT_S
             if not connection.busy and now - connection.active_at > limit and connection.transport:
                 connection.transport.abort()
         self.loop.call_later(SWEEP_S, self._sweep)
