--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -22,7 +22,7 @@
 MAX_HEADER = 16 * 1024
 REQUEST_TIMEOUT_S = 10.0  # s that a started request may take to arrive
 IDLE_TIMEOUT_S = 75.0  # s that a connection may be idle between requests
-SWEEP_S = 5.0  # between two checks of these times
+SWEEP_INTERVAL_S = 5.0  # between two checks of these times
 RETRY_LISTEN_S = 0.5
 BACKLOG = 256
 
@@ -214,7 +214,7 @@
     async def start(self, address: str) -> None:
         """Start to listen. Raises OSError if the address can't be used."""
         self.listener = await listen(lambda: ServerProtocol(self), address, backlog=BACKLOG)
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def opened(self, connection: ServerProtocol) -> None:
         """Take in a new connection. At the limit the longest unused one is closed for it, or the
@@ -245,4 +245,4 @@
             limit = REQUEST_TIMEOUT_S if connection.request_started else IDLE_TIMEOUT_S
             if not connection.busy and now - connection.active_at > limit and connection.transport:
                 connection.transport.abort()
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
