--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -18,7 +18,7 @@
 )
 from basaltlead.runtime.logs import log
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 MAX_HEADER = 16 * 1024
 REQUEST_TIMEOUT_S = 10.0  # s that a started request may take to arrive
 IDLE_TIMEOUT_S = 75.0  # s that a connection may be idle between requests
@@ -88,7 +88,9 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """A header."""
         self._count_header(len(name) + len(value))
-        if name.lower() == b"content-length" and (not value.isdigit() or int(value) > MAX_BODY):
+        if name.lower() == b"content-length" and (
+            not value.isdigit() or int(value) > MAX_BODY_BYTES
+        ):
             self.refusal = self.refusal or STATUS_TOO_LARGE
 
     def _count_header(self, size: int) -> None:
@@ -104,7 +106,7 @@
     def on_body(self, body: bytes) -> None:
         """A part of the body."""
         self.body_size += len(body)
-        if self.body_size > MAX_BODY:
+        if self.body_size > MAX_BODY_BYTES:
             self._refuse(STATUS_TOO_LARGE)
         else:
             self.parts.append(body)
