--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -19,7 +19,7 @@
 from basaltlead.runtime.logs import log
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_HEADER = 16 * 1024
+MAX_HEADER_BYTES = 16 * 1024
 REQUEST_TIMEOUT_S = 10.0  # s that a started request may take to arrive
 IDLE_TIMEOUT_S = 75.0  # s that a connection may be idle between requests
 SWEEP_INTERVAL_S = 5.0  # between two checks of these times
@@ -95,7 +95,7 @@
 
     def _count_header(self, size: int) -> None:
         self.header_size += size
-        if self.header_size > MAX_HEADER:
+        if self.header_size > MAX_HEADER_BYTES:
             self._refuse(STATUS_HEADERS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
