--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -26,7 +26,7 @@
 RETRY_LISTEN_S = 0.5
 BACKLOG = 256
 
-INTERNAL_FAULT = b'{"error":"internal"}'
+INTERNAL_ERROR_BODY = b'{"error":"internal"}'
 
 Handler = Callable[[Request], "Response | Awaitable[Response]"]
 
@@ -133,7 +133,7 @@
             result = self.server.handler(request)
         except Exception:  # a fault in one request must not end the connections of all others
             log.exception("handler of %s %s failed", request.method, request.path)
-            result = Response(STATUS_UNAVAILABLE, INTERNAL_FAULT)
+            result = Response(STATUS_UNAVAILABLE, INTERNAL_ERROR_BODY)
         if isinstance(result, Response):
             self.answer(result, close=not keep)
         else:
@@ -147,7 +147,7 @@
             response = Response(STATUS_UNAVAILABLE)
         elif task.exception() is not None:
             log.error("handler of a request failed", exc_info=task.exception())
-            response = Response(STATUS_UNAVAILABLE, INTERNAL_FAULT)
+            response = Response(STATUS_UNAVAILABLE, INTERNAL_ERROR_BODY)
         else:
             response = task.result()
         self.answer(response, close=not keep)
