--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -73,10 +73,10 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.answer(Response(STATUS_BAD_REQUEST, b'{"error":"no upgrades"}'), close=True)
+            self.respond(Response(STATUS_BAD_REQUEST, b'{"error":"no upgrades"}'), close=True)
         except httptools.HttpParserError:
             if not self.closing:
-                self.answer(Response(STATUS_BAD_REQUEST, b'{"error":"not HTTP"}'), close=True)
+                self.respond(Response(STATUS_BAD_REQUEST, b'{"error":"not HTTP"}'), close=True)
 
     # Called by httptools
 
@@ -113,7 +113,7 @@
 
     def _refuse(self, status: int) -> None:
         if not self.closing:
-            self.answer(Response(status, b'{"error":"too large"}'), close=True)
+            self.respond(Response(status, b'{"error":"too large"}'), close=True)
 
     def on_message_complete(self) -> None:
         """The request is whole: pass it to the handler."""
@@ -135,7 +135,7 @@
             log.exception("handler of %s %s failed", request.method, request.path)
             result = Response(STATUS_UNAVAILABLE, INTERNAL_ERROR_BODY)
         if isinstance(result, Response):
-            self.answer(result, close=not keep)
+            self.respond(result, close=not keep)
         else:
             task = asyncio.ensure_future(result)
             self.server.tasks.add(task)
@@ -150,9 +150,9 @@
             response = Response(STATUS_UNAVAILABLE, INTERNAL_ERROR_BODY)
         else:
             response = task.result()
-        self.answer(response, close=not keep)
+        self.respond(response, close=not keep)
 
-    def answer(self, response: Response, close: bool = False) -> None:
+    def respond(self, response: Response, close: bool = False) -> None:
         """Send an answer, and close the connection after it if so requested or already decided."""
         self.busy = False
         self.active_at = self.server.loop.time()
