--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -49,7 +49,9 @@
         self.header_size = 0
         self.parts: list[bytes] = []
         self.body_size = 0
-        self.refusal = 0  # the status with which the request is refused once its headers are there
+        self.rejection_status = (
+            0  # the status with which the request is refused once its headers are there
+        )
 
     # Called by asyncio
 
@@ -91,7 +93,7 @@
         if name.lower() == b"content-length" and (
             not value.isdigit() or int(value) > MAX_BODY_BYTES
         ):
-            self.refusal = self.refusal or STATUS_TOO_LARGE
+            self.rejection_status = self.rejection_status or STATUS_TOO_LARGE
 
     def _count_header(self, size: int) -> None:
         self.header_size += size
@@ -100,8 +102,8 @@
 
     def on_headers_complete(self) -> None:
         """All headers have arrived."""
-        if self.refusal:
-            self._refuse(self.refusal)
+        if self.rejection_status:
+            self._refuse(self.rejection_status)
 
     def on_body(self, body: bytes) -> None:
         """A part of the body."""
