--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -98,22 +98,22 @@
     def _count_header(self, size: int) -> None:
         self.header_size += size
         if self.header_size > MAX_HEADER_BYTES:
-            self._refuse(STATUS_HEADERS_TOO_LARGE)
+            self._reject(STATUS_HEADERS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
         """All headers have arrived."""
         if self.rejection_status:
-            self._refuse(self.rejection_status)
+            self._reject(self.rejection_status)
 
     def on_body(self, body: bytes) -> None:
         """A part of the body."""
         self.body_size += len(body)
         if self.body_size > MAX_BODY_BYTES:
-            self._refuse(STATUS_TOO_LARGE)
+            self._reject(STATUS_TOO_LARGE)
         else:
             self.parts.append(body)
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         if not self.closing:
             self.respond(Response(status, b'{"error":"too large"}'), close=True)
 
