--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -158,7 +158,7 @@
         """Send an answer, and close the connection after it if so requested or already decided."""
         self.busy = False
         self.active_at = self.server.loop.time()
-        self.server.used(self)
+        self.server.mark_used(self)
         if self.transport is None or self.transport.is_closing():
             return
         close = close or self.closing
@@ -236,7 +236,7 @@
             self.connections.pop(closed, None)
         self.connections[connection] = None
 
-    def used(self, connection: ServerProtocol) -> None:
+    def mark_used(self, connection: ServerProtocol) -> None:
         """Move a connection to the end of those that may be closed."""
         if connection in self.connections:
             del self.connections[connection]
