--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -59,7 +59,7 @@
         """The connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.server.opened(self)
+        self.server.connection_opened(self)
 
     def connection_lost(self, _fault: Exception | None) -> None:
         """The connection is closed, by either side."""
@@ -220,7 +220,7 @@
         self.listener = await listen(lambda: ServerProtocol(self), address, backlog=BACKLOG)
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def opened(self, connection: ServerProtocol) -> None:
+    def connection_opened(self, connection: ServerProtocol) -> None:
         """Take in a new connection. At the limit the longest unused one is closed for it, or the
         new one itself if all others are in use."""
         if (
