--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -197,7 +197,7 @@
         self,
         handler: Handler,
         limit: int,
-        sockets_elsewhere: Callable[[], int] = lambda: 0,
+        other_sockets: Callable[[], int] = lambda: 0,
         close_idle_elsewhere: Callable[[], bool] = lambda: False,
     ) -> None:
         """`limit` holds for the sockets of this server and those that are in use elsewhere.
@@ -208,7 +208,7 @@
         """
         self.handler = handler
         self.limit = limit
-        self.sockets_elsewhere = sockets_elsewhere
+        self.other_sockets = other_sockets
         self.close_idle_elsewhere = close_idle_elsewhere
         self.loop = asyncio.get_running_loop()
         self.connections: dict[ServerProtocol, None] = {}  # the longest unused first
@@ -224,7 +224,7 @@
         """Take in a new connection. At the limit the longest unused one is closed for it, or the
         new one itself if all others are in use."""
         if (
-            len(self.connections) + self.sockets_elsewhere() >= self.limit
+            len(self.connections) + self.other_sockets() >= self.limit
             and not self.close_idle_elsewhere()
         ):
             idle = (one for one in self.connections if not one.busy and not one.request_started)
