--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -198,18 +198,18 @@
         handler: Handler,
         limit: int,
         other_sockets: Callable[[], int] = lambda: 0,
-        close_idle_elsewhere: Callable[[], bool] = lambda: False,
+        close_other_idle: Callable[[], bool] = lambda: False,
     ) -> None:
         """`limit` holds for the sockets of this server and those that are in use elsewhere.
 
-        At the limit `close_idle_elsewhere` is called first, to close one of the others that is
+        At the limit `close_other_idle` is called first, to close one of the others that is
         idle; it returns whether it did. So no client of this server is refused for the sake of idle
         connections elsewhere.
         """
         self.handler = handler
         self.limit = limit
         self.other_sockets = other_sockets
-        self.close_idle_elsewhere = close_idle_elsewhere
+        self.close_other_idle = close_other_idle
         self.loop = asyncio.get_running_loop()
         self.connections: dict[ServerProtocol, None] = {}  # the longest unused first
         self.tasks: set[asyncio.Future[Response]] = set()
@@ -225,7 +225,7 @@
         new one itself if all others are in use."""
         if (
             len(self.connections) + self.other_sockets() >= self.limit
-            and not self.close_idle_elsewhere()
+            and not self.close_other_idle()
         ):
             idle = (one for one in self.connections if not one.busy and not one.request_started)
             closed = next(idle, connection)
