--- a/basaltlead/runtime/clock.py
+++ b/basaltlead/runtime/clock.py
@@ -25,7 +25,7 @@
     return max(0, wall_us() - at)
 
 
-def use(steady: Callable[[], int], wall: Callable[[], int], seed: int) -> None:
+def replace_clocks(steady: Callable[[], int], wall: Callable[[], int], seed: int) -> None:
     """Replace both clocks, which return nanoseconds, and seed the random numbers."""
     global _steady, _wall
     _steady, _wall = steady, wall
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -281,7 +281,7 @@
     def steady() -> int:
         return int((loop.time() + loop.steady_off.get(HOST.get(), 0.0)) * 1e9)
 
-    clock.use(steady, time_of_day, seed)
+    clock.replace_clocks(steady, time_of_day, seed)
     try:
         loop.run_until_complete(scenario(loop))
     finally:
