--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -52,5 +52,5 @@
     from basaltlead.runtime import logs
 
     gc.enable()
-    logs.set_up()
+    logs.configure_logging()
     return controller.serve(settings)
--- a/basaltlead/runtime/logs.py
+++ b/basaltlead/runtime/logs.py
@@ -9,7 +9,7 @@
 log = logging.getLogger("basaltlead")
 
 
-def set_up() -> None:
+def configure_logging() -> None:
     """Log to standard error, from the level on that the environment's LOG_LEVEL names."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(levelname).1s %(message)s"))
