--- a/basaltlead/api/routing.py
+++ b/basaltlead/api/routing.py
@@ -38,7 +38,7 @@
         try:
             heartbeat = heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-            if self._log_limiter.ok(now_us()):
+            if self._log_limiter.allow(now_us()):
                 log.info("malformed heartbeat: %s", fault)
             return refusal(400, "malformed report")
         number = self.assigner.shard_of(heartbeat.machine) or 0
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -78,7 +78,7 @@
         except TimeoutError:
             return refusal(503, "no answer in time", RETRY_SOON)
         except ServiceError as fault:
-            if self._log_limiter.ok(started):
+            if self._log_limiter.allow(started):
                 log.info("%s %s answered 503: %s", request.method, request.path, fault)
             return refusal(503, "not sure right now", RETRY_SOON)
         finally:
--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -30,7 +30,7 @@
         try:
             return decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-            if self.log_limiter.ok(now_us()):
+            if self.log_limiter.allow(now_us()):
                 log.info("malformed message of a peer: %s", fault)
             return None
 
--- a/basaltlead/runtime/logs.py
+++ b/basaltlead/runtime/logs.py
@@ -27,7 +27,7 @@
         self.left = burst
         self.until = 0
 
-    def ok(self, now: int) -> bool:
+    def allow(self, now: int) -> bool:
         """Whether one more line may be written at this time; if so, it is counted."""
         if now >= self.until:
             self.until = now + self.span_us
