--- a/basaltlead/runtime/logs.py
+++ b/basaltlead/runtime/logs.py
@@ -19,18 +19,18 @@
 
 
 class LogRateLimiter:
-    """Allows at most `burst` lines in `span_us`, so that bad input can't flood the log."""
+    """Allows at most `burst` lines in `window_us`, so that bad input can't flood the log."""
 
-    def __init__(self, burst: int = 5, span_us: int = 10_000_000) -> None:
+    def __init__(self, burst: int = 5, window_us: int = 10_000_000) -> None:
         self.burst = burst
-        self.span_us = span_us
+        self.window_us = window_us
         self.left = burst
         self.until = 0
 
     def allow(self, now: int) -> bool:
         """Whether one more line may be written at this time; if so, it is counted."""
         if now >= self.until:
-            self.until = now + self.span_us
+            self.until = now + self.window_us
             self.left = self.burst
         self.left -= 1
         return self.left >= 0
