--- a/basaltlead/runtime/logs.py
+++ b/basaltlead/runtime/logs.py
@@ -24,13 +24,13 @@
     def __init__(self, burst: int = 5, window_us: int = 10_000_000) -> None:
         self.burst = burst
         self.window_us = window_us
-        self.left = burst
+        self.remaining = burst
         self.until = 0
 
     def allow(self, now: int) -> bool:
         """Whether one more line may be written at this time; if so, it is counted."""
         if now >= self.until:
             self.until = now + self.window_us
-            self.left = self.burst
-        self.left -= 1
-        return self.left >= 0
+            self.remaining = self.burst
+        self.remaining -= 1
+        return self.remaining >= 0
