--- a/basaltlead/runtime/logs.py
+++ b/basaltlead/runtime/logs.py
@@ -25,12 +25,12 @@
         self.burst = burst
         self.window_us = window_us
         self.remaining = burst
-        self.until = 0
+        self.window_end = 0
 
     def allow(self, now: int) -> bool:
         """Whether one more line may be written at this time; if so, it is counted."""
-        if now >= self.until:
-            self.until = now + self.window_us
+        if now >= self.window_end:
+            self.window_end = now + self.window_us
             self.remaining = self.burst
         self.remaining -= 1
         return self.remaining >= 0
