--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -11,7 +11,7 @@
 
 from basaltlead.runtime.logs import log
 
-LOOP = "loop "  # the names of tasks whose failure is their owner's failure begin with this
+LOOP_PREFIX = "loop "  # the names of tasks whose failure is their owner's failure begin with this
 
 
 RESTART_PAUSE_S = 0.5  # before a loop that failed is started again
@@ -26,7 +26,7 @@
     cancelled together."""
 
     def __init__(self, failed: Callable[[], None] = _ignore_failure) -> None:
-        """`failed` is called once a task whose name begins with `LOOP` ends with an exception."""
+        """`failed` is called once a task whose name begins with `LOOP_PREFIX` ends with an exception."""
         self.running: set[asyncio.Task[None]] = set()
         self.failed = failed
 
@@ -54,7 +54,7 @@
         self.running.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("%s failed", task.get_name(), exc_info=task.exception())
-            if task.get_name().startswith(LOOP):
+            if task.get_name().startswith(LOOP_PREFIX):
                 self.failed()
 
     def cancel(self) -> None:
