--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -25,10 +25,10 @@
     """The background tasks of a process, a shard leader or the holder of a duty, which are
     cancelled together."""
 
-    def __init__(self, failed: Callable[[], None] = _ignore_failure) -> None:
-        """`failed` is called once a task whose name begins with `LOOP_PREFIX` ends with an exception."""
+    def __init__(self, on_failure: Callable[[], None] = _ignore_failure) -> None:
+        """`on_failure` is called if a task whose name begins with `LOOP_PREFIX` raises."""
         self.running: set[asyncio.Task[None]] = set()
-        self.failed = failed
+        self.on_failure = on_failure
 
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
         """Start a task; an exception that ends it is logged under its name."""
@@ -55,7 +55,7 @@
         if not task.cancelled() and task.exception() is not None:
             log.error("%s failed", task.get_name(), exc_info=task.exception())
             if task.get_name().startswith(LOOP_PREFIX):
-                self.failed()
+                self.on_failure()
 
     def cancel(self) -> None:
         """Cancel all tasks."""
