--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -126,7 +126,12 @@
     most_cost: Positive
 
 
-class Operator(Struct, frozen=True, forbid_unknown_fields=True, rename={"shards": "blocks"}):
+class Operator(
+    Struct,
+    frozen=True,
+    forbid_unknown_fields=True,
+    rename={"shards": "blocks", "session_lease_s": "right_s"},
+):
     """The operators' own YAML file. Every field has a default; see docs/operations.md."""
 
     round_s: Annotated[float, Meta(ge=1, le=600)] = 10.0
@@ -136,7 +141,7 @@
     threshold: Annotated[float, Meta(ge=0, le=1)] = 0.05
     idle_share: Annotated[float, Meta(ge=0, le=100)] = 0.6
     shards: Annotated[int, Meta(ge=1, le=16)] = 1  # `blocks` in the file
-    right_s: Annotated[float, Meta(ge=1, le=600)] | None = None
+    session_lease_s: Annotated[float, Meta(ge=1, le=600)] | None = None
     duties: bool = False
     quiet: Quiet | None = None
 
@@ -199,7 +204,7 @@
         By default a third of a worker's lease: when a shard leader is lost, its workers give it up
         after 4 to 6 s, and find the next shard leader in place before their leases run out.
         """
-        lease_s = self.operator.right_s
+        lease_s = self.operator.session_lease_s
         if lease_s is None:
             lease_s = self.facts.workers.lease_s * SESSION_LEASE_SHARE
         return min(int(lease_s * US), self.staleness_us)
