--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -119,11 +119,11 @@
     quota: Quota = Quota()
 
 
-class Quiet(Struct, frozen=True, forbid_unknown_fields=True):
+class Quiet(Struct, frozen=True, forbid_unknown_fields=True, rename={"max_cost": "most_cost"}):
     """Quiet times: the path of an iCalendar file, and what idle machines may cost in each one."""
 
     calendar: str
-    most_cost: Positive
+    max_cost: Positive
 
 
 class Operator(
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -32,7 +32,7 @@
         self.context = context
         self.quiet_times = quiet_times
         self.key = f"{QUIET}{context.number}"
-        self.budget = QuietBudget(operator.quiet.most_cost / operator.shards, self._reserve)
+        self.budget = QuietBudget(operator.quiet.max_cost / operator.shards, self._reserve)
         self.loaded = False
         self.reserving = False
 
