--- a/basaltlead/config/loader.py
+++ b/basaltlead/config/loader.py
@@ -12,7 +12,7 @@
 from basaltlead.config.settings import US, Operator, Settings
 from basaltlead.errors import SettingsError
 
-SHORTEST_SESSION_LEASE_US = US // 2
+MIN_SESSION_LEASE_US = US // 2
 
 
 def convert(data: Any, target: Any, where: str) -> Any:
@@ -43,7 +43,7 @@
     settings: Settings = convert(data, Settings, path)
     if operator_path is not None:
         settings.operator = _load_operator(operator_path)
-    if settings.session_lease_us < SHORTEST_SESSION_LEASE_US:
+    if settings.session_lease_us < MIN_SESSION_LEASE_US:
         raise SettingsError(f"{path}: facts.workers.cancel_s: too short for lease_s")
     return settings
 
