--- a/basaltlead/api/admission.py
+++ b/basaltlead/api/admission.py
@@ -17,7 +17,7 @@
         self.quotas = quotas
         self.machine_types = machine_types
 
-    def never_runs(self, submission: Submission) -> str:
+    def rejection_reason(self, submission: Submission) -> str:
         """Why the job can never run; empty if it can."""
         quota = self.quotas.get(submission.team)
         if quota is None:
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -113,7 +113,7 @@
 
     def _refusal_of(self, submission: Submission) -> Response | None:
         """Why a submission can't be accepted, for good or for now; None if it can."""
-        reason = self.admission.never_runs(submission)
+        reason = self.admission.rejection_reason(submission)
         if reason:
             return refusal(422, reason)
         is_service = submission.shape == SERVICE
