--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -48,7 +48,7 @@
         self._max_rows = 1 + layout.max_rows(MAX_JOB_TASKS, settings.operator.shards)
         self._finals: dict[str, FinalState] = {}
 
-    def known_final(self, ref: str) -> JobStatus | None:
+    def cached_final(self, ref: str) -> JobStatus | None:
         """The final state of a job, if it was read or written before."""
         final = self._finals.get(ref)
         return None if final is None else JobStatus(final.stage, final.done)
@@ -91,7 +91,7 @@
         done = sum(part.count for part in parts)
         running = sum(part.running for part in parts)
         # If a user was told of the end since we sent our request, nobody may hear the older state.
-        final = self.known_final(ref)
+        final = self.cached_final(ref)
         if final is not None:
             return final
         if ref in self.cancellations:
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -101,7 +101,7 @@
 
     async def submit(self, submission: Submission) -> Response:
         """Accept a job once it is stored. A repeated submission gets the job's state."""
-        final = self.jobs.known_final(submission.ref)
+        final = self.jobs.cached_final(submission.ref)
         if final is not None:
             return _status_answer(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
@@ -157,7 +157,7 @@
 
     async def poll(self, ref: str) -> Response:
         """The state of a job; 404 if it was never accepted."""
-        final = self.jobs.known_final(ref)
+        final = self.jobs.cached_final(ref)
         if final is not None:
             return _status_answer(ref, final)
         return await self._known_or(ref, refusal(404, "no such job"))
@@ -165,7 +165,7 @@
     async def cancel(self, ref: str) -> Response:
         """Cancel a job that is open; the final state of one that is over."""
         for _ in range(CANCEL_ATTEMPTS):
-            final = self.jobs.known_final(ref)
+            final = self.jobs.cached_final(ref)
             if final is not None:
                 return _status_answer(ref, final)
             rows = await self.jobs.open_rows(ref)
@@ -176,7 +176,7 @@
             if not self.membership.holds_valid_lease:
                 return refusal(503, "starting", RETRY_SOON)
             await self._store_cancellation(ref, rows)
-        final = self.jobs.known_final(ref)
+        final = self.jobs.cached_final(ref)
         return refusal(503, "busy", RETRY_SOON) if final is None else _status_answer(ref, final)
 
     async def _store_cancellation(self, ref: str, rows: list[Row]) -> None:
