--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -53,7 +53,7 @@
         final = self._finals.get(ref)
         return None if final is None else JobStatus(final.stage, final.done)
 
-    def remember(self, ref: str, final: FinalState) -> None:
+    def cache_final(self, ref: str, final: FinalState) -> None:
         """Note a final state. To be called before any user is told: shard leaders must know of
         every cancellation that was confirmed."""
         self._finals[ref] = final
@@ -76,7 +76,7 @@
         if row is None:
             return None
         final = msgspec.json.decode(row.value, type=FinalState)
-        self.remember(ref, final)
+        self.cache_final(ref, final)
         return JobStatus(final.stage, final.done)
 
     async def read(self, ref: str) -> JobStatus | None:
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -200,7 +200,7 @@
                 raise
             return
         log.info("job %s cancelled", ref)
-        self.jobs.remember(ref, final)
+        self.jobs.cache_final(ref, final)
 
 
 def _status_answer(ref: str, status: JobStatus) -> Response:
