--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -16,7 +16,7 @@
 from basaltlead.wire.store import Row
 
 MAX_JOB_TASKS = 100_000  # of one job
-FINALS_KEPT = 5000
+MAX_CACHED_FINALS = 5000
 PENDING, RUNNING, CANCELLED = "pending", "running", "withdrawn"
 
 
@@ -59,7 +59,7 @@
         self._finals[ref] = final
         if final.stage == CANCELLED and self.cancellations.add(ref, now_us()):
             self.on_cancelled(ref)
-        while len(self._finals) > FINALS_KEPT:
+        while len(self._finals) > MAX_CACHED_FINALS:
             del self._finals[next(iter(self._finals))]
 
     async def open_rows(self, ref: str) -> list[Row]:
