--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -27,7 +27,7 @@
 from basaltlead.wire.users import REF, Submission
 
 JOBS_PATH = "/api/jobs"
-KNOWN_REF = re.compile(REF)
+REF_PATTERN = re.compile(REF)
 MAX_QUEUED_S = 0.5  # a request that would wait for longer for the store is refused at once
 # Users wait 2 s for a poll and 5 s for a change: they are told before that they get no answer.
 ANSWER_TIMEOUT_S = {GET: 1.7, POST: 4.0}
@@ -93,7 +93,7 @@
             return refusal(404, "no such path")
         if request.method != (POST if verb else GET):
             return refusal(405, "use POST" if verb else "use GET")
-        if not KNOWN_REF.match(ref):
+        if not REF_PATTERN.match(ref):
             return refusal(404, "no such job")
         return await (self.cancel(ref) if verb else self.poll(ref))
 
