--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -106,12 +106,12 @@
             return _status_answer(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
             return refusal(503, "starting", RETRY_SOON)
-        refused = self._refusal_of(submission) or await self._try_to_store(submission)
+        refused = self._rejection_of(submission) or await self._try_to_store(submission)
         if refused is None:
             return job_answer(201, submission.ref, PENDING)
         return await self._known_or(submission.ref, refused)
 
-    def _refusal_of(self, submission: Submission) -> Response | None:
+    def _rejection_of(self, submission: Submission) -> Response | None:
         """Why a submission can't be accepted, for good or for now; None if it can."""
         reason = self.admission.rejection_reason(submission)
         if reason:
