--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -109,7 +109,7 @@
         refused = self._rejection_of(submission) or await self._try_to_store(submission)
         if refused is None:
             return job_answer(201, submission.ref, PENDING)
-        return await self._known_or(submission.ref, refused)
+        return await self._existing_job_or(submission.ref, refused)
 
     def _rejection_of(self, submission: Submission) -> Response | None:
         """Why a submission can't be accepted, for good or for now; None if it can."""
@@ -148,7 +148,7 @@
         record = StoredJob.of(submission, wall_us())
         await self.store.compare_and_swap(preconditions, [Put(OPEN + ref, record)])
 
-    async def _known_or(self, ref: str, otherwise: Response) -> Response:
+    async def _existing_job_or(self, ref: str, otherwise: Response) -> Response:
         """The state of a job that was accepted before, whatever has changed since."""
         known = await self.jobs.read(ref)
         return otherwise if known is None else _status_answer(ref, known)
@@ -160,7 +160,7 @@
         final = self.jobs.cached_final(ref)
         if final is not None:
             return _status_answer(ref, final)
-        return await self._known_or(ref, refusal(404, "no such job"))
+        return await self._existing_job_or(ref, refusal(404, "no such job"))
 
     async def cancel(self, ref: str) -> Response:
         """Cancel a job that is open; the final state of one that is over."""
