--- a/basaltlead/api/responses.py
+++ b/basaltlead/api/responses.py
@@ -8,7 +8,7 @@
 RETRY_LATER = "Retry-After: 3\r\n"
 
 
-def refusal(status: int, text: str, headers: str = "") -> Response:
+def error_response(status: int, text: str, headers: str = "") -> Response:
     """An answer without a result; `text` says why there is none."""
     return Response(status, encode(Refusal(text)), headers)
 
--- a/basaltlead/api/routing.py
+++ b/basaltlead/api/routing.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from basaltlead.api.responses import refusal
+from basaltlead.api.responses import error_response
 from basaltlead.api.users import JOBS_PATH, UserApi
 from basaltlead.clients.codec import encode
 from basaltlead.cluster.membership import Membership
@@ -40,7 +40,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
             if self._log_limiter.allow(now_us()):
                 log.info("malformed heartbeat: %s", fault)
-            return refusal(400, "malformed report")
+            return error_response(400, "malformed report")
         number = self.assigner.shard_of(heartbeat.machine) or 0
         leader = self.registry.leaders.get(number)
         if leader is not None:
@@ -49,7 +49,7 @@
                 return answer
         other = self.membership.shard_leader(number)
         if other is None or other == self.membership.name:
-            return refusal(503, "no owner known")
+            return error_response(503, "no owner known")
         return Response(421, encode(Redirect(other)))
 
 
@@ -68,12 +68,12 @@
         path = request.path
         if path == HEARTBEAT_PATH:
             if request.method != POST:
-                return refusal(405, "use POST")
+                return error_response(405, "use POST")
             return self.heartbeat_api.handle(request.body)
         if path == HEALTH_PATH:
             if request.method != GET:
-                return refusal(405, "use GET")
-            return Response(200, b"{}") if self.is_healthy() else refusal(503, "not ready")
+                return error_response(405, "use GET")
+            return Response(200, b"{}") if self.is_healthy() else error_response(503, "not ready")
         if path == JOBS_PATH or path.startswith(f"{JOBS_PATH}/"):
             return self.user_api.handle(request)
-        return refusal(404, "no such path")
+        return error_response(404, "no such path")
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -8,7 +8,7 @@
 
 from basaltlead.api.admission import AdmissionCheck
 from basaltlead.api.job_reader import CANCELLED, PENDING, JobReader, JobStatus
-from basaltlead.api.responses import RETRY_LATER, RETRY_SOON, job_answer, refusal
+from basaltlead.api.responses import RETRY_LATER, RETRY_SOON, error_response, job_answer
 from basaltlead.cluster import versions
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
@@ -66,35 +66,35 @@
             try:  # malformed submissions get 400 also while nothing can be accepted
                 submission = msgspec.json.decode(request.body, type=Submission)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-                return refusal(400, str(fault)[:200])
+                return error_response(400, str(fault)[:200])
         if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUED_S:
-            return refusal(503, "busy", RETRY_LATER)
+            return error_response(503, "busy", RETRY_LATER)
         if not self.limiter.acquire():
-            return refusal(503, "busy", RETRY_SOON)
+            return error_response(503, "busy", RETRY_SOON)
         started = now_us()
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S.get(request.method, DEFAULT_TIMEOUT_S)):
                 return await (self.submit(submission) if submission else self._route(request))
         except TimeoutError:
-            return refusal(503, "no answer in time", RETRY_SOON)
+            return error_response(503, "no answer in time", RETRY_SOON)
         except ServiceError as fault:
             if self._log_limiter.allow(started):
                 log.info("%s %s answered 503: %s", request.method, request.path, fault)
-            return refusal(503, "not sure right now", RETRY_SOON)
+            return error_response(503, "not sure right now", RETRY_SOON)
         finally:
             self.limiter.release(now_us() - started)
 
     async def _route(self, request: Request) -> Response:
         rest = request.path.removeprefix(JOBS_PATH)
         if rest == "":
-            return refusal(405, "use POST")
+            return error_response(405, "use POST")
         ref, _, verb = rest[1:].partition("/")
         if verb not in ("", "cancel"):
-            return refusal(404, "no such path")
+            return error_response(404, "no such path")
         if request.method != (POST if verb else GET):
-            return refusal(405, "use POST" if verb else "use GET")
+            return error_response(405, "use POST" if verb else "use GET")
         if not REF_PATTERN.match(ref):
-            return refusal(404, "no such job")
+            return error_response(404, "no such job")
         return await (self.cancel(ref) if verb else self.poll(ref))
 
     # Submit
@@ -105,7 +105,7 @@
         if final is not None:
             return _status_answer(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
-            return refusal(503, "starting", RETRY_SOON)
+            return error_response(503, "starting", RETRY_SOON)
         refused = self._rejection_of(submission) or await self._try_to_store(submission)
         if refused is None:
             return job_answer(201, submission.ref, PENDING)
@@ -115,10 +115,10 @@
         """Why a submission can't be accepted, for good or for now; None if it can."""
         reason = self.admission.rejection_reason(submission)
         if reason:
-            return refusal(422, reason)
+            return error_response(422, reason)
         is_service = submission.shape == SERVICE
         if is_service and not versions.services_allowed(self.membership.cluster):
-            return refusal(503, "not all upgraded", RETRY_LATER)
+            return error_response(503, "not all upgraded", RETRY_LATER)
         return None
 
     async def _try_to_store(self, submission: Submission) -> Response | None:
@@ -127,11 +127,11 @@
         try:
             await self._store(submission)
         except TransactionTooLarge as fault:
-            return refusal(422, str(fault))
+            return error_response(422, str(fault))
         except PreconditionFailed as conflict:
             if not _names_job(conflict, submission.ref):
                 raise
-            return refusal(503, "again, please", RETRY_SOON)
+            return error_response(503, "again, please", RETRY_SOON)
         return None
 
     async def _store(self, submission: Submission) -> None:
@@ -160,7 +160,7 @@
         final = self.jobs.cached_final(ref)
         if final is not None:
             return _status_answer(ref, final)
-        return await self._existing_job_or(ref, refusal(404, "no such job"))
+        return await self._existing_job_or(ref, error_response(404, "no such job"))
 
     async def cancel(self, ref: str) -> Response:
         """Cancel a job that is open; the final state of one that is over."""
@@ -171,13 +171,15 @@
             rows = await self.jobs.open_rows(ref)
             if not rows:
                 if await self.jobs.read_final(ref) is None:
-                    return refusal(404, "no such job")
+                    return error_response(404, "no such job")
                 continue
             if not self.membership.holds_valid_lease:
-                return refusal(503, "starting", RETRY_SOON)
+                return error_response(503, "starting", RETRY_SOON)
             await self._store_cancellation(ref, rows)
         final = self.jobs.cached_final(ref)
-        return refusal(503, "busy", RETRY_SOON) if final is None else _status_answer(ref, final)
+        return (
+            error_response(503, "busy", RETRY_SOON) if final is None else _status_answer(ref, final)
+        )
 
     async def _store_cancellation(self, ref: str, rows: list[Row]) -> None:
         """Move an open job to over, with as many of its rows as one transaction takes. Does nothing
