--- a/basaltlead/api/responses.py
+++ b/basaltlead/api/responses.py
@@ -13,6 +13,6 @@
     return Response(status, encode(Refusal(text)), headers)
 
 
-def job_answer(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
+def job_response(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
     """An answer with the state of a job."""
     return Response(status, encode(JobAnswer(ref, stage, done, running)))
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -8,7 +8,7 @@
 
 from basaltlead.api.admission import AdmissionCheck
 from basaltlead.api.job_reader import CANCELLED, PENDING, JobReader, JobStatus
-from basaltlead.api.responses import RETRY_LATER, RETRY_SOON, error_response, job_answer
+from basaltlead.api.responses import RETRY_LATER, RETRY_SOON, error_response, job_response
 from basaltlead.cluster import versions
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
@@ -108,7 +108,7 @@
             return error_response(503, "starting", RETRY_SOON)
         refused = self._rejection_of(submission) or await self._try_to_store(submission)
         if refused is None:
-            return job_answer(201, submission.ref, PENDING)
+            return job_response(201, submission.ref, PENDING)
         return await self._existing_job_or(submission.ref, refused)
 
     def _rejection_of(self, submission: Submission) -> Response | None:
@@ -206,7 +206,7 @@
 
 
 def _status_answer(ref: str, status: JobStatus) -> Response:
-    return job_answer(200, ref, status.stage, status.done, status.running)
+    return job_response(200, ref, status.stage, status.done, status.running)
 
 
 def _names_job(conflict: PreconditionFailed, ref: str) -> bool:
