--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -103,7 +103,7 @@
         """Accept a job once it is stored. A repeated submission gets the job's state."""
         final = self.jobs.cached_final(submission.ref)
         if final is not None:
-            return _status_answer(submission.ref, final)
+            return _status_response(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
             return error_response(503, "starting", RETRY_SOON)
         refused = self._rejection_of(submission) or await self._try_to_store(submission)
@@ -151,7 +151,7 @@
     async def _existing_job_or(self, ref: str, otherwise: Response) -> Response:
         """The state of a job that was accepted before, whatever has changed since."""
         known = await self.jobs.read(ref)
-        return otherwise if known is None else _status_answer(ref, known)
+        return otherwise if known is None else _status_response(ref, known)
 
     # Poll and cancel
 
@@ -159,7 +159,7 @@
         """The state of a job; 404 if it was never accepted."""
         final = self.jobs.cached_final(ref)
         if final is not None:
-            return _status_answer(ref, final)
+            return _status_response(ref, final)
         return await self._existing_job_or(ref, error_response(404, "no such job"))
 
     async def cancel(self, ref: str) -> Response:
@@ -167,7 +167,7 @@
         for _ in range(CANCEL_ATTEMPTS):
             final = self.jobs.cached_final(ref)
             if final is not None:
-                return _status_answer(ref, final)
+                return _status_response(ref, final)
             rows = await self.jobs.open_rows(ref)
             if not rows:
                 if await self.jobs.read_final(ref) is None:
@@ -178,7 +178,9 @@
             await self._store_cancellation(ref, rows)
         final = self.jobs.cached_final(ref)
         return (
-            error_response(503, "busy", RETRY_SOON) if final is None else _status_answer(ref, final)
+            error_response(503, "busy", RETRY_SOON)
+            if final is None
+            else _status_response(ref, final)
         )
 
     async def _store_cancellation(self, ref: str, rows: list[Row]) -> None:
@@ -205,7 +207,7 @@
         self.jobs.cache_final(ref, final)
 
 
-def _status_answer(ref: str, status: JobStatus) -> Response:
+def _status_response(ref: str, status: JobStatus) -> Response:
     return job_response(200, ref, status.stage, status.done, status.running)
 
 
