--- a/basaltlead/api/responses.py
+++ b/basaltlead/api/responses.py
@@ -2,7 +2,7 @@
 
 from basaltlead.clients.codec import encode
 from basaltlead.net.http.messages import Response
-from basaltlead.wire.users import JobAnswer, Refusal
+from basaltlead.wire.users import ErrorBody, JobAnswer
 
 RETRY_SOON = "Retry-After: 1\r\n"
 RETRY_LATER = "Retry-After: 3\r\n"
@@ -10,7 +10,7 @@
 
 def error_response(status: int, text: str, headers: str = "") -> Response:
     """An answer without a result; `text` says why there is none."""
-    return Response(status, encode(Refusal(text)), headers)
+    return Response(status, encode(ErrorBody(text)), headers)
 
 
 def job_response(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -47,7 +47,7 @@
     running: int = 0
 
 
-class Refusal(Struct):
+class ErrorBody(Struct):
     """Why a request was not carried out."""
 
     error: str
