--- a/basaltlead/api/responses.py
+++ b/basaltlead/api/responses.py
@@ -2,7 +2,7 @@
 
 from basaltlead.clients.codec import encode
 from basaltlead.net.http.messages import Response
-from basaltlead.wire.users import ErrorBody, JobAnswer
+from basaltlead.wire.users import ErrorBody, JobStatusResponse
 
 RETRY_SOON = "Retry-After: 1\r\n"
 RETRY_LATER = "Retry-After: 3\r\n"
@@ -15,4 +15,4 @@
 
 def job_response(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
     """An answer with the state of a job."""
-    return Response(status, encode(JobAnswer(ref, stage, done, running)))
+    return Response(status, encode(JobStatusResponse(ref, stage, done, running)))
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -38,7 +38,7 @@
     due_s: Amount | None = None
 
 
-class JobAnswer(Struct, rename=PROTOCOL_NAMES):
+class JobStatusResponse(Struct, rename=PROTOCOL_NAMES):
     """The state of a job, with how many of its tasks are done and run."""
 
     ref: str
