--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -14,7 +14,7 @@
     Answer,
     CancellationNotice,
     DeferralRequest,
-    DutiesQuestion,
+    DutiesRequest,
     FailoverDeferral,
     HistoryQuestion,
     Question,
@@ -61,7 +61,7 @@
                 protocol.send(encode(self._deferral(request)))
             case CancellationNotice(refs):
                 self.exchange.learn(refs)
-            case (DutiesQuestion() | HistoryQuestion()) as question:
+            case (DutiesRequest() | HistoryQuestion()) as question:
                 self._start_reply(protocol, question)
 
     def _deferral(self, request: DeferralRequest) -> FailoverDeferral:
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -18,7 +18,7 @@
 from basaltlead.wire.peers import (
     Answer,
     DutiesAnswer,
-    DutiesQuestion,
+    DutiesRequest,
     HeldDuty,
     HistoryAnswer,
     OpenIntent,
@@ -38,11 +38,11 @@
 
     async def answer(self, question: Question) -> Answer:
         """The answer to a question; if the store does not answer us, one that says so."""
-        answer_type = DutiesAnswer if isinstance(question, DutiesQuestion) else HistoryAnswer
+        answer_type = DutiesAnswer if isinstance(question, DutiesRequest) else HistoryAnswer
         if self.membership.cut_off:
             return answer_type("the state service does not answer")
         try:
-            if isinstance(question, DutiesQuestion):
+            if isinstance(question, DutiesRequest):
                 return await self._duties()
             return await self._history_page(question.after)
         except ServiceError as fault:
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -13,7 +13,7 @@
 from basaltlead.wire.peers import (
     Answer,
     DutiesAnswer,
-    DutiesQuestion,
+    DutiesRequest,
     HistoryAnswer,
     HistoryQuestion,
     Message,
@@ -90,7 +90,7 @@
 
 def duties(address: str) -> DutiesAnswer:
     """Who holds which duty, and which intents are open. Raises Unreachable or NotKnown."""
-    answer = ask(address, DutiesQuestion())
+    answer = ask(address, DutiesRequest())
     assert isinstance(answer, DutiesAnswer)
     return answer
 
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -43,7 +43,7 @@
     refs: list[str]
 
 
-class DutiesQuestion(Struct, tag="duties", tag_field="is"):
+class DutiesRequest(Struct, tag="duties", tag_field="is"):
     """An operator asks who holds which duty, and which intents are open."""
 
 
@@ -94,6 +94,6 @@
     page: Raw = Raw(b"null")
 
 
-Question = DutiesQuestion | HistoryQuestion
+Question = DutiesRequest | HistoryQuestion
 Answer = DutiesAnswer | HistoryAnswer
 Message = DeferralRequest | FailoverDeferral | CancellationNotice | Question | Answer
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -23,7 +23,7 @@
 from basaltlead.scaling.quiet_calendar import QuietCalendar, read_calendar
 from basaltlead.wire.peers import (
     DutiesAnswer,
-    DutiesQuestion,
+    DutiesRequest,
     HeldDuty,
     HistoryAnswer,
     HistoryQuestion,
@@ -48,7 +48,7 @@
     await deployment.submit(deployment.job(1, Cores=8.0))
     await asyncio.sleep(15)
     addresses = [f"{deployment.host(name)}:8081" for name in deployment.nodes]
-    answers = [await client._ask(one, DutiesQuestion()) for one in addresses]
+    answers = [await client._ask(one, DutiesRequest()) for one in addresses]
     assert answers[0] == answers[1] == answers[2]
     answer = answers[0]
     assert isinstance(answer, DutiesAnswer)
@@ -65,7 +65,7 @@
     for wait_s in (1, 20):  # unanswered at first, then known to be away
         await asyncio.sleep(wait_s)
         for address in addresses:
-            assert (await client._ask(address, DutiesQuestion())).unknown
+            assert (await client._ask(address, DutiesRequest())).unknown
             assert (await client._ask(address, HistoryQuestion(""))).unknown
     deployment.store.end_outage()
 
