--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -16,7 +16,7 @@
     DeferralRequest,
     DutiesRequest,
     FailoverDeferral,
-    HistoryQuestion,
+    HistoryRequest,
     Question,
 )
 
@@ -61,7 +61,7 @@
                 protocol.send(encode(self._deferral(request)))
             case CancellationNotice(refs):
                 self.exchange.learn(refs)
-            case (DutiesRequest() | HistoryQuestion()) as question:
+            case (DutiesRequest() | HistoryRequest()) as question:
                 self._start_reply(protocol, question)
 
     def _deferral(self, request: DeferralRequest) -> FailoverDeferral:
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -15,7 +15,7 @@
     DutiesAnswer,
     DutiesRequest,
     HistoryAnswer,
-    HistoryQuestion,
+    HistoryRequest,
     Message,
     Question,
 )
@@ -100,7 +100,7 @@
     Unreachable or NotKnown."""
     after = ""
     while True:
-        answer = ask(address, HistoryQuestion(after))
+        answer = ask(address, HistoryRequest(after))
         assert isinstance(answer, HistoryAnswer)
         if not answer.key:
             return
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -79,7 +79,7 @@
     open_count: int = 0
 
 
-class HistoryQuestion(Struct, tag="history", tag_field="is"):
+class HistoryRequest(Struct, tag="history", tag_field="is"):
     """An operator asks for the first page of the duties' history after this key."""
 
     after: str
@@ -94,6 +94,6 @@
     page: Raw = Raw(b"null")
 
 
-Question = DutiesRequest | HistoryQuestion
+Question = DutiesRequest | HistoryRequest
 Answer = DutiesAnswer | HistoryAnswer
 Message = DeferralRequest | FailoverDeferral | CancellationNotice | Question | Answer
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -26,7 +26,7 @@
     DutiesRequest,
     HeldDuty,
     HistoryAnswer,
-    HistoryQuestion,
+    HistoryRequest,
     OpenIntent,
 )
 from tests.duty_support import DUTIES_ON, start_with_duties
@@ -59,14 +59,14 @@
     }
     assert answer.open_count == len(answer.intents) > 0
     assert all("400" in one.refused for one in answer.intents)
-    pages = [await client._ask(one, HistoryQuestion("")) for one in addresses]
+    pages = [await client._ask(one, HistoryRequest("")) for one in addresses]
     assert pages[0] == pages[1] == pages[2]
     deployment.store.down = True
     for wait_s in (1, 20):  # unanswered at first, then known to be away
         await asyncio.sleep(wait_s)
         for address in addresses:
             assert (await client._ask(address, DutiesRequest())).unknown
-            assert (await client._ask(address, HistoryQuestion(""))).unknown
+            assert (await client._ask(address, HistoryRequest(""))).unknown
     deployment.store.end_outage()
 
 
