--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -17,8 +17,8 @@
 from basaltlead.storage.records import HISTORY, SCALE_IN, SCALE_OUT, StoredScaleIn, StoredScaleOut
 from basaltlead.wire.peers import (
     Answer,
-    DutiesAnswer,
     DutiesRequest,
+    DutiesResponse,
     HeldDuty,
     HistoryAnswer,
     OpenIntent,
@@ -38,7 +38,7 @@
 
     async def answer(self, question: Question) -> Answer:
         """The answer to a question; if the store does not answer us, one that says so."""
-        answer_type = DutiesAnswer if isinstance(question, DutiesRequest) else HistoryAnswer
+        answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryAnswer
         if self.membership.cut_off:
             return answer_type("the state service does not answer")
         try:
@@ -48,7 +48,7 @@
         except ServiceError as fault:
             return answer_type(str(fault))
 
-    async def _duties(self) -> DutiesAnswer:
+    async def _duties(self) -> DutiesResponse:
         cluster = ClusterView()
         rows, _ = await self.store.rows(PREFIX)
         for row in rows:
@@ -59,7 +59,7 @@
             [*_open_scale_outs(scale_outs), *_open_scale_ins(scale_ins)],
             key=lambda intent: intent.since,
         )
-        return DutiesAnswer(
+        return DutiesResponse(
             granted=duties_allowed(cluster),
             duties=[_held_duty(cluster, duty) for duty in Duty],
             intents=intents[:MOST_INTENTS],
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -12,8 +12,8 @@
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
     Answer,
-    DutiesAnswer,
     DutiesRequest,
+    DutiesResponse,
     HistoryAnswer,
     HistoryRequest,
     Message,
@@ -88,10 +88,10 @@
     return answer
 
 
-def duties(address: str) -> DutiesAnswer:
+def duties(address: str) -> DutiesResponse:
     """Who holds which duty, and which intents are open. Raises Unreachable or NotKnown."""
     answer = ask(address, DutiesRequest())
-    assert isinstance(answer, DutiesAnswer)
+    assert isinstance(answer, DutiesResponse)
     return answer
 
 
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -13,7 +13,7 @@
 from basaltlead.operators import client
 from basaltlead.operators.arguments import Verb
 from basaltlead.runtime.clock import wall_us
-from basaltlead.wire.peers import DutiesAnswer, OpenIntent
+from basaltlead.wire.peers import DutiesResponse, OpenIntent
 
 
 class ExitStatus(IntEnum):
@@ -47,7 +47,7 @@
     return status
 
 
-def _show_duties(answer: DutiesAnswer, as_json: bool) -> ExitStatus:
+def _show_duties(answer: DutiesResponse, as_json: bool) -> ExitStatus:
     if as_json:
         print(msgspec.json.encode(answer).decode())
         return ExitStatus.OK
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -68,7 +68,7 @@
     refused: str
 
 
-class DutiesAnswer(Struct, tag="duties-told", tag_field="is"):
+class DutiesResponse(Struct, tag="duties-told", tag_field="is"):
     """The duties and open intents; `unknown` tells why there is no answer, and is empty if there is
     one."""
 
@@ -95,5 +95,5 @@
 
 
 Question = DutiesRequest | HistoryRequest
-Answer = DutiesAnswer | HistoryAnswer
+Answer = DutiesResponse | HistoryAnswer
 Message = DeferralRequest | FailoverDeferral | CancellationNotice | Question | Answer
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -22,8 +22,8 @@
 from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuiet
 from basaltlead.scaling.quiet_calendar import QuietCalendar, read_calendar
 from basaltlead.wire.peers import (
-    DutiesAnswer,
     DutiesRequest,
+    DutiesResponse,
     HeldDuty,
     HistoryAnswer,
     HistoryRequest,
@@ -51,7 +51,7 @@
     answers = [await client._ask(one, DutiesRequest()) for one in addresses]
     assert answers[0] == answers[1] == answers[2]
     answer = answers[0]
-    assert isinstance(answer, DutiesAnswer)
+    assert isinstance(answer, DutiesResponse)
     assert answer.granted
     assert not answer.unknown
     assert {one.duty: one.holder for one in answer.duties} == {
@@ -96,7 +96,7 @@
 def test_the_command_shows_holders_and_open_intents(
     config: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    answer = DutiesAnswer(
+    answer = DutiesResponse(
         "",
         True,
         [HeldDuty("rent", "node-2", 7, 5 * SECOND), HeldDuty("return", "", 0, 0)],
@@ -112,7 +112,7 @@
     assert "open intents: 1" in shown
     assert "refused: cloud: 400" in shown
     assert cli.main(["duties", "--json", "--controller", "node-1", "--config", config]) == 0
-    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesAnswer) == answer
+    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesResponse) == answer
     assert asked == ["10.0.0.1:8081", "10.0.0.2:8081"]
 
 
@@ -122,9 +122,9 @@
         (OSError(111, "Connection refused"), [], 3, "10.0.0.1:8081: Connection refused"),
         (TimeoutError(), [], 3, "no answer within 5 s"),
         (client.Unreachable("it closed the connection"), [], 3, "closed"),
-        (DutiesAnswer("the state service does not answer"), [], 4, "not known: the state"),
-        (DutiesAnswer(), ["--controller", "node-9"], 2, "no controller node-9"),
-        (DutiesAnswer(), ["--config", "/nowhere.toml"], 2, "/nowhere.toml: No such file"),
+        (DutiesResponse("the state service does not answer"), [], 4, "not known: the state"),
+        (DutiesResponse(), ["--controller", "node-9"], 2, "no controller node-9"),
+        (DutiesResponse(), ["--config", "/nowhere.toml"], 2, "/nowhere.toml: No such file"),
     ],
     ids=["refused", "timeout", "closed", "unknown", "no such controller", "no such file"],
 )
