--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -20,7 +20,7 @@
     DutiesRequest,
     DutiesResponse,
     HeldDuty,
-    HistoryAnswer,
+    HistoryResponse,
     OpenIntent,
     Question,
 )
@@ -38,7 +38,7 @@
 
     async def answer(self, question: Question) -> Answer:
         """The answer to a question; if the store does not answer us, one that says so."""
-        answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryAnswer
+        answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryResponse
         if self.membership.cut_off:
             return answer_type("the state service does not answer")
         try:
@@ -66,11 +66,11 @@
             open_count=len(intents),
         )
 
-    async def _history_page(self, after: str) -> HistoryAnswer:
+    async def _history_page(self, after: str) -> HistoryResponse:
         page = await self.store.page(HISTORY, since=after, limit=1)
         if not page.rows:
-            return HistoryAnswer()
-        return HistoryAnswer(key=page.rows[0].key, page=page.rows[0].value)
+            return HistoryResponse()
+        return HistoryResponse(key=page.rows[0].key, page=page.rows[0].value)
 
 
 def _held_duty(cluster: ClusterView, duty: Duty) -> HeldDuty:
--- a/basaltlead/operators/audit_export.py
+++ b/basaltlead/operators/audit_export.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from basaltlead.duties.history import HistoryPage
-from basaltlead.wire.peers import HistoryAnswer
+from basaltlead.wire.peers import HistoryResponse
 
 SCHEMA = pa.schema(
     [
@@ -39,7 +39,7 @@
     overwritten: dict[str, int]
 
 
-def export(pages: Iterable[HistoryAnswer], out: str) -> ExportSummary:
+def export(pages: Iterable[HistoryResponse], out: str) -> ExportSummary:
     """Write pages, which come duty by duty, to a file. Raises OSError, and what `pages` raises.
 
     The file is written under another name and renamed, so it is complete or not there.
@@ -63,7 +63,7 @@
     return summary
 
 
-def _rings(pages: Iterable[HistoryAnswer]) -> Iterator[tuple[str, list[HistoryPage]]]:
+def _rings(pages: Iterable[HistoryResponse]) -> Iterator[tuple[str, list[HistoryPage]]]:
     """All pages of each duty, in the order of their keys in the ring."""
     for duty, answers in groupby(pages, key=lambda answer: answer.key.split("/")[1]):
         yield duty, [msgspec.json.decode(answer.page, type=HistoryPage) for answer in answers]
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -14,8 +14,8 @@
     Answer,
     DutiesRequest,
     DutiesResponse,
-    HistoryAnswer,
     HistoryRequest,
+    HistoryResponse,
     Message,
     Question,
 )
@@ -95,13 +95,13 @@
     return answer
 
 
-def history(address: str) -> Iterator[HistoryAnswer]:
+def history(address: str) -> Iterator[HistoryResponse]:
     """The pages of the recorded history, one at a time, in the order of their keys. Raises
     Unreachable or NotKnown."""
     after = ""
     while True:
         answer = ask(address, HistoryRequest(after))
-        assert isinstance(answer, HistoryAnswer)
+        assert isinstance(answer, HistoryResponse)
         if not answer.key:
             return
         yield answer
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -85,7 +85,7 @@
     after: str
 
 
-class HistoryAnswer(Struct, tag="history-told", tag_field="is"):
+class HistoryResponse(Struct, tag="history-told", tag_field="is"):
     """A page of the history and its key, which is empty if there is none left; `unknown` tells why
     there is no answer."""
 
@@ -95,5 +95,5 @@
 
 
 Question = DutiesRequest | HistoryRequest
-Answer = DutiesResponse | HistoryAnswer
+Answer = DutiesResponse | HistoryResponse
 Message = DeferralRequest | FailoverDeferral | CancellationNotice | Question | Answer
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -25,8 +25,8 @@
     DutiesRequest,
     DutiesResponse,
     HeldDuty,
-    HistoryAnswer,
     HistoryRequest,
+    HistoryResponse,
     OpenIntent,
 )
 from tests.duty_support import DUTIES_ON, start_with_duties
@@ -145,7 +145,7 @@
 # The history
 
 
-def _pages(duty: str, low: int, high: int) -> list[HistoryAnswer]:
+def _pages(duty: str, low: int, high: int) -> list[HistoryResponse]:
     """Pages of ten events each, in the order of their keys in the ring."""
     pages = []
     for number in range(low, high):
@@ -153,7 +153,7 @@
             Event.of(Action.RETURNED, f"{number}-{n}", SECOND, ["m-1", "m-2"]) for n in range(10)
         ]
         raw = msgspec.json.encode(HistoryPage(number, number * 10, events))
-        pages.append(HistoryAnswer("", f"history/{duty}/{number % PAGES:03d}", msgspec.Raw(raw)))
+        pages.append(HistoryResponse("", f"history/{duty}/{number % PAGES:03d}", msgspec.Raw(raw)))
     return sorted(pages, key=lambda page: page.key)
 
 
