--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -17,7 +17,7 @@
     DutiesRequest,
     FailoverDeferral,
     HistoryRequest,
-    Question,
+    OperatorRequest,
 )
 
 MOST_CONNECTIONS = 16
@@ -33,7 +33,7 @@
         membership: Membership,
         reader: MessageReader,
         exchange: CancellationExchange,
-        answer: Callable[[Question], Awaitable[Answer]],
+        answer: Callable[[OperatorRequest], Awaitable[Answer]],
     ) -> None:
         self.address = settings.internal_addr
         self.peer_names = {peer.member for peer in settings.known}
@@ -77,11 +77,11 @@
             cancelled=self.exchange.confirmed_since(request.unconfirmed_us),
         )
 
-    def _start_reply(self, protocol: FrameProtocol, question: Question) -> None:
+    def _start_reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
         if len(self.answering) < MOST_QUESTIONS:
             task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
             self.answering.add(task)
             task.add_done_callback(self.answering.discard)
 
-    async def _reply(self, protocol: FrameProtocol, question: Question) -> None:
+    async def _reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
         protocol.send(encode(await self.answer(question)))
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -22,7 +22,7 @@
     HeldDuty,
     HistoryResponse,
     OpenIntent,
-    Question,
+    OperatorRequest,
 )
 from basaltlead.wire.store import Row
 
@@ -36,7 +36,7 @@
         self.store = store
         self.membership = membership
 
-    async def answer(self, question: Question) -> Answer:
+    async def answer(self, question: OperatorRequest) -> Answer:
         """The answer to a question; if the store does not answer us, one that says so."""
         answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryResponse
         if self.membership.cut_off:
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -17,7 +17,7 @@
     HistoryRequest,
     HistoryResponse,
     Message,
-    Question,
+    OperatorRequest,
 )
 
 TIMEOUT_S = 5.0  # for connecting and the answer together
@@ -53,7 +53,7 @@
         answered.set_exception(Unreachable("it closed the connection"))
 
 
-async def _ask(address: str, question: Question) -> Answer:
+async def _ask(address: str, question: OperatorRequest) -> Answer:
     """Send a question; its answer. Raises Unreachable, OSError and TimeoutError."""
     loop = asyncio.get_running_loop()
     answered: asyncio.Future[Answer] = loop.create_future()
@@ -73,7 +73,7 @@
             protocol.close()
 
 
-def ask(address: str, question: Question) -> Answer:
+def ask(address: str, question: OperatorRequest) -> Answer:
     """The answer to a question. Raises Unreachable or NotKnown, with a text for the operator."""
     try:
         answer = asyncio.run(_ask(address, question))
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -94,6 +94,6 @@
     page: Raw = Raw(b"null")
 
 
-Question = DutiesRequest | HistoryRequest
+OperatorRequest = DutiesRequest | HistoryRequest
 Answer = DutiesResponse | HistoryResponse
-Message = DeferralRequest | FailoverDeferral | CancellationNotice | Question | Answer
+Message = DeferralRequest | FailoverDeferral | CancellationNotice | OperatorRequest | Answer
