--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -11,13 +11,13 @@
 from basaltlead.net.http.server import listen
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
-    Answer,
     CancellationNotice,
     DeferralRequest,
     DutiesRequest,
     FailoverDeferral,
     HistoryRequest,
     OperatorRequest,
+    OperatorResponse,
 )
 
 MOST_CONNECTIONS = 16
@@ -33,7 +33,7 @@
         membership: Membership,
         reader: MessageReader,
         exchange: CancellationExchange,
-        answer: Callable[[OperatorRequest], Awaitable[Answer]],
+        answer: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
         self.address = settings.internal_addr
         self.peer_names = {peer.member for peer in settings.known}
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -8,7 +8,7 @@
 from basaltlead.cluster.peer_link import MessageReader
 from basaltlead.cluster.peer_server import PeerServer
 from basaltlead.config.settings import Settings
-from basaltlead.wire.peers import Answer, CancellationNotice, OperatorRequest
+from basaltlead.wire.peers import CancellationNotice, OperatorRequest, OperatorResponse
 
 
 class Peers:
@@ -19,7 +19,7 @@
         settings: Settings,
         membership: Membership,
         exchange: CancellationExchange,
-        answer: Callable[[OperatorRequest], Awaitable[Answer]],
+        answer: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
         """`answer` answers the questions of operators."""
         reader = MessageReader()
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -16,13 +16,13 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.records import HISTORY, SCALE_IN, SCALE_OUT, StoredScaleIn, StoredScaleOut
 from basaltlead.wire.peers import (
-    Answer,
     DutiesRequest,
     DutiesResponse,
     HeldDuty,
     HistoryResponse,
     OpenIntent,
     OperatorRequest,
+    OperatorResponse,
 )
 from basaltlead.wire.store import Row
 
@@ -36,7 +36,7 @@
         self.store = store
         self.membership = membership
 
-    async def answer(self, question: OperatorRequest) -> Answer:
+    async def answer(self, question: OperatorRequest) -> OperatorResponse:
         """The answer to a question; if the store does not answer us, one that says so."""
         answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryResponse
         if self.membership.cut_off:
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -11,13 +11,13 @@
 from basaltlead.errors import SettingsError
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
-    Answer,
     DutiesRequest,
     DutiesResponse,
     HistoryRequest,
     HistoryResponse,
     Message,
     OperatorRequest,
+    OperatorResponse,
 )
 
 TIMEOUT_S = 5.0  # for connecting and the answer together
@@ -42,21 +42,25 @@
     raise SettingsError(f"known: no controller {controller}")
 
 
-def _on_message(answered: asyncio.Future[Answer], _protocol: FrameProtocol, body: bytes) -> None:
+def _on_message(
+    answered: asyncio.Future[OperatorResponse], _protocol: FrameProtocol, body: bytes
+) -> None:
     message = msgspec.json.decode(body, type=Message)
-    if isinstance(message, Answer) and not answered.done():
+    if isinstance(message, OperatorResponse) and not answered.done():
         answered.set_result(message)
 
 
-def _on_connection_lost(answered: asyncio.Future[Answer], _protocol: FrameProtocol) -> None:
+def _on_connection_lost(
+    answered: asyncio.Future[OperatorResponse], _protocol: FrameProtocol
+) -> None:
     if not answered.done():
         answered.set_exception(Unreachable("it closed the connection"))
 
 
-async def _ask(address: str, question: OperatorRequest) -> Answer:
+async def _ask(address: str, question: OperatorRequest) -> OperatorResponse:
     """Send a question; its answer. Raises Unreachable, OSError and TimeoutError."""
     loop = asyncio.get_running_loop()
-    answered: asyncio.Future[Answer] = loop.create_future()
+    answered: asyncio.Future[OperatorResponse] = loop.create_future()
     host, port = address.rsplit(":", 1)
     async with asyncio.timeout(TIMEOUT_S):
         _, protocol = await loop.create_connection(
@@ -73,7 +77,7 @@
             protocol.close()
 
 
-def ask(address: str, question: OperatorRequest) -> Answer:
+def ask(address: str, question: OperatorRequest) -> OperatorResponse:
     """The answer to a question. Raises Unreachable or NotKnown, with a text for the operator."""
     try:
         answer = asyncio.run(_ask(address, question))
--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -95,5 +95,7 @@
 
 
 OperatorRequest = DutiesRequest | HistoryRequest
-Answer = DutiesResponse | HistoryResponse
-Message = DeferralRequest | FailoverDeferral | CancellationNotice | OperatorRequest | Answer
+OperatorResponse = DutiesResponse | HistoryResponse
+Message = (
+    DeferralRequest | FailoverDeferral | CancellationNotice | OperatorRequest | OperatorResponse
+)
