--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -27,7 +27,7 @@
     """The controller can't be reached, or gives no answer in time."""
 
 
-class NotKnown(Exception):
+class StateUnavailable(Exception):
     """The controller answers that it does not know, since the store does not answer it."""
 
 
@@ -88,7 +88,7 @@
     except Unreachable as fault:
         raise Unreachable(f"{address}: {fault}") from None
     if answer.unknown:
-        raise NotKnown(f"{address}: not known: {answer.unknown}")
+        raise StateUnavailable(f"{address}: not known: {answer.unknown}")
     return answer
 
 
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -38,7 +38,7 @@
         return _fail(str(fault), ExitStatus.BAD_SETTINGS)
     except client.Unreachable as fault:
         return _fail(str(fault), ExitStatus.UNREACHABLE)
-    except client.NotKnown as fault:
+    except client.StateUnavailable as fault:
         return _fail(str(fault), ExitStatus.NOT_KNOWN)
 
 
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -175,9 +175,9 @@
 def test_failed_export_leaves_no_file(tmp_path: Path) -> None:
     def broken() -> Any:
         yield from _pages("rent", 0, 2)
-        raise client.NotKnown("the state service does not answer")
+        raise client.StateUnavailable("the state service does not answer")
 
-    with pytest.raises(client.NotKnown):
+    with pytest.raises(client.StateUnavailable):
         export(broken(), str(tmp_path / "history.parquet"))
     assert list(tmp_path.iterdir()) == []
 
