--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -22,7 +22,7 @@
     OK = 0
     BAD_SETTINGS = 2
     UNREACHABLE = 3
-    NOT_KNOWN = 4
+    STATE_UNAVAILABLE = 4
     LIBRARY_MISSING = 5
     NOT_WRITTEN = 6
 
@@ -39,7 +39,7 @@
     except client.Unreachable as fault:
         return _fail(str(fault), ExitStatus.UNREACHABLE)
     except client.StateUnavailable as fault:
-        return _fail(str(fault), ExitStatus.NOT_KNOWN)
+        return _fail(str(fault), ExitStatus.STATE_UNAVAILABLE)
 
 
 def _fail(text: str, status: ExitStatus) -> ExitStatus:
