--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -145,7 +145,7 @@
                 spawn(partial(self.shard_assigner.follow, prefix), f"follow {prefix}")
         await asyncio.Event().wait()
 
-    def every_task(self) -> list[asyncio.Task[None]]:
+    def all_tasks(self) -> list[asyncio.Task[None]]:
         """All tasks of this process: tests cancel them to simulate a crash."""
         groups = [self.background]
         groups += [leader.context.tasks for leader in self.registry.leaders.values()]
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -145,7 +145,7 @@
         node = self.controllers.pop(name, None)
         self.controller_tasks.pop(name).cancel()
         if node is not None:
-            for task in node.every_task():
+            for task in node.all_tasks():
                 task.cancel()
         self.net.power_off(self.host(name))
 
