--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -286,29 +286,29 @@
     """More is asked than the key-value store's share allows, then it falls silent."""
     deployment = Deployment(loop)
     await deployment.start_with_running_job(1, 60.0)
-    desk = deployment.controllers["node-0"].user_api
+    user_api = deployment.controllers["node-0"].user_api
 
-    desk.store.request_limiter.full_at = loop.time() + 60.0
-    bad = await desk.handle(Request("POST", "/api/jobs", "", b"[]"))
+    user_api.store.request_limiter.full_at = loop.time() + 60.0
+    bad = await user_api.handle(Request("POST", "/api/jobs", "", b"[]"))
     assert bad.status == 400  # malformed is told apart, and not asked again
     pool = ConnectionPool(dict(deployment.front_addresses())["node-0"], 1)
     asked = loop.time()
     status, _ = await pool.request("GET", "/api/jobs/req-000001")
     assert status == 503
     assert loop.time() - asked < 0.1
-    desk.store.request_limiter.full_at = 0.0
-    answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
+    user_api.store.request_limiter.full_at = 0.0
+    answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 200
     # Connections hang: nobody answers, nobody refuses
     deployment.cut_from_store_and_peers("node-0")
     asked = loop.time()
-    answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
+    answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 503
     assert "Retry-After" in answer.headers
     assert loop.time() - asked < 2.0  # users wait no longer
     await asyncio.sleep(3)
     asked = loop.time()
-    answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
+    answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
 
     assert answer.status == 503
     assert loop.time() == asked
