--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -367,16 +367,16 @@
         await workers.command(address, DirectCommand(0, 1, []))
     assert len(workers.pools) == 4
     clients = [ConnectionPool("10.0.0.9:80", 1) for _ in range(6)]
-    for comer in clients:
-        assert (await comer.request("GET", "/"))[0] == 200
+    for client in clients:
+        assert (await client.request("GET", "/"))[0] == 200
     assert len(workers.pools) == 0
     assert len(server.connections) == 6
-    assert all(comer.idle for comer in clients)  # nobody was thrown out
+    assert all(client.idle for client in clients)  # nobody was thrown out
     late = ConnectionPool("10.0.0.9:80", 1)
     assert (await late.request("GET", "/"))[0] == 200  # now the longest unused goes
     await asyncio.sleep(0.1)
 
-    assert [bool(comer.idle) for comer in clients] == [False] + [True] * 5
+    assert [bool(client.idle) for client in clients] == [False] + [True] * 5
 
 
 @simulated
