--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -372,8 +372,8 @@
     assert len(workers.pools) == 0
     assert len(server.connections) == 6
     assert all(client.idle for client in clients)  # nobody was thrown out
-    late = ConnectionPool("10.0.0.9:80", 1)
-    assert (await late.request("GET", "/"))[0] == 200  # now the longest unused goes
+    extra_client = ConnectionPool("10.0.0.9:80", 1)
+    assert (await extra_client.request("GET", "/"))[0] == 200  # now the longest unused goes
     await asyncio.sleep(0.1)
 
     assert [bool(client.idle) for client in clients] == [False] + [True] * 5
