--- a/basaltlead/storage/limits.py
+++ b/basaltlead/storage/limits.py
@@ -1,4 +1,4 @@
-"""The limits of the key-value store, and how rows are divided into transactions inside them."""
+"""The limits of the key-value store, and the division of rows into transactions that fit them."""
 
 from collections.abc import Iterable, Iterator, Mapping
 
@@ -6,13 +6,12 @@
 
 TRANSACTION_BYTES = 64 * 1024
 PRECONDITIONS_PER_OPERATION = 4
-# Of a transaction's bytes, what preconditions, keys and punctuation may take in addition to the
-# values.
+# Part of a transaction's size that is reserved for preconditions, keys and punctuation.
 ENVELOPE_BYTES = 8 * 1024
 
 
 class StoreLimits(Struct, frozen=True):
-    """Limits that every request of ours keeps to; rates are a second."""
+    """Limits that every request from this controller respects; rates are per second."""
 
     rps: float
     write_rps: float
@@ -21,18 +20,18 @@
 
     @property
     def preconditions(self) -> int:
-        """How many preconditions one transaction may have."""
+        """The maximum number of preconditions in one transaction."""
         return self.operations * PRECONDITIONS_PER_OPERATION
 
     def limit_error(
         self, preconditions: int, operations: int, value_sizes: list[int], total: int
     ) -> str:
-        """Which limit a transaction of these numbers and sizes in bytes would break, in words;
-        empty if none."""
+        """Describe the limit that a transaction with these counts and sizes in bytes would exceed;
+        empty if it exceeds none."""
         if operations > self.operations:
             return f"{operations} operations, {self.operations} are allowed"
         if preconditions > self.preconditions:
-            # Users may read this text in an answer, so it keeps its wording.
+            # Part of responses to users (422), so the wording must not change.
             return f"{preconditions} guards, {self.preconditions} are allowed"
         largest = max(value_sizes, default=0)
         if largest > self.value_bytes:
@@ -42,13 +41,13 @@
         return ""
 
     def delete_batches(self, keys: Iterable[str], extra_operations: int = 0) -> Iterator[list[str]]:
-        """Divide keys that are to be dropped into batches, one transaction each, with room for
+        """Divide keys to be deleted into batches, one per transaction, with room for
         `extra_operations` other changes in each."""
         return self.batches(dict.fromkeys(keys, 0), extra_operations)
 
     def batches(self, sizes: Mapping[str, int], extra_operations: int = 0) -> Iterator[list[str]]:
-        """Divide rows, given the size of each value, into batches, one transaction each, with room
-        for `extra_operations` other changes in each."""
+        """Divide rows, given as key and value size in bytes, into batches, one per transaction,
+        with room for `extra_operations` other changes in each."""
         batch: list[str] = []
         used = 0
         for key, size in sizes.items():
