--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -1,4 +1,4 @@
-"""The client of the key-value store, a small consistent store with transactions and leases."""
+"""Client of the key-value store, a small consistent store with transactions and leases."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -41,52 +41,51 @@
     Transaction,
 )
 
-PAGE_ROWS = 500  # rows in one answer
+PAGE_ROWS = 500  # most rows in one response
 CONNECTIONS = 24
 WATCH_CONNECTIONS = 8
 RENEWAL_CONNECTIONS = 4
-# Of the allowed rates, the parts that all controllers together use.
+# Fractions of the store's rate limits that all controllers together use.
 REQUESTS_SHARE = 0.8
 WRITES_SHARE = 0.85
-SINGLE_WRITER_SHARE = 0.6  # of the writes, what the only shard leader uses
-CALL_TIMEOUT_US = 1_500_000  # deadlines
+# Fraction of that write rate for the controller that leads a shard, if there is only one.
+SINGLE_WRITER_SHARE = 0.6
+CALL_TIMEOUT_US = 1_500_000
 PAGE_TIMEOUT_US = 2_500_000
-WATCH_TIMEOUT_MARGIN_US = (
-    2_000_000  # of a watch, in addition to the time that the store may hold it
-)
+WATCH_TIMEOUT_MARGIN_US = 2_000_000  # added to the time for which the store may hold a watch
 
 STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
 
 
 class RowList(NamedTuple):
-    """All rows under a prefix, and a revision from which to watch without a gap."""
+    """All rows under a prefix, and the revision from which a watch misses no change."""
 
     rows: list[Row]
     revision: int
 
 
 class KeyValueStore:
-    """Calls with a deadline each, inside this controller's part of the store's limits.
+    """Calls to the store, each with a timeout and within this controller's share of the limits.
 
-    Every call raises `RequestFailed` if there was no usable answer, and `Unavailable` if the store
-    refused it for now. Renewals of the session lease don't count against the budget: they must
-    never wait behind other requests.
+    Every call raises `RequestFailed` if there was no usable response, and `Unavailable` if the
+    store rejected it temporarily. Requests for the session lease bypass the rate limiter, so that a
+    renewal never queues behind other requests.
     """
 
     def __init__(self, address: str, limits: StoreLimits, nodes: int, writers: int) -> None:
-        """`nodes` is the number of controllers, `writers` that of those that lead a shard."""
+        """`nodes` is the number of controllers, `writers` the number of those that lead a shard."""
         self.limits = limits
         self.pool = ConnectionPool(address, limit=CONNECTIONS)
         self.watch_pool = ConnectionPool(address, limit=WATCH_CONNECTIONS)
         self.renewal_pool = ConnectionPool(address, limit=RENEWAL_CONNECTIONS)
         self.request_limiter = RateLimiter(max(1.0, limits.rps * REQUESTS_SHARE / nodes))
-        # Shard leaders store results; all others only what users request now and then.
+        # Shard leaders store results; other controllers write only on users' requests.
         share = SINGLE_WRITER_SHARE if writers == 1 else 1 / writers
         rate = limits.write_rps * WRITES_SHARE * share
         self.write_limiter = RateLimiter(max(0.5, rate), burst=max(1.0, rate))
 
     def queue_delay_s(self, writing: bool) -> float:
-        """How many seconds a user's request would have to wait for its turn."""
+        """Return how many seconds a user's request would wait for the rate limiters."""
         waits = self.request_limiter.queue_delay_s()
         return max(waits, self.write_limiter.queue_delay_s()) if writing else waits
 
@@ -103,30 +102,30 @@
         return answer
 
     async def get(self, key: str) -> Row | None:
-        """The row of a key, None if it is not there."""
+        """Return the row of a key, or None if the key does not exist."""
         status, body = await self._call("GET", f"/kv/{quote(key)}")
         if status == STATUS_NOT_FOUND:
             decode(body, _Missing)
             return None
         if status != STATUS_OK:
-            raise RequestFailed(f"get: {status}", sent=True)
+            raise RequestFailed(f"get failed with status {status}", sent=True)
         return decode(body, Row)
 
     async def page(self, prefix: str, since: str = "", limit: int = PAGE_ROWS) -> Rows:
-        """At most so many rows under a prefix, those after the key `since`."""
+        """Return at most `limit` rows under a prefix, beginning after the key `since`."""
         path = f"/kv?Starts={quote(prefix, safe='/')}&Most={limit}"
         if since:
             path += f"&Since={quote(since, safe='/')}"
         status, body = await self._call("GET", path, timeout_us=PAGE_TIMEOUT_US)
         if status != STATUS_OK:
-            raise RequestFailed(f"list: {status}", sent=True)
+            raise RequestFailed(f"list failed with status {status}", sent=True)
         return decode(body, Rows)
 
     async def rows(self, prefix: str) -> RowList:
-        """All rows under a prefix, page by page.
+        """Read all rows under a prefix, page by page.
 
-        The revision is that of the first page: what changed while the later ones were read is
-        seen again by a watch from there.
+        The revision is that of the first page, so a watch from it also reports the changes that
+        were made while later pages were read.
         """
         first = page = await self.page(prefix)
         rows = list(page.rows)
@@ -141,14 +140,14 @@
         apply: Sequence[Put | Drop],
         low_priority: bool = False,
     ) -> int:
-        """Make all changes if every precondition holds; the revision, which is the version of the
-        keys that were written.
+        """Apply all changes if every precondition holds.
 
-        Raises `PreconditionFailed`, `SessionLeaseExpired` or `TransactionTooLarge` if nothing was
-        changed, and `RequestFailed` with `sent` if it may have been.
+        Returns the new revision, which is also the version of the written keys. Raises
+        `PreconditionFailed`, `SessionLeaseExpired` or `TransactionTooLarge` if nothing was changed,
+        and `RequestFailed` with `sent` set if the changes may have been applied.
 
-        With `low_priority`, for bookkeeping, it waits until half of the write budget is free: with
-        hundreds of machines bookkeeping alone would fill the limit on writes, and users'
+        With `low_priority`, the call waits until half of the write burst is free. Bookkeeping uses
+        it: with hundreds of machines it would fill the write limit by itself, and users'
         submissions and cancellations go first.
         """
         raw = self._encoded(preconditions, apply)
@@ -161,10 +160,11 @@
             raise PreconditionFailed(decode(body, Outcome).failed)
         if status == STATUS_BAD_REQUEST and b"no such lease" in body:
             raise SessionLeaseExpired
-        raise RequestFailed(f"multi: {status} {body[:200]!r}", sent=True)
+        raise RequestFailed(f"transaction failed with status {status}: {body[:200]!r}", sent=True)
 
     def _encoded(self, preconditions: list[Precondition], apply: Sequence[Put | Drop]) -> bytes:
-        """The transaction's body. Raises `TransactionTooLarge` if it breaks a limit."""
+        """Return the request body of a transaction. Raises `TransactionTooLarge` if it exceeds a
+        limit."""
         value_sizes: list[int] = []
         changes: list[Put | Drop] = []
         for change in apply:
@@ -181,10 +181,10 @@
         return raw
 
     async def changes(self, prefix: str, since: int, hold_ms: int) -> Changes:
-        """What changed under a prefix after the revision `since`; the store answers at the first
-        change, or without one after `hold_ms`.
+        """Watch a prefix for changes after the revision `since`.
 
-        Raises `RevisionCompacted` if the store no longer keeps the changes from there on.
+        The store responds at the first change, or with no changes after `hold_ms`. Raises
+        `RevisionCompacted` if the store no longer retains all changes since that revision.
         """
         await self.request_limiter.take()
         status, body = self._checked(
@@ -197,20 +197,21 @@
         if status == STATUS_GONE:
             raise RevisionCompacted
         if status != STATUS_OK:
-            raise RequestFailed(f"changes: {status}", sent=True)
+            raise RequestFailed(f"watch failed with status {status}", sent=True)
         return decode(body, Changes)
 
     async def create_lease(self, ttl_us: int) -> int:
-        """The number of a new lease, valid for `ttl_us` from some time after this was sent."""
+        """Create a lease and return its number. It is valid for `ttl_us` from some time after the
+        request was sent."""
         status, body = self._checked(
             await self.renewal_pool.request("POST", "/holds", encode({"TtlMs": ttl_us // 1000}))
         )
         if status not in (STATUS_OK, STATUS_CREATED):
-            raise RequestFailed(f"session lease: {status}", sent=True)
+            raise RequestFailed(f"creating a session lease failed with status {status}", sent=True)
         return decode(body, SessionLease).session_lease
 
     async def renew_lease(self, session_lease: int, timeout_us: int) -> None:
-        """Let a lease last its whole time again. Raises `SessionLeaseExpired` if it has ended."""
+        """Restart the time to live of a lease. Raises `SessionLeaseExpired` if it has expired."""
         status, _ = self._checked(
             await self.renewal_pool.request(
                 "POST", f"/holds/{session_lease}/touch", b"", timeout_us
@@ -219,10 +220,11 @@
         if status == STATUS_NOT_FOUND:
             raise SessionLeaseExpired
         if status != STATUS_OK:
-            raise RequestFailed(f"touch: {status}", sent=True)
+            raise RequestFailed(f"renewing a session lease failed with status {status}", sent=True)
 
 
 class _Missing(msgspec.Struct, rename={"revision": "Ledger"}):
-    """The body of the key-value store's own 404: only that proves that a key is not there."""
+    """The body of the store's own 404, which proves that the key does not exist; a 404 from
+    elsewhere does not."""
 
     revision: int
