--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -1,19 +1,20 @@
-"""The records in the key-value store, and their conversion to the types of the core.
+"""Records in the key-value store, and their conversion to the types of the core.
 
-c/...               members, leader, grants, the count of fencing tokens (see core/cluster_view)
-open/<job>          a job that is accepted and not over; the key is never rewritten
+c/...               members, leader, grants, the fencing token counter (see core/cluster_view)
+open/<job>          an accepted job that has not ended; the key is never rewritten
 open/<job>/...      results of some of its tasks (see result_rows)
 over/<job>          the final state of a job
-lease/<job>         which shard starts which tasks of a job
-hire/<id>           a scale-out: written before the cloud is called, with the machines' names after
-mach/<name>         a machine that tasks may have been started on
-team/<name>         budget and bids
+lease/<job>         the shard that starts each range of a job's tasks
+hire/<id>           a scale-out: written before the cloud is called; machine names are added after
+mach/<name>         a machine on which tasks may have been started
+team/<name>         budget and bids of a team
 types               the cloud's machine types
-return/<id>         a scale-in: machines that are to be returned, written before the cloud is called
-quiet/<shard>       what is reserved to retain idle machines in the present quiet time
-history/<duty>/<n>  what the holders of a duty did, in a ring of pages
+return/<id>         a scale-in: machines to be returned, written before the cloud is called
+quiet/<shard>       the budget reserved to retain idle machines in the current quiet time
+history/<duty>/<n>  actions of the holders of a duty, in a ring buffer of pages
 
-The names of keys and fields are stored, and outlive any rename in the code (see `rename`).
+Names of keys and fields are part of the stored format; attributes that are named differently in the
+code keep the stored name through `rename`.
 """
 
 from typing import NamedTuple
@@ -37,60 +38,63 @@
 HISTORY = "history/"
 QUIET = "quiet/"
 
-SHAPES = {"batch": Shape.ARRAY, "group": Shape.GANG, "service": Shape.SERVICE}  # by name sent
+SHAPES = {"batch": Shape.ARRAY, "group": Shape.GANG, "service": Shape.SERVICE}  # by wire name
 
 
 class StoredJob(Struct, omit_defaults=True):
-    """An accepted job. A service has a field of its own, so that a controller of a version that
-    would take it for an array can't read the record (see cluster/versions)."""
+    """An accepted job.
+
+    Services are stored in a separate field, so that a controller of an older version, which would
+    treat a service as an array, fails to read the record (see cluster/versions).
+    """
 
     job: Submission | None = None
-    at: int = 0  # time of day of its acceptance
+    at: int = 0  # wall-clock time of acceptance in microseconds
     service: Submission | None = None
 
     @staticmethod
     def of(sent: Submission, at: int) -> "StoredJob":
-        """The record of a submission that was accepted at a time of day."""
+        """Create the record of a submission that was accepted at the wall-clock time `at`."""
         if SHAPES[sent.shape] is Shape.SERVICE:
             return StoredJob(at=at, service=sent)
         return StoredJob(job=sent, at=at)
 
     @property
     def submission(self) -> Submission:
-        """The job as it was submitted. Raises `msgspec.ValidationError` if there is none."""
+        """The job as submitted. Raises `msgspec.ValidationError` if the record has none."""
         found = self.job if self.job is not None else self.service
         if found is None:
-            raise msgspec.ValidationError("a stored job without its description")
+            raise msgspec.ValidationError("stored job has neither of the fields job and service")
         return found
 
 
 class AssignedRange(NamedTuple):
-    """Consecutive tasks of a job that one shard starts; stored as an array of three numbers."""
+    """A range of a job's tasks that one shard starts; stored as an array of three numbers."""
 
     first: int
-    end: int  # not part of it
+    end: int  # exclusive
     shard: int
 
 
 class TaskAssignment(Struct):
-    """Which shard starts which tasks of a job."""
+    """The shard that starts each range of a job's tasks."""
 
     parts: list[AssignedRange]
 
     def ranges_of(self, shard: int) -> list[TaskRange]:
-        """The tasks of a shard, as (first, end)."""
+        """Return the task ranges of a shard as (first, end), with `end` exclusive."""
         return [(part.first, part.end) for part in self.parts if part.shard == shard]
 
 
 class FinalState(Struct):
-    """How a job ended; `stage` is what users see."""
+    """The final state of a job; `stage` is the state that users see."""
 
     stage: str
     done: int
 
 
 class StoredScaleOut(Struct, rename={"type_name": "kind", "shard": "block"}):
-    """A scale-out (an intent to rent machines), and the names of those that were rented for it."""
+    """A scale-out: an intent to rent machines, and the names of the machines rented for it."""
 
     type_name: str
     zone: str
@@ -99,24 +103,24 @@
     at: int
     names: list[str] | None = None
     shard: int = 0
-    # Only of those that the holder of the rent duty carries out: the holder's fencing token at that
-    # time, and why the cloud refuses the request for good, if it does.
+    # Set only if the holder of the rent duty executes the request: the holder's fencing token at
+    # that time, and the reason if the cloud rejects the request permanently.
     duty_token: int | UnsetType = UNSET
     refused: str | UnsetType = UNSET
 
 
 class StoredScaleIn(Struct, omit_defaults=True):
-    """A scale-in: machines that are to be returned. Once it is stored nothing may start on them."""
+    """A scale-in: machines to be returned. Once it is stored, no task may start on them."""
 
     names: list[str]
     token: int  # fencing token of the grant under which it was decided
     at: int
     why: str = ""
-    refused: str = ""  # why the cloud refuses to delete some of them for good
+    refused: str = ""  # reason if the cloud permanently rejects the deletion of some machines
 
 
 class StoredMachine(Struct, rename={"type_name": "kind", "shard": "block"}):
-    """A machine that tasks may have been started on."""
+    """A machine on which tasks may have been started."""
 
     type_name: str
     zone: str
@@ -127,7 +131,7 @@
 
 
 def job_of(sent: Submission) -> Job:
-    """A submission as the core's type."""
+    """Convert a submission to the core's type."""
     return Job(
         ref=sent.ref,
         job_class=sent.job_class,
@@ -153,7 +157,7 @@
 
 
 def machine_type_of(sent: MachineTypeInfo) -> MachineType:
-    """A machine type of the cloud as the core's type."""
+    """Convert a machine type of the cloud to the core's type."""
     return MachineType(
         name=sent.name,
         cpus=sent.cpus,
