--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -1,4 +1,4 @@
-"""Following the keys under a prefix of the key-value store: list them, then watch for changes."""
+"""Following the keys under a prefix of the key-value store: a list, then a watch for changes."""
 
 from collections.abc import Callable, Iterable
 
@@ -20,17 +20,20 @@
 
 
 def _ignore_read(sent_at: int, has_changes: bool) -> None:
-    """For followers that do not need to know how old their view is."""
+    """Default for callers that don't track the age of their view."""
 
 
 class KeyWatch:
-    """Follows the keys under one prefix, and lists them again whenever changes were missed."""
+    """Follows the keys under one prefix, and lists them again if changes were missed."""
 
     def __init__(
         self, store: KeyValueStore, prefix: str, hold_ms: int, revision: int | None = None
     ) -> None:
-        """`hold_ms` is how long the store may hold a request without news. With a `revision`, that
-        of a list which the caller has read itself, the watch begins there, without a list."""
+        """Create a watch of `prefix`.
+
+        `hold_ms` is how long the store may hold a request when nothing changes. `revision` is the
+        revision of a list that the caller has already read: the watch then starts there.
+        """
         self.store = store
         self.prefix = prefix
         self.hold_ms = hold_ms
@@ -41,9 +44,9 @@
     ) -> None:
         """Follow the keys; never returns.
 
-        `load` gets all rows of a list, and `apply` each change after it. `after_read` is called
-        after each list or watch that was answered, with the time at which it was *sent* and
-        whether it brought changes: only what was recorded before that time is known for certain.
+        `load` receives all rows of a list, and `apply` each change after it. `after_read` is called
+        after each successful list or watch, with the time at which the request was *sent* and
+        whether it returned changes: only changes made before that time are certain to be known.
         """
         backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, rng)
         while True:
@@ -77,13 +80,13 @@
 ) -> None:
     """Follow the keys under a prefix row by row; never returns.
 
-    `put` gets key, value and version of each row that is there or changes, and `drop` the key of
-    each that is gone, also of those that the caller has `known` before.
+    `put` receives key, value and version of each listed or changed row, and `drop` the key of each
+    deleted row, including those of the `known` keys that are missing from the list.
     """
     keys = set(known)
 
     def load(rows: list[Row]) -> None:
-        """Take in a list: first drop what is no longer in it."""
+        """Apply a list; keys that are no longer in it are dropped first."""
         for key in keys - {row.key for row in rows}:
             drop(key)
         keys.clear()
@@ -92,7 +95,7 @@
             put(row.key, row.value, row.version)
 
     def apply(change: Change) -> None:
-        """Take in one change."""
+        """Apply one change."""
         if change.put is not None:
             keys.add(change.put)
             put(change.put, change.value, change.version)
