--- a/basaltlead/clients/__init__.py
+++ b/basaltlead/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients for the key-value store, the cloud and the workers."""
+"""Clients of the cloud and the workers, and what all clients share."""
