--- a/basaltlead/clients/backoff.py
+++ b/basaltlead/clients/backoff.py
@@ -1,14 +1,14 @@
-"""Pauses between attempts at a call that keeps failing."""
+"""Exponential backoff between attempts of a call that fails."""
 
 import asyncio
 import random
 
 
 class Backoff:
-    """Pauses that double up to a bound, with jitter, in microseconds.
+    """Exponential backoff with jitter, in microseconds.
 
-    The jitter (half of the pause to all of it) keeps controllers that failed together from trying
-    again together.
+    The delay doubles up to a maximum. Each pause is between half of the delay and all of it, so
+    that controllers that failed together don't retry together.
     """
 
     def __init__(self, min_us: int, max_us: int, rng: random.Random) -> None:
@@ -18,11 +18,11 @@
         self.pause_us = min_us
 
     def reset(self) -> None:
-        """Begin with the shortest pause again, after an attempt that succeeded."""
+        """Return to the shortest delay, after an attempt that succeeded."""
         self.pause_us = self.min_us
 
     def next_us(self) -> int:
-        """The length of the next pause; the one after it is twice as long."""
+        """Return the length of the next pause, and double the delay for the one after it."""
         pause_us = self.pause_us
         self.pause_us = min(self.max_us, pause_us * 2)
         return int(pause_us * self.rng.uniform(0.5, 1.0))
