--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: rents out machines by the second."""
+"""Client of the cloud, which rents out machines by the second."""
 
 from collections.abc import Callable
 from urllib.parse import quote
@@ -30,9 +30,9 @@
 
 TIMEOUT_US = 4_000_000
 CONNECTIONS = 6
-RATE_SHARE = 0.85  # of our part of the allowed rate
+RATE_SHARE = 0.85  # fraction of this controller's share of the allowed rate
 MIN_RATE = 0.2
-BURST_S = 1.5  # seconds' worth of that part that may be called at once
+BURST_S = 1.5  # burst, in seconds at this controller's share of the rate
 STATUSES_UNAVAILABLE = (STATUS_TOO_MANY_REQUESTS, STATUS_UNAVAILABLE)
 STATUSES_REJECTED = (
     STATUS_BAD_REQUEST,
@@ -45,25 +45,26 @@
 
 
 class Cloud:
-    """Calls to the cloud, inside this controller's part of its rate.
+    """Calls to the cloud, within this controller's share of the allowed rate.
 
-    Every call raises `RequestFailed` if there was no usable answer, `RequestRejected` if the cloud
-    calls the request wrong, and `Unavailable` if it refused it for now.
+    Every call raises `RequestFailed` if there was no usable response, `RequestRejected` if the
+    cloud rejected the request as invalid, and `Unavailable` if it rejected it temporarily.
     """
 
     def __init__(self, address: str, rps: float) -> None:
         self.pool = ConnectionPool(address, limit=CONNECTIONS)
-        self.unanswered_since = 0  # since when no call got any answer; 0: the last one did
+        # Start of the period without any response, in microseconds; 0 if the last call got one.
+        self.unanswered_since = 0
         self.set_rate(rps)
 
     def set_rate(self, rps: float) -> None:
-        """From now on make so many calls a second at most."""
+        """Set this controller's share of the cloud's rate limit, in calls per second."""
         self.rate_limiter = RateLimiter(
             max(MIN_RATE, rps * RATE_SHARE), burst=max(1.0, rps * BURST_S)
         )
 
     def reset_unanswered(self) -> None:
-        """Measure anew for how long the cloud has not answered."""
+        """Restart the measurement of how long the cloud has not responded."""
         self.unanswered_since = 0
 
     async def _call(
@@ -91,24 +92,25 @@
         return answer
 
     async def types(self) -> list[MachineTypeInfo]:
-        """All machine types with their present prices."""
+        """Return all machine types with their current prices."""
         return decode(await self._call("GET", "/machine_types"), MachineTypeList).types
 
     async def rent(self, request: RentRequest, may_send: Callable[[], bool]) -> list[str]:
-        """Rent machines; their names, which may be fewer than requested.
+        """Rent machines and return their names, which may be fewer than requested.
 
-        The same request, sent again, returns the same machines. `may_send` is called when the
-        request is about to be sent. Raises `NoCapacity` if the cloud has no such machine.
+        Idempotent: the same request, sent again, returns the same machines. `may_send` is called
+        immediately before the request is sent. Raises `NoCapacity` if no such machine is available.
         """
         answer = await self._call("POST", "/machines", encode(request), may_send)
         return decode(answer, MachineNames).machines
 
     async def delete(self, names: list[str], may_send: Callable[[], bool]) -> None:
-        """Return machines. `may_send` is called when the request is about to be sent."""
+        """Return machines to the cloud. `may_send` is called immediately before the request is
+        sent."""
         await self._call("POST", "/machines/delete", encode(MachineNames(names)), may_send)
 
     async def machines(self) -> list[RentedMachine]:
-        """All rented machines, page by page; the cloud's list may lag behind."""
+        """Return all rented machines, read page by page; the cloud's list may be out of date."""
         rented: list[RentedMachine] = []
         since = ""
         while True:
