--- a/basaltlead/clients/codec.py
+++ b/basaltlead/clients/codec.py
@@ -1,4 +1,4 @@
-"""Messages and records as JSON."""
+"""JSON encoding and decoding of messages and records."""
 
 from typing import Any, TypeVar
 
@@ -10,17 +10,17 @@
 
 
 def decode(body: bytes, message_type: type[T]) -> T:
-    """The body of an answer as a message of the given type.
+    """Decode the body of a response as a message of the given type.
 
-    Raises `RequestFailed` if it is malformed: that counts as no answer, and the request may have
-    been executed.
+    Raises `RequestFailed` with `sent` set if the body is malformed: this counts as no response, and
+    the request may have been executed.
     """
     try:
         return msgspec.json.decode(body, type=message_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise RequestFailed(f"malformed answer: {fault}", sent=True) from None
+        raise RequestFailed(f"malformed response: {fault}", sent=True) from None
 
 
 def encode(value: Any) -> bytes:
-    """A message or record as the JSON text that is sent or stored."""
+    """Encode a message or record as the JSON text that is sent or stored."""
     return msgspec.json.encode(value)
