--- a/basaltlead/clients/rate_limiter.py
+++ b/basaltlead/clients/rate_limiter.py
@@ -1,32 +1,32 @@
-"""This process's part of the rate of calls that a service allows."""
+"""Limits the rate of calls to a service to this controller's share."""
 
 import asyncio
 
-MIN_SLEEP_S = 0.001  # timers are no finer
-ROUNDING_S = 1e-6  # waits below this are rounding errors of the arithmetic
+MIN_SLEEP_S = 0.001  # resolution of timers
+ROUNDING_S = 1e-6  # shorter waits are rounding errors
 
 
 class RateLimiter:
-    """A rate with a burst of one second's worth (a leaky bucket, measured in time).
+    """A token bucket, measured in time.
 
-    `full_at` is the time at which the budget will be whole again if nothing more is taken.
+    `full_at` is the time at which the whole burst is available again if nothing more is taken.
     """
 
     def __init__(self, rate: float, burst: float | None = None) -> None:
-        """`rate` and `burst` are in calls a second and calls."""
+        """`rate` is in calls per second, `burst` in calls; by default one second's worth."""
         self.rate = rate
         self.interval_s = 1.0 / rate
         self.burst_s = (burst if burst is not None else rate) * self.interval_s
         self.full_at = 0.0
-        self.low_priority_lock = asyncio.Lock()  # held by the first of those that can wait
+        self.low_priority_lock = asyncio.Lock()  # held by the low-priority caller that is next
 
     def queue_delay_s(self) -> float:
-        """How long the next caller of `take` would have to wait, in seconds."""
+        """Return how long the next caller of `take` would wait, in seconds."""
         late = self.full_at - asyncio.get_running_loop().time() - self.burst_s
         return max(0.0, late + self.interval_s)
 
     async def take(self, amount: float = 1.0) -> None:
-        """Take so many calls from the budget, and wait until they are allowed."""
+        """Reserve `amount` calls, and wait until they are allowed."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         self.full_at = max(self.full_at, now) + amount * self.interval_s
@@ -35,8 +35,11 @@
             await asyncio.sleep(wait)
 
     async def take_low_priority(self, amount: float = 1.0) -> None:
-        """Take calls that can wait: one caller at a time, and only while half of the burst is left,
-        so that whoever calls `take` meanwhile finds no queue before it."""
+        """Reserve `amount` calls of low priority.
+
+        Only one caller at a time proceeds, and only while half of the burst remains, so that
+        callers of `take` don't queue behind them.
+        """
         loop = asyncio.get_running_loop()
         async with self.low_priority_lock:
             while True:
