--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -1,4 +1,4 @@
-"""Commands that are pushed straight to workers."""
+"""Client of the workers: pushes commands outside heartbeats."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,17 +15,18 @@
 
 
 class CommandResponse(NamedTuple):
-    """A worker's answer to pushed commands."""
+    """A worker's response to pushed commands."""
 
-    executed: bool  # else refused: a newer fencing token was seen, or the epoch is another one
+    # False if the worker refused: it has seen a newer fencing token, or its epoch differs.
+    executed: bool
     heartbeat: Heartbeat
 
 
 class WorkerClient:
-    """Connections to workers, one a machine; a machine that does not answer delays no other.
+    """Connections to workers, one per machine, so that an unresponsive machine delays no other.
 
-    There may be far more machines than a controller has sockets: only so many are called at once,
-    and of the idle connections the one that was not used for longest is closed.
+    There may be far more machines than a controller has sockets: the number of concurrent calls is
+    limited, and the least recently used idle connections are closed.
     """
 
     def __init__(
@@ -34,8 +35,8 @@
         sockets_available: Callable[[], int] | None = None,
         timeout_us: int = TIMEOUT_US,
     ) -> None:
-        """At most `max_connections` are open, fewer when `sockets_available` returns less because
-        others need them."""
+        """Limit the connections to `max_connections`, or to the result of `sockets_available` if
+        that is lower because sockets are needed elsewhere."""
         self.timeout_us = timeout_us
         self.max_connections = max_connections
         self.sockets_available = sockets_available or (lambda: max_connections)
@@ -45,10 +46,10 @@
     async def command(
         self, address: str, command: DirectCommand, may_send: Callable[[], bool] = lambda: True
     ) -> CommandResponse:
-        """Push commands to a worker and await its answer.
+        """Push commands to a worker and wait for its response.
 
-        `may_send` is called when they are about to be sent. Raises `RequestFailed` if it
-        returns False, or if there is no usable answer.
+        `may_send` is called immediately before the request is sent. Raises `RequestFailed` if it
+        returns False, or if there is no usable response.
         """
         async with self.call_slots:
             pool = self.pools.pop(address, None)
@@ -60,11 +61,11 @@
                 "POST", "/do", encode(command), self.timeout_us, may_send
             )
         if status not in (STATUS_OK, STATUS_CONFLICT):
-            raise RequestFailed(f"worker: {status}", sent=True)
+            raise RequestFailed(f"worker {address} responded with status {status}", sent=True)
         return CommandResponse(status == STATUS_OK, decode(body, Heartbeat))
 
     def _close_excess_idle(self) -> None:
-        """Close idle connections until there is room for one more."""
+        """Close idle connections until one more fits into the limit."""
         while (
             len(self.pools) >= min(self.max_connections, self.sockets_available())
             and self.close_idle()
@@ -72,7 +73,7 @@
             pass
 
     def close_idle(self) -> bool:
-        """Close the connection that was idle for longest; False if all are in use."""
+        """Close the least recently used idle connection; return False if all are in use."""
         idle = next((address for address, pool in self.pools.items() if not pool.busy), None)
         if idle is None:
             return False
@@ -80,7 +81,7 @@
         return True
 
     def forget(self, address: str) -> None:
-        """Close the connection to a machine that is gone."""
+        """Close the connection to a machine that no longer exists."""
         pool = self.pools.pop(address, None)
         if pool is not None:
             pool.close()
