--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -1,12 +1,12 @@
-"""The rows under an open job that hold which of its tasks are done, in values of bounded size.
-
-There are two layouts. A *stretch* row, ``open/<job>/<shard>.<n>``, holds the results of 24,576
-tasks, from task ``n * 24,576`` on. Where such a value might be larger than the key-value store
-accepts, a job has *chunk* rows instead, ``open/<job>/<1000 + shard>.<n>``, which hold fewer tasks
-and name the first one. A controller that knows stretch rows only reads of a chunk row how many
-results it holds, and an empty list of them: it starts these tasks once more, and the workers, which
-keep results, report them as done at once. Stretch rows that were stored under a higher limit stay
-readable and are never written again; chunk rows hold only what those do not.
+"""Rows under an open job that record which of its tasks are done, in values of bounded size.
+
+There are two layouts. A *segment* row, ``open/<job>/<shard>.<n>``, holds the results of 24,576
+tasks, starting at task ``n * 24,576``. If such a value could exceed the store's limit, the job has
+*chunk* rows instead, ``open/<job>/<1000 + shard>.<n>``, which hold fewer tasks and name the first
+one. A controller of a version without chunk rows reads from a chunk row the number of results and
+an empty bitmap: it starts these tasks again, and the workers, which keep results, report them as
+done at once. Segment rows that were stored under a higher limit remain readable and are never
+rewritten; chunk rows hold only results that are not in segment rows.
 """
 
 from collections.abc import Iterable
@@ -19,14 +19,14 @@
 from basaltlead.core.jobs import Shape
 from basaltlead.storage.records import OPEN
 
-SEGMENT_TASKS = 24_576  # tasks whose results share a stretch row: 4 KiB of text
-CHUNK_SHARD_OFFSET = 1000  # shard numbers from this one on stand for chunk rows
-CHUNK_OVERHEAD_BYTES = 128  # bytes of a chunk row in addition to its results
-MIN_CHUNK_TASKS = 64  # tasks in a chunk row, however small the limit
+SEGMENT_TASKS = 24_576  # tasks per segment row: their bitmap is 4 KiB in base64
+CHUNK_SHARD_OFFSET = 1000  # added to the shard number in the keys of chunk rows
+CHUNK_OVERHEAD_BYTES = 128  # size of a chunk row without its bitmap
+MIN_CHUNK_TASKS = 64  # applies however small the store's limit is
 
 
 class Progress(Struct):
-    """A stretch row: `done` is a bitmap. Of a chunk row, the fields that are shown to users."""
+    """A segment row; `done` is a bitmap. Also reads the counts that users see from a chunk row."""
 
     done: bytes
     count: int
@@ -34,7 +34,7 @@
 
 
 class ProgressChunk(Struct):
-    """A chunk row: `bits` holds the results from task `first` on; `done` is always empty."""
+    """A chunk row; `bits` is the bitmap of the tasks from `first` on; `done` is always empty."""
 
     done: bytes
     count: int
@@ -44,7 +44,7 @@
 
 
 class ResultRow(Struct):
-    """A row to be written, and the tasks whose results it adds."""
+    """A row to be written, and the tasks whose results it newly stores."""
 
     key: str
     value: Progress | ProgressChunk
@@ -52,33 +52,33 @@
 
 
 def chunk_size(value_bytes: int) -> int:
-    """How many tasks' results fit into a value of so many bytes, a bit each: base64 makes four
-    characters of three bytes."""
+    """Return how many tasks fit into a chunk row of at most `value_bytes`, at one bit per task;
+    base64 encodes three bytes as four characters."""
     return max(MIN_CHUNK_TASKS, (value_bytes - CHUNK_OVERHEAD_BYTES) // 4 * 3 * 8)
 
 
 def progress_key(ref: str, shard: int, number: int) -> str:
-    """The key of a row of results; `shard` is raised by `CHUNK_SHARD_OFFSET` for a chunk row."""
+    """Return the key of a result row; for a chunk row `shard` includes `CHUNK_SHARD_OFFSET`."""
     return f"{OPEN}{ref}/{shard}.{number}"
 
 
 def row_count(tasks: int, size: int) -> int:
-    """How many rows of `size` tasks each a job of so many tasks may have."""
+    """Return how many rows of `size` tasks each cover a job of `tasks` tasks."""
     return -(-tasks // size)
 
 
 class ResultLayout:
-    """In which rows results are kept, given the largest value in bytes."""
+    """The rows in which results are stored, given the largest allowed value in bytes."""
 
     def __init__(self, value_bytes: int) -> None:
         self.chunk_tasks = chunk_size(value_bytes)
 
     def uses_chunks(self, tasks: int) -> bool:
-        """Whether the results of a job of so many tasks are kept in chunk rows."""
+        """Return whether the results of a job of `tasks` tasks are stored in chunk rows."""
         return min(tasks, SEGMENT_TASKS) > self.chunk_tasks
 
     def keys(self, ref: str, tasks: int, shards: Iterable[int]) -> list[str]:
-        """The key of every row that may hold results of a job."""
+        """Return the keys of all rows that may hold results of a job."""
         out: list[str] = []
         for shard in shards:
             out += [progress_key(ref, shard, n) for n in range(row_count(tasks, SEGMENT_TASKS))]
@@ -88,12 +88,15 @@
         return out
 
     def max_rows(self, tasks: int, shards: int) -> int:
-        """How many rows a job of so many tasks may have at most."""
+        """Return the maximum number of rows of a job of `tasks` tasks."""
         return shards * (row_count(tasks, SEGMENT_TASKS) + row_count(tasks, self.chunk_tasks))
 
     def unstored(self, job_state: JobState, shard: int) -> list[ResultRow]:
-        """The rows to be written so that all results of this shard are stored. The first row shows
-        how many tasks run, so it is written also if there is no result."""
+        """Return the rows to write so that all results of this shard are stored.
+
+        The first row also shows how many tasks are running, so it is returned even if there is no
+        new result.
+        """
         uses_chunks = self.uses_chunks(job_state.job.tasks)
         size = self.chunk_tasks if uses_chunks else SEGMENT_TASKS
         parts: dict[int, list[int]] = {}
@@ -116,18 +119,18 @@
 
 
 def segment_row(job_state: JobState, number: int) -> Progress:
-    """The stretch row with this number: what this shard has recorded of these tasks."""
+    """Return the segment row with this number, with the results that this shard recorded."""
     done = bytes(job_state.own[number * SEGMENT_TASKS // 8 : (number + 1) * SEGMENT_TASKS // 8])
     return Progress(done, count_bits(done), shown_running(job_state, number))
 
 
 def shown_running(job_state: JobState, number: int) -> int:
-    """How many tasks run; only the first row of a job shows that."""
+    """Return the number of running tasks to store in a row: 0 for all but the first row."""
     return job_state.running if number == 0 else 0
 
 
 def count_bits(bits: bytes) -> int:
-    """How many tasks a bitmap marks as done."""
+    """Return how many tasks a bitmap marks as done."""
     return sum(byte.bit_count() for byte in bits)
 
 
@@ -139,10 +142,10 @@
     raw: msgspec.Raw,
     layout: ResultLayout,
 ) -> None:
-    """Take in a row that was recorded by `row_shard`.
+    """Apply a stored result row to the state of a job; `row_shard` is the shard number in its key.
 
-    Results of a service mean nothing, whoever wrote them. Stretch rows of a job that has chunk rows
-    now are never written again, so their results don't count as our own.
+    Results of services are ignored, whichever controller wrote them. Segment rows of a job that now
+    has chunk rows are never rewritten, so their results don't count as this shard's own.
     """
     if job_state.job.shape is Shape.SERVICE:
         return
@@ -158,7 +161,7 @@
 
 
 def record_bitmap(job_state: JobState, first: int, bits: bytes, own: bool) -> None:
-    """Note as done the tasks from `first` on whose bits are set."""
+    """Record as done the tasks whose bits are set, counted from task `first`."""
     for offset, byte in enumerate(bits):
         if byte:
             for bit in range(8):
@@ -167,21 +170,21 @@
 
 
 class ResultRowId(NamedTuple):
-    """Which row of results of a job: the shard that its key names, and its number."""
+    """Identifies a result row of a job: the shard number in its key, and the row number."""
 
     shard: int
     number: int
 
 
 class OpenKey(NamedTuple):
-    """A key under `open/`: the job, and the row of results, None if it is the job's own key."""
+    """A key under `open/`: the job, and the result row or None for the job's own key."""
 
     ref: str
     result_row: ResultRowId | None
 
 
 def parse_open_key(key: str) -> OpenKey:
-    """What a key under `open/` stands for."""
+    """Parse a key under `open/`."""
     ref, _, tail = key[len(OPEN) :].partition("/")
     shard, _, number = tail.partition(".")
     if shard.isdigit() and number.isdigit():
