--- a/basaltlead/net/__init__.py
+++ b/basaltlead/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP, netstrings and the limit on requests in progress."""
+"""HTTP, netstrings and the limit on concurrent requests."""
