--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -1,20 +1,20 @@
-"""A limit on requests in progress that adjusts itself to measured times.
+"""An adaptive limit on concurrent requests, based on response times.
 
-While answers take about as long as the best seen lately, the limit creeps up; once they take far
-longer, work is queueing somewhere, and the limit shrinks. Additive increase, multiplicative
-decrease, on the smoothed time.
+The limit grows while the smoothed response time stays near the recent minimum. A much longer time
+means that requests are queueing somewhere, and the limit shrinks (additive increase, multiplicative
+decrease).
 """
 
 INITIAL_LIMIT = 32
-SMOOTHING = 0.1  # part of the newest time in the mean
-BEST_GROWTH = 1.01  # of the best time with each request
-TOLERATED_FACTOR = 4  # a mean above so many times the best one is too slow,
+SMOOTHING = 0.1  # weight of the newest time in the moving average
+BEST_GROWTH = 1.01  # growth of the best time with each request
+TOLERATED_FACTOR = 4  # an average above this multiple of the best time is too slow,
 TOLERATED_US = 50_000.0  # unless it is below this
 DECREASE = 0.95
 
 
 class ConcurrencyLimiter:
-    """A limit on requests in progress that follows measured times."""
+    """A limit on concurrent requests that adapts to response times."""
 
     def __init__(self, low: int = 4, high: int = 256) -> None:
         self.low = low
@@ -25,21 +25,21 @@
         self.mean_us = 0.0
 
     def acquire(self) -> bool:
-        """Whether one more request may start; if so, it is counted until `release`."""
+        """Return whether one more request may start; if so, it counts until `release`."""
         if self.running >= int(self.limit):
             return False
         self.running += 1
         return True
 
     def release(self, took_us: int) -> None:
-        """A request is answered after so long: adjust the limit."""
+        """Record that a request ended after `took_us`, and adjust the limit."""
         self.running -= 1
         took = float(max(took_us, 1))
         if self.mean_us == 0:
             self.mean_us = took
         else:
             self.mean_us = self.mean_us * (1 - SMOOTHING) + took * SMOOTHING
-        # The best time rises slowly, so that it follows when everything has become slower.
+        # The best time grows slowly, so that it adapts if all requests have become slower.
         self.best_us = took if self.best_us == 0 else min(took, self.best_us * BEST_GROWTH)
         tolerated = max(self.best_us * TOLERATED_FACTOR, TOLERATED_US)
         if self.mean_us > tolerated:
