--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -1,4 +1,4 @@
-"""Netstrings of JSON between controllers: `<length>:<bytes>,` with a bounded length."""
+"""Netstring framing of JSON messages: `<length>:<bytes>,` with a bounded length."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,70 +8,72 @@
 
 
 class MalformedFrame(Exception):
-    """Bytes that are no netstring."""
+    """Received bytes that are not a netstring."""
 
 
 def encode_frame(body: bytes) -> bytes:
-    """A message as a netstring."""
+    """Encode a message as a netstring."""
     return b"%d:%b," % (len(body), body)
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into frames."""
+    """Splits a stream of bytes into frames."""
 
     def __init__(self, limit: int = MAX_FRAME_BYTES) -> None:
         self.limit = limit
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in bytes; the frames that are whole now. Raises `MalformedFrame`."""
+        """Add received bytes, and return the frames that are now complete. Raises
+        `MalformedFrame`."""
         self.buffer += data
         out: list[bytes] = []
         while self.buffer:
             colon = self.buffer.find(b":", 0, MAX_LENGTH_DIGITS)
             if colon < 0:
                 if len(self.buffer) >= MAX_LENGTH_DIGITS or not self.buffer.isdigit():
-                    raise MalformedFrame("no length")
+                    raise MalformedFrame("no valid length before the colon")
                 break
             digits = bytes(self.buffer[:colon])
             if not digits.isdigit() or int(digits) > self.limit:
-                raise MalformedFrame("bad length")
+                raise MalformedFrame("length is not a number or exceeds the limit")
             end = colon + 1 + int(digits)
             if len(self.buffer) <= end:
                 break
             if self.buffer[end] != ord(","):
-                raise MalformedFrame("no comma")
+                raise MalformedFrame("no comma after the message")
             out.append(bytes(self.buffer[colon + 1 : end]))
             del self.buffer[: end + 1]
         return out
 
 
 class FrameProtocol(asyncio.Protocol):
-    """A connection that carries netstrings; used on both ends."""
+    """A connection that carries netstrings, used by both ends."""
 
     def __init__(
         self,
         on_frame: Callable[["FrameProtocol", bytes], None],
         on_connection_lost: Callable[["FrameProtocol"], None],
     ) -> None:
-        """`on_frame` gets each frame; `on_connection_lost` is called after the connection closed."""
+        """Set the callbacks for each received frame and for the end of the connection."""
         self.on_frame = on_frame
         self.on_connection_lost = on_connection_lost
         self.decoder = FrameDecoder()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio: the connection is open."""
+        """Called by asyncio when the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, _fault: Exception | None) -> None:
-        """Called by asyncio: the connection is closed, by either side."""
+        """Called by asyncio when the connection was closed by either side."""
         self.transport = None
         self.on_connection_lost(self)
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio: pass on the frames that are whole; close after bytes that are none."""
+        """Called by asyncio: pass on complete frames, and close the connection if one is
+        malformed."""
         try:
             frames = self.decoder.feed(data)
         except MalformedFrame:
@@ -81,8 +83,8 @@
             self.on_frame(self, body)
 
     def send(self, body: bytes) -> bool:
-        """Send a frame; False if the connection is closed or its other end does not read, which
-        must not fill our memory."""
+        """Send a frame. Returns False if the connection is closed, or if the peer does not read
+        and the write buffer has reached its limit."""
         if self.transport is None or self.transport.get_write_buffer_size() > MAX_FRAME_BYTES:
             return False
         self.transport.write(encode_frame(body))
