--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -1,4 +1,4 @@
-"""The client side: a pool of connections to one address."""
+"""HTTP client: a pool of connections to one address."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class ClientProtocol(asyncio.Protocol):
-    """One connection to a server, with one request at a time."""
+    """A connection to a server that carries one request at a time."""
 
     def __init__(self, pool: "ConnectionPool") -> None:
         self.pool = pool
@@ -24,10 +24,10 @@
         self.size = 0
 
     def send(self, request: bytes, may_send: Callable[[], bool]) -> asyncio.Future[ClientResponse]:
-        """Send a request; its answer comes as the result of the future.
+        """Send a request, and return a future of its response.
 
-        Raises `RequestFailed` if nothing was sent. The future is not made before that is certain:
-        one that nobody awaits would be reported as a lost exception.
+        Raises `RequestFailed` if nothing was sent. The future is created only after these checks:
+        if it failed without being awaited, asyncio would report an unretrieved exception.
         """
         if self.transport is None:
             raise RequestFailed("connection lost", sent=False)
@@ -38,7 +38,7 @@
         return self.reply
 
     def close(self) -> None:
-        """Close the connection at once; a request that is under way fails."""
+        """Close the connection immediately; a pending request fails."""
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
@@ -50,37 +50,37 @@
     # Called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Called when the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, _fault: Exception | None) -> None:
-        """The connection is closed, by either side."""
+        """Called when the connection was closed by either side."""
         self.transport = None
         self.pool.connection_closed(self)
         self._fail("connection lost")
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received bytes."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._fail("not HTTP")
+            self._fail("response is not valid HTTP")
             self.close()
 
     # Called by httptools
 
     def on_body(self, body: bytes) -> None:
-        """A part of the answer's body."""
+        """Collect a part of the response body."""
         self.size += len(body)
         if self.size > self.pool.max_response_bytes:
-            self._fail("answer too large")
+            self._fail("response too large")
             self.close()
         else:
             self.parts.append(body)
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
+        """Complete the pending request with the response."""
         answer = ClientResponse(self.parser.get_status_code(), b"".join(self.parts))
         self.parts = []
         self.size = 0
@@ -91,7 +91,7 @@
 
 
 class ConnectionPool:
-    """Connections to one address, so many at most."""
+    """A pool of connections to one address, limited in number."""
 
     def __init__(
         self, address: str, limit: int, max_response_bytes: int = MAX_RESPONSE_BYTES
@@ -103,15 +103,15 @@
         self.max_response_bytes = max_response_bytes
         self.idle: list[ClientProtocol] = []  # open connections without a request
         self.slots = asyncio.Semaphore(limit)
-        self.running = 0  # requests that wait for a connection or an answer
+        self.running = 0  # requests that wait for a connection or a response
 
     @property
     def busy(self) -> bool:
-        """Whether a request is under way."""
+        """Whether any request is in progress."""
         return self.running > 0
 
     def connection_closed(self, connection: ClientProtocol) -> None:
-        """A connection was closed."""
+        """Remove a connection that was closed."""
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -123,12 +123,12 @@
         timeout_us: int = TIMEOUT_US,
         may_send: Callable[[], bool] = lambda: True,
     ) -> ClientResponse:
-        """Send one request and await its answer.
+        """Send one request and wait for its response.
 
-        Raises `RequestFailed` if there is none in time; its connection is closed then, since the
-        answer may come later. What needs a lease passes `may_send`, which is called at the last
-        moment: the request may have waited for a connection, or the whole process may have stood
-        still.
+        Raises `RequestFailed` if there is none within `timeout_us`; the connection is then closed,
+        since the response may still arrive. Requests that require a lease pass `may_send`, which is
+        called immediately before sending: the request may have waited for a connection, or the
+        process may have been suspended.
         """
         request = self._encode(method, path, body)
         connection: ClientProtocol | None = None
@@ -146,10 +146,10 @@
         except TimeoutError:
             if connection is not None:
                 connection.close()
-            raise RequestFailed("no answer in time", sent=sent) from None
+            raise RequestFailed("no response in time", sent=sent) from None
         except OSError as fault:
             raise RequestFailed(f"no connection: {fault}", sent=False) from None
-        except BaseException:  # also when the caller is cancelled
+        except BaseException:  # includes the cancellation of the caller
             if connection is not None:
                 connection.close()
             raise
@@ -171,7 +171,7 @@
         return protocol
 
     def close(self) -> None:
-        """Close the connections that have no request under way."""
+        """Close all idle connections."""
         for connection in list(self.idle):
             connection.close()
         self.idle.clear()
