--- a/basaltlead/net/http/__init__.py
+++ b/basaltlead/net/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on `httptools` over `asyncio.Protocol`: server and client, without pipelining."""
+"""HTTP/1.1 client and server on `httptools` and `asyncio.Protocol`, without pipelining."""
 
 from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.messages import GET, POST, ClientResponse, Request, Response
