--- a/basaltlead/net/http/messages.py
+++ b/basaltlead/net/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests, answers and status codes."""
+"""HTTP requests, responses and status codes."""
 
 from typing import NamedTuple
 
@@ -36,7 +36,7 @@
 
 
 class Request:
-    """A request that the server has received."""
+    """A request received by the server."""
 
     __slots__ = ("body", "method", "path", "query")
 
@@ -48,7 +48,7 @@
 
 
 class Response:
-    """An answer that the server is to send; `headers` are whole lines that end with CR LF."""
+    """A response to be sent by the server; `headers` are complete lines that end with CR LF."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -59,7 +59,7 @@
 
 
 class ClientResponse(NamedTuple):
-    """An answer that the client has received."""
+    """A response received by the client."""
 
     status: int
     body: bytes
