--- a/basaltlead/clients/workers.py
+++ b/basaltlead/clients/workers.py
@@ -61,7 +61,7 @@
                 "POST", "/do", encode(command), self.timeout_us, may_send
             )
         if status not in (STATUS_OK, STATUS_CONFLICT):
-            raise RequestFailed(f"worker {address} responded with status {status}", sent=True)
+            raise RequestFailed(f"worker responded with status {status}", sent=True)
         return CommandResponse(status == STATUS_OK, decode(body, Heartbeat))
 
     def _close_excess_idle(self) -> None:
