--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -1,4 +1,4 @@
-"""The server side: connections from users, workers and the load balancer."""
+"""HTTP server: connections from users, workers and the load balancer."""
 
 import asyncio
 import errno
@@ -20,9 +20,9 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEADER_BYTES = 16 * 1024
-REQUEST_TIMEOUT_S = 10.0  # s that a started request may take to arrive
-IDLE_TIMEOUT_S = 75.0  # s that a connection may be idle between requests
-SWEEP_INTERVAL_S = 5.0  # between two checks of these times
+REQUEST_TIMEOUT_S = 10.0  # without new data while a request is incomplete
+IDLE_TIMEOUT_S = 75.0  # between requests
+SWEEP_INTERVAL_S = 5.0  # between checks of these timeouts
 RETRY_LISTEN_S = 0.5
 BACKLOG = 256
 
@@ -32,7 +32,7 @@
 
 
 class ServerProtocol(asyncio.Protocol):
-    """One connection to this server, with one request at a time."""
+    """A connection to this server that carries one request at a time."""
 
     def __init__(self, server: "Server") -> None:
         self.server = server
@@ -40,8 +40,8 @@
         self.parser = httptools.HttpRequestParser(self)
         self.busy = False  # a request is being handled
         self.closing = False
-        self.active_at = server.loop.time()  # the last request part or answer
-        self.request_started = False  # part of a request has arrived
+        self.active_at = server.loop.time()  # when data was last received or a response sent
+        self.request_started = False  # part of a request was received
         self._reset()
 
     def _reset(self) -> None:
@@ -49,25 +49,23 @@
         self.header_size = 0
         self.parts: list[bytes] = []
         self.body_size = 0
-        self.rejection_status = (
-            0  # the status with which the request is refused once its headers are there
-        )
+        self.rejection_status = 0  # sent once the headers are complete; 0: not rejected
 
     # Called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Called when the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connection_opened(self)
 
     def connection_lost(self, _fault: Exception | None) -> None:
-        """The connection is closed, by either side."""
+        """Called when the connection was closed by either side."""
         self.transport = None
         self.server.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received bytes."""
         self.active_at = self.server.loop.time()
         self.request_started = True
         if self.closing:
@@ -83,12 +81,12 @@
     # Called by httptools
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Collect a part of the request target."""
         self.url += url
         self._count_header(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header."""
+        """Check one header."""
         self._count_header(len(name) + len(value))
         if name.lower() == b"content-length" and (
             not value.isdigit() or int(value) > MAX_BODY_BYTES
@@ -101,12 +99,12 @@
             self._reject(STATUS_HEADERS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """All headers have arrived."""
+        """Reject the request if its headers call for it."""
         if self.rejection_status:
             self._reject(self.rejection_status)
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Collect a part of the body."""
         self.body_size += len(body)
         if self.body_size > MAX_BODY_BYTES:
             self._reject(STATUS_TOO_LARGE)
@@ -118,10 +116,10 @@
             self.respond(Response(status, b'{"error":"too large"}'), close=True)
 
     def on_message_complete(self) -> None:
-        """The request is whole: pass it to the handler."""
+        """Pass the complete request to the handler."""
         if self.closing:
             return
-        if self.busy:  # a second request before the first was answered: no client of ours pipelines
+        if self.busy:  # pipelined request: not supported, as no client needs it
             self.closing = True
             return
         self.busy = True
@@ -133,8 +131,8 @@
         self._reset()
         try:
             result = self.server.handler(request)
-        except Exception:  # a fault in one request must not end the connections of all others
-            log.exception("handler of %s %s failed", request.method, request.path)
+        except Exception:  # a failing request must not affect other connections
+            log.exception("handling %s %s failed", request.method, request.path)
             result = Response(STATUS_UNAVAILABLE, INTERNAL_ERROR_BODY)
         if isinstance(result, Response):
             self.respond(result, close=not keep)
@@ -148,14 +146,14 @@
         if task.cancelled():
             response = Response(STATUS_UNAVAILABLE)
         elif task.exception() is not None:
-            log.error("handler of a request failed", exc_info=task.exception())
+            log.error("handling a request failed", exc_info=task.exception())
             response = Response(STATUS_UNAVAILABLE, INTERNAL_ERROR_BODY)
         else:
             response = task.result()
         self.respond(response, close=not keep)
 
     def respond(self, response: Response, close: bool = False) -> None:
-        """Send an answer, and close the connection after it if so requested or already decided."""
+        """Send a response, and then close the connection if `close` or `closing` is set."""
         self.busy = False
         self.active_at = self.server.loop.time()
         self.server.mark_used(self)
@@ -176,8 +174,11 @@
 async def listen(
     factory: Callable[[], asyncio.Protocol], address: str, backlog: int = 100
 ) -> asyncio.Server:
-    """Listen at an address, after waiting for as long as it is in use: after a restart that may be
-    so for a moment, and a controller must not end for that. Raises OSError otherwise."""
+    """Listen at an address, and retry while it is in use.
+
+    After a restart an address may be in use for a moment, which must not end a controller. Raises
+    OSError for any other failure.
+    """
     host, port = address.rsplit(":", 1)
     loop = asyncio.get_running_loop()
     while True:
@@ -186,12 +187,12 @@
         except OSError as fault:
             if fault.errno != errno.EADDRINUSE:
                 raise
-        log.error("%s is in use, trying again", address)
+        log.error("address %s is in use, retrying", address)
         await asyncio.sleep(RETRY_LISTEN_S)
 
 
 class Server:
-    """A listening address and its connections, bounded in number."""
+    """A listening address and its connections, which are limited in number."""
 
     def __init__(
         self,
@@ -200,29 +201,29 @@
         other_sockets: Callable[[], int] = lambda: 0,
         close_other_idle: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`limit` holds for the sockets of this server and those that are in use elsewhere.
+        """Create a server; `limit` applies to its connections and `other_sockets` together.
 
-        At the limit `close_other_idle` is called first, to close one of the others that is
-        idle; it returns whether it did. So no client of this server is refused for the sake of idle
-        connections elsewhere.
+        At the limit, `close_other_idle` is called first to close an idle socket among the others;
+        it returns whether it did. So idle connections elsewhere never cause this server to refuse a
+        client.
         """
         self.handler = handler
         self.limit = limit
         self.other_sockets = other_sockets
         self.close_other_idle = close_other_idle
         self.loop = asyncio.get_running_loop()
-        self.connections: dict[ServerProtocol, None] = {}  # the longest unused first
+        self.connections: dict[ServerProtocol, None] = {}  # least recently used first
         self.tasks: set[asyncio.Future[Response]] = set()
         self.listener: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Start to listen. Raises OSError if the address can't be used."""
+        """Start listening. Raises OSError if the address can't be used."""
         self.listener = await listen(lambda: ServerProtocol(self), address, backlog=BACKLOG)
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_opened(self, connection: ServerProtocol) -> None:
-        """Take in a new connection. At the limit the longest unused one is closed for it, or the
-        new one itself if all others are in use."""
+        """Register a new connection. At the limit, the least recently used idle connection is
+        closed, or the new one if all others are in use."""
         if (
             len(self.connections) + self.other_sockets() >= self.limit
             and not self.close_other_idle()
@@ -237,13 +238,13 @@
         self.connections[connection] = None
 
     def mark_used(self, connection: ServerProtocol) -> None:
-        """Move a connection to the end of those that may be closed."""
+        """Make a connection the most recently used one."""
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
 
     def _sweep(self) -> None:
-        """Close connections that have been idle for long, or whose request does not arrive."""
+        """Close connections that exceeded the idle timeout or the request timeout."""
         now = self.loop.time()
         for connection in list(self.connections):
             limit = REQUEST_TIMEOUT_S if connection.request_started else IDLE_TIMEOUT_S
