--- a/basaltlead/runtime/__init__.py
+++ b/basaltlead/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every long-running part uses: clocks, logging, supervised background tasks."""
+"""Runtime support: clocks, logging and supervised background tasks."""
