--- a/basaltlead/runtime/events.py
+++ b/basaltlead/runtime/events.py
@@ -5,7 +5,7 @@
 
 
 async def wait_for_event(event: asyncio.Event, seconds: float) -> None:
-    """Return once the event is set, or after so many seconds, and clear it."""
+    """Wait until the event is set, for at most `seconds`, and clear it."""
     with suppress(TimeoutError):
         async with asyncio.timeout(seconds):
             await event.wait()
