--- a/basaltlead/runtime/logs.py
+++ b/basaltlead/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The log, written to standard error, and a limit on lines that bad input could repeat."""
+"""Logging to standard error, and a rate limit for lines that bad input can trigger."""
 
 import logging
 import os
@@ -10,7 +10,7 @@
 
 
 def configure_logging() -> None:
-    """Log to standard error, from the level on that the environment's LOG_LEVEL names."""
+    """Log to standard error, at the level named by the environment variable LOG_LEVEL."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(levelname).1s %(message)s"))
     log.addHandler(handler)
@@ -19,7 +19,7 @@
 
 
 class LogRateLimiter:
-    """Allows at most `burst` lines in `window_us`, so that bad input can't flood the log."""
+    """Allows at most `burst` lines per `window_us`, so that bad input can't flood the log."""
 
     def __init__(self, burst: int = 5, window_us: int = 10_000_000) -> None:
         self.burst = burst
@@ -28,7 +28,7 @@
         self.window_end = 0
 
     def allow(self, now: int) -> bool:
-        """Whether one more line may be written at this time; if so, it is counted."""
+        """Return whether one more line may be written at the time `now`, and count it."""
         if now >= self.window_end:
             self.window_end = now + self.window_us
             self.remaining = self.burst
