--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -1,8 +1,8 @@
-"""Background tasks: the one way to run and supervise what goes on beside requests.
+"""Supervised background tasks; all work outside of requests runs in them.
 
-What a task is spawned as decides what its failure means: it is always logged, a loop of a process
-is started again, and a loop of a grant ends the grant, so that a fresh one starts from what is
-stored.
+A failure is always logged. How a task was spawned decides what follows: a loop of the process is
+restarted, and a failed loop of a grant ends the grant, so that the next one starts from the stored
+state.
 """
 
 import asyncio
@@ -11,34 +11,32 @@
 
 from basaltlead.runtime.logs import log
 
-LOOP_PREFIX = "loop "  # the names of tasks whose failure is their owner's failure begin with this
-
-
-RESTART_PAUSE_S = 0.5  # before a loop that failed is started again
+LOOP_PREFIX = "loop "  # of the names of tasks whose failure their owner does not survive
+RESTART_PAUSE_S = 0.5  # before a failed loop is restarted
 
 
 def _ignore_failure() -> None:
-    """For owners whose tasks all start again."""
+    """Default for owners whose loops are all restarted."""
 
 
 class BackgroundTasks:
-    """The background tasks of a process, a shard leader or the holder of a duty, which are
-    cancelled together."""
+    """The background tasks of a process, a shard leader or a duty holder, cancelled together."""
 
     def __init__(self, on_failure: Callable[[], None] = _ignore_failure) -> None:
-        """`on_failure` is called if a task whose name begins with `LOOP_PREFIX` raises."""
+        """`on_failure` is called if a task whose name begins with `LOOP_PREFIX` raises an
+        exception."""
         self.running: set[asyncio.Task[None]] = set()
         self.on_failure = on_failure
 
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
-        """Start a task; an exception that ends it is logged under its name."""
+        """Start a task; if it raises an exception, that is logged with the name of the task."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.running.add(task)
         task.add_done_callback(self._ended)
         return task
 
     def spawn_restarting(self, loop: Callable[[], Coroutine[Any, Any, None]], name: str) -> None:
-        """Run a loop that is logged, and started again, should it ever fail or return."""
+        """Run a loop and restart it if it fails, which is logged, or returns."""
         self.spawn(self._run_forever(loop, name), name)
 
     @staticmethod
@@ -46,8 +44,8 @@
         while True:
             try:
                 await loop()
-            except Exception:  # a process without one of its loops is of no use
-                log.exception("loop %s failed, restarting it", name)
+            except Exception:  # the process can't work without any of its loops
+                log.exception("loop %s failed, restarting", name)
             await asyncio.sleep(RESTART_PAUSE_S)
 
     def _ended(self, task: "asyncio.Task[None]") -> None:
