--- a/basaltlead/wire/__init__.py
+++ b/basaltlead/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Message types of each interface; only this package knows the names on the wire."""
+"""Message types of each interface; names on the wire are defined only in this package."""
