--- a/basaltlead/wire/cloud.py
+++ b/basaltlead/wire/cloud.py
@@ -6,9 +6,9 @@
 
 
 class MachineTypeInfo(Struct, rename=PROTOCOL_NAMES | {"name": "Label"}):
-    """A machine type that the cloud rents out, with its present prices.
+    """A machine type that the cloud rents out, with its current prices.
 
-    Prices are per hour; `boot_s` is how long a machine takes from the request until it is up.
+    Prices are per hour; `boot_s` is the time from the rental request until the machine is up.
     """
 
     name: str
@@ -30,7 +30,7 @@
 
 
 class RentRequest(Struct, rename=PROTOCOL_NAMES):
-    """A request to rent machines. Its id makes it idempotent: sent again it rents nothing more."""
+    """A request to rent machines. Its id makes it idempotent: a repeated one rents no more."""
 
     request_id: str
     type: str
@@ -40,13 +40,13 @@
 
 
 class MachineNames(Struct, rename=PROTOCOL_NAMES):
-    """The names of machines: those that were rented, or that are to be returned."""
+    """The names of machines that were rented, or that are to be returned."""
 
     machines: list[str]
 
 
 class RentedMachine(Struct, rename=PROTOCOL_NAMES | {"name": "Ref"}):
-    """A rented machine as the cloud lists it; `age_s` is for how long it has been rented."""
+    """A rented machine in the cloud's list; `age_s` is how long it has been rented."""
 
     name: str
     type: str
@@ -58,7 +58,7 @@
 
 
 class MachinePage(Struct, rename=PROTOCOL_NAMES):
-    """A part of the list of rented machines; `more` tells that there are more after it."""
+    """A page of the list of rented machines; `more` is true if it is not the last one."""
 
     machines: list[RentedMachine]
     more: bool = False
