--- a/basaltlead/wire/names.py
+++ b/basaltlead/wire/names.py
@@ -1,7 +1,7 @@
-"""The terms of the code, and the protocol's names for them (see docs/glossary.md).
+"""Field names in the code and their names on the wire (see docs/glossary.md).
 
-Each message type between users, workers, cloud, key-value store and controllers is renamed by this
-table; a type whose field has another name in the protocol adds that one itself.
+The message types between controllers and users, workers, the cloud and the key-value store use this
+table as their `rename`. A type with a field that is named differently on the wire overrides it.
 """
 
 PROTOCOL_NAMES = {
