--- a/basaltlead/wire/peers.py
+++ b/basaltlead/wire/peers.py
@@ -1,7 +1,7 @@
-"""Messages among controllers, and between operators and controllers, in netstrings of JSON.
+"""Messages between controllers, and between operators and controllers: JSON in netstrings.
 
-`name` is the sender, and `incarnation` that of the controller that requests the deferral: an answer
-repeats it, so that one to an earlier incarnation is recognised.
+`name` is the sender. `incarnation` identifies the run of the controller that requests a deferral;
+the response repeats it, so that a response to an earlier incarnation is recognised.
 """
 
 from msgspec import Raw, Struct
@@ -15,25 +15,26 @@
 
 
 class DeferralRequest(Struct, tag="ask", tag_field="is", rename=PEER_NAMES):
-    """A controller without the key-value store requests not to be replaced for a span."""
+    """A controller that can't reach the key-value store asks not to be replaced for `span_us`."""
 
     sequence: int
     name: str
     incarnation: str
     span_us: int
-    # How long ago it last knew all confirmed cancellations; None if it doesn't need them.
+    # Time since it last knew all confirmed cancellations; None if it doesn't need them.
     unconfirmed_us: int | None = None
 
 
 class FailoverDeferral(Struct, tag="promise", tag_field="is", rename=PEER_NAMES):
-    """The answer; a span of 0 is a refusal. The span counts from when the request was sent."""
+    """The response to a deferral request; `span_us` counts from when the request was sent, and 0
+    is a refusal."""
 
     sequence: int
     name: str
     incarnation: str
     span_us: int
-    partitioned: bool = False  # has the answering controller lost the key-value store too?
-    # Every cancellation that it has confirmed to anybody in `unconfirmed_us`; None if it can't say.
+    partitioned: bool = False  # whether the responding controller can't reach the store either
+    # All cancellations that it confirmed within `unconfirmed_us`; None if it doesn't know them all.
     cancelled: list[str] | None = None
 
 
@@ -44,12 +45,12 @@
 
 
 class DutiesRequest(Struct, tag="duties", tag_field="is"):
-    """An operator asks who holds which duty, and which intents are open."""
+    """An operator's request for the holders of the duties and the open intents."""
 
 
 class HeldDuty(Struct):
-    """A duty with its holder's name, fencing token, and the time of day of the grant in
-    microseconds; an empty name and 0 if nobody holds it."""
+    """A duty with its holder, the holder's fencing token, and the wall-clock time of the grant in
+    microseconds; an empty name and 0 if the duty has no holder."""
 
     duty: str
     holder: str
@@ -58,8 +59,8 @@
 
 
 class OpenIntent(Struct):
-    """An intent that is recorded and not carried out so far, since a time of day; `refused` is why
-    the cloud rejects it."""
+    """An intent that is recorded but not yet executed; `since` is a wall-clock time in
+    microseconds, and `refused` the reason if the cloud rejects it."""
 
     kind: str
     name: str
@@ -69,25 +70,24 @@
 
 
 class DutiesResponse(Struct, tag="duties-told", tag_field="is"):
-    """The duties and open intents; `unknown` tells why there is no answer, and is empty if there is
-    one."""
+    """The duties and open intents; if they are not known, `unknown` is the reason, else empty."""
 
     unknown: str = ""
-    granted: bool = False  # on their own; else the shard leaders carry them out
+    granted: bool = False  # whether duties have holders; else the shard leaders perform them
     duties: list[HeldDuty] = []
-    intents: list[OpenIntent] = []  # the oldest, if there are many
+    intents: list[OpenIntent] = []  # only the oldest ones if there are many
     open_count: int = 0
 
 
 class HistoryRequest(Struct, tag="history", tag_field="is"):
-    """An operator asks for the first page of the duties' history after this key."""
+    """An operator's request for the first page of the duties' history after this key."""
 
     after: str
 
 
 class HistoryResponse(Struct, tag="history-told", tag_field="is"):
-    """A page of the history and its key, which is empty if there is none left; `unknown` tells why
-    there is no answer."""
+    """A page of the history and its key, which is empty if there are no more pages; if the history
+    is not known, `unknown` is the reason."""
 
     unknown: str = ""
     key: str = ""
