--- a/basaltlead/wire/store.py
+++ b/basaltlead/wire/store.py
@@ -17,7 +17,7 @@
 
 
 class Rows(Struct, rename=PROTOCOL_NAMES):
-    """A part of the rows under a prefix, and the store's revision when it was read."""
+    """A page of the rows under a prefix, and the store's revision when it was read."""
 
     rows: list[Row]
     revision: int
@@ -25,14 +25,14 @@
 
 
 class Precondition(Struct, rename=PROTOCOL_NAMES):
-    """A condition of a transaction: the key must have this version; 0: it must not exist."""
+    """A condition of a transaction: the key must have this version, or not exist if it is 0."""
 
     key: str
     version: int
 
 
 class Put(Struct, omit_defaults=True, rename=PROTOCOL_NAMES | {"key": "Put"}):
-    """A change: a key to be written. With a session lease it is dropped when that lease ends."""
+    """A change that writes a key. With a session lease, the key is deleted when the lease ends."""
 
     key: str
     value: Any
@@ -40,20 +40,20 @@
 
 
 class Drop(Struct, rename=PROTOCOL_NAMES | {"key": "Drop"}):
-    """A change: a key to be removed."""
+    """A change that deletes a key."""
 
     key: str
 
 
 class Transaction(Struct, rename=PROTOCOL_NAMES):
-    """Changes that are made together if all preconditions hold."""
+    """Changes that are applied atomically if all preconditions hold."""
 
     preconditions: list[Precondition]
     apply: list[Put | Drop] | list[Any]
 
 
 class Outcome(Struct, rename=PROTOCOL_NAMES):
-    """The answer to a transaction; `failed` are the keys whose preconditions did not hold."""
+    """The response to a transaction; `failed` lists the keys whose preconditions did not hold."""
 
     revision: int
     failed: list[str] = []
@@ -66,7 +66,7 @@
 
 
 class Change(Struct, rename=PROTOCOL_NAMES):
-    """A key that was written or removed."""
+    """A key that was written or deleted."""
 
     version: int
     put: str | None = None
@@ -75,7 +75,7 @@
 
 
 class Changes(Struct, rename=PROTOCOL_NAMES):
-    """The answer to a watch: what has changed under a prefix up to a revision."""
+    """The response to a watch: the changes under a prefix up to a revision."""
 
     revision: int
     log: list[Change]
