--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -14,7 +14,7 @@
 
 
 class Submission(Struct, frozen=True, rename=PROTOCOL_NAMES):
-    """A job as its user describes it. Sizes are for one task; durations in seconds."""
+    """A job as submitted by a user. Sizes are per task, durations in seconds."""
 
     ref: Annotated[str, Meta(pattern=REF)]
     job_class: Text
@@ -39,7 +39,7 @@
 
 
 class JobStatusResponse(Struct, rename=PROTOCOL_NAMES):
-    """The state of a job, with how many of its tasks are done and run."""
+    """The state of a job, with the numbers of its tasks that are done and running."""
 
     ref: str
     stage: str
@@ -48,6 +48,6 @@
 
 
 class ErrorBody(Struct):
-    """Why a request was not carried out."""
+    """The body of an error response: why the request was not executed."""
 
     error: str
