--- a/basaltlead/wire/workers.py
+++ b/basaltlead/wire/workers.py
@@ -10,7 +10,7 @@
 
 
 class TaskStatus(Struct, rename=PROTOCOL_NAMES):
-    """One task in a heartbeat. `saved` tells whether it saved a checkpoint when it was stopped."""
+    """A task in a heartbeat; `saved` is whether it saved a checkpoint when it was stopped."""
 
     task: Annotated[str, Meta(max_length=60, pattern=r"^req-[0-9]{6,15}/[0-9]{1,6}\Z")]
     attempt_number: Whole
@@ -20,11 +20,11 @@
 
 
 class Heartbeat(Struct, rename=PROTOCOL_NAMES):
-    """A worker's periodic report: the machine and the tasks on it.
+    """A worker's periodic report of its machine and the tasks on it.
 
     The epoch changes with each expiry of the worker's lease, and the sequence number orders the
-    messages of one epoch. `fencing_token` is the highest one that the worker has seen, and
-    `preemption_notice_s` the time until the cloud takes a spot machine back.
+    messages within an epoch. `fencing_token` is the highest token that the worker has seen, and
+    `preemption_notice_s` the time until the cloud reclaims a spot machine.
     """
 
     machine: Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+\Z")]
@@ -40,7 +40,7 @@
 
 
 class WorkerCommand(Struct, omit_defaults=True, rename=PROTOCOL_NAMES):
-    """A command for one attempt at a task; `grace_s` is the time it may take to save."""
+    """A command for one attempt at a task; `grace_s` is the time for saving a checkpoint."""
 
     verb: str
     task: str
@@ -49,14 +49,14 @@
 
 
 class HeartbeatResponse(Struct, rename=PROTOCOL_NAMES):
-    """The answer to a heartbeat."""
+    """The response to a heartbeat."""
 
     fencing_token: int
     commands: list[WorkerCommand]
 
 
 class DirectCommand(Struct, rename=PROTOCOL_NAMES):
-    """Commands that are pushed to a worker outside heartbeats; the body of /do."""
+    """Commands pushed to a worker outside heartbeats: the request body of /do."""
 
     fencing_token: int
     epoch: int
@@ -64,6 +64,6 @@
 
 
 class Redirect(Struct, rename=PROTOCOL_NAMES):
-    """The answer to a heartbeat that another controller should have got: which one."""
+    """The response to a heartbeat that was sent to the wrong controller: names the right one."""
 
     controller: str
