--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -45,7 +45,7 @@
             try:
                 await loop()
             except Exception:  # the process can't work without any of its loops
-                log.exception("loop %s failed, restarting", name)
+                log.exception("loop %s failed, restarting it", name)
             await asyncio.sleep(RESTART_PAUSE_S)
 
     def _ended(self, task: "asyncio.Task[None]") -> None:
