--- a/basaltlead/config/__init__.py
+++ b/basaltlead/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a controller: the platform's file and the operators' file."""
+"""Settings of a controller, from the platform's file and the operators' file."""
