--- a/basaltlead/config/loader.py
+++ b/basaltlead/config/loader.py
@@ -1,7 +1,7 @@
-"""Reading the settings files.
+"""Reads and checks the settings files.
 
-Fields that are not known here are ignored in the platform's file, since the platform may add some.
-Everything else is checked once, at the start, and an error names its field.
+Unknown fields are ignored in the platform's file, since the platform may add some. Everything else
+is checked once, at the start, and an error names the field.
 """
 
 import tomllib
@@ -16,9 +16,10 @@
 
 
 def convert(data: Any, target: Any, where: str) -> Any:
-    """Data of a settings file as the target type. Raises `SettingsError` with the field.
+    """Convert the data of a settings file to the target type.
 
-    Numbers in the operators' own file may also be written as text.
+    Numbers in the operators' file may also be written as text. Raises `SettingsError` with the name
+    of the field.
     """
     try:
         return msgspec.convert(data, target, strict=target is not Operator)
@@ -30,7 +31,7 @@
 
 
 def load(path: str, operator_path: str | None = None) -> Settings:
-    """Read and check the platform's file and, if there is one, the operators'. Raises
+    """Read and check the platform's file and the operators' file, if there is one. Raises
     `SettingsError`."""
     try:
         with open(path, "rb") as file:
@@ -49,7 +50,7 @@
 
 
 def _load_operator(path: str) -> Operator:
-    import yaml  # read only when such a file is given: controllers pay for every import
+    import yaml  # imported only if there is such a file, to keep the start of a controller short
 
     try:
         with open(path, encoding="utf-8") as file:
@@ -65,7 +66,7 @@
 
 
 def _check_calendar(calendar: str, path: str) -> None:
-    """Raise `SettingsError` if the calendar can't be used."""
+    """Raise `SettingsError` if the calendar is invalid or its libraries are not installed."""
     try:
         from basaltlead.scaling import quiet_calendar
     except ImportError as fault:
