--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -1,7 +1,8 @@
-"""The settings: their fields, the values that are allowed, and what is derived from them.
+"""The settings: fields, allowed values, and values derived from them.
 
-They come from the platform's TOML file and the operators' optional YAML file (see loader), whose
-names they keep. Durations end in `_s` (seconds), `_ms` or `_us`.
+They are read from the platform's TOML file and the operators' optional YAML file (see loader), and
+keep the names of those files, except where `rename` maps an attribute to one. Suffixes name the
+unit of a duration: `_s` (seconds), `_ms` or `_us`.
 """
 
 from typing import Annotated
@@ -11,7 +12,7 @@
 from basaltlead.storage.limits import StoreLimits
 
 US = 1_000_000
-SESSION_LEASE_SHARE = 0.3  # of a worker's lease
+SESSION_LEASE_SHARE = 0.3  # default session lease, as a fraction of a worker's lease
 
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9_.-]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]
@@ -36,7 +37,7 @@
 
 
 class Team(Struct):
-    """A team, with its guarantee (`cpus`, `gpus`) and limit (`cpus_max`, `gpus_max`); 0: none."""
+    """A team with its guarantee (`cpus`, `gpus`) and limit (`cpus_max`, `gpus_max`); 0 is none."""
 
     name: str
     cpus: Amount = 0.0
@@ -46,7 +47,7 @@
 
 
 class Objective(Struct, rename={"job_class": "class"}):
-    """When jobs of a class should start or finish; which of the fields apply depends on `kind`."""
+    """When jobs of a class should start or finish; `kind` decides which other fields apply."""
 
     kind: str
     job_class: str = ""
@@ -56,7 +57,7 @@
 
 
 class Workers(Struct):
-    """The durations that all workers keep to."""
+    """Durations that all workers apply."""
 
     report_s: Positive
     lease_s: Positive
@@ -65,13 +66,13 @@
     cancel_s: Positive
 
 
-# A transaction of a single change can't move a job from its open key to its final one.
+# A job moves from its open key to its final key in one transaction, which takes two operations.
 TransactionOps = Annotated[int, Meta(ge=2, lt=1_000_000)]
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Limits of the key-value store that will hold from some moment on, without notice; those that
-    are absent stay as they are."""
+    """Announced limits of the key-value store, which take effect at some time without notice;
+    absent ones don't change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -80,8 +81,8 @@
 
 
 class StateLimits(Struct):
-    """Limits of the key-value store: requests and writes a second, kilobytes in a value, operations
-    in a transaction."""
+    """Limits of the key-value store: requests and writes per second, kilobytes per value, and
+    operations per transaction."""
 
     rps: Positive
     write_rps: Positive
@@ -91,14 +92,14 @@
 
 
 class CloudLimits(Struct):
-    """The cloud's limit on requests a second, and how old its list of machines may be."""
+    """The cloud's limit on requests per second, and the maximum age of its list of machines."""
 
     rps: Positive
     list_lag_s: Amount
 
 
 class Quota(Struct, frozen=True):
-    """What the process may use: processor cores, megabytes of memory, and file descriptors."""
+    """Resource limits of the process: processor cores, megabytes of memory, file descriptors."""
 
     core_share: Positive = 1.0
     mem_mb: Positive = 256.0
@@ -120,7 +121,7 @@
 
 
 class Quiet(Struct, frozen=True, forbid_unknown_fields=True, rename={"max_cost": "most_cost"}):
-    """Quiet times: the path of an iCalendar file, and what idle machines may cost in each one."""
+    """Quiet times: the path of an iCalendar file, and the maximum cost of idle machines in each."""
 
     calendar: str
     max_cost: Positive
@@ -132,7 +133,7 @@
     forbid_unknown_fields=True,
     rename={"shards": "blocks", "session_lease_s": "right_s"},
 ):
-    """The operators' own YAML file. Every field has a default; see docs/operations.md."""
+    """The operators' YAML file. Every field has a default; see docs/operations.md."""
 
     round_s: Annotated[float, Meta(ge=1, le=600)] = 10.0
     refill_s: Annotated[float, Meta(ge=1, le=86_400)] = 300.0
@@ -140,7 +141,7 @@
     reserve_price: Positive = 0.01
     threshold: Annotated[float, Meta(ge=0, le=1)] = 0.05
     idle_share: Annotated[float, Meta(ge=0, le=100)] = 0.6
-    shards: Annotated[int, Meta(ge=1, le=16)] = 1  # `blocks` in the file
+    shards: Annotated[int, Meta(ge=1, le=16)] = 1
     session_lease_s: Annotated[float, Meta(ge=1, le=600)] | None = None
     duties: bool = False
     quiet: Quiet | None = None
@@ -160,10 +161,10 @@
 
     @property
     def store_limits(self) -> StoreLimits:
-        """The limits of the key-value store that every request keeps to.
+        """The limits of the key-value store that every request respects.
 
-        An announced change of them (`next`) comes without notice, so the lower of both limits
-        applies from the start.
+        Announced limits (`next`) take effect without notice, so the lower of the current and the
+        announced limit applies from the start.
         """
         now, later = self.facts.state, self.facts.state.next
         return StoreLimits(
@@ -177,32 +178,32 @@
     def staleness_us(self) -> int:
         """How long a shard leader may act without reading the cancellations, in microseconds.
 
-        Let L be the time at which its last successful read of them was sent, or the request that
-        every other controller answered with what it had confirmed (see cancellation_exchange). All
-        cancellations confirmed before L are known to it, so one that it does not know of was
-        confirmed to its user after L.
-
-        A heartbeat is answered with 200 only while the clock reads less than L + staleness:
-        `holds_valid_lease` is evaluated in the same turn of the event loop in which the answer is
-        written, so a process that was suspended before that turn answers nothing, and one that is
-        suspended after it has answered a heartbeat that was sent before. The worker's lease counts
-        from when that heartbeat was *sent*, so it is over at L + staleness + lease at the latest,
-        however long the answer was under way. Pushed commands renew nothing, and one that is
-        executed late starts nothing that outlives the lease.
-
-        Clocks drift by 0.05%, and a worker checks its lease only now and then: a hundredth of the
-        lease, a tenth of what remains and a second are reserved for that. So the task is gone
-        within `cancel_s` of L, and the user was told after L.
+        Let L be the time at which the shard leader sent its last successful read of the
+        cancellations, or the request to which every other controller responded with those it had
+        confirmed (see cancellation_exchange). It knows all cancellations confirmed before L, so one
+        that it does not know was confirmed to the user after L.
+
+        A heartbeat gets status 200 only while the clock is below L + staleness. `holds_valid_lease`
+        is evaluated in the same iteration of the event loop that writes the response: a process
+        suspended before that iteration sends nothing, and one suspended after it has responded to a
+        heartbeat that was sent earlier. The worker's lease counts from when it *sent* that
+        heartbeat, so it expires at L + staleness + lease at the latest, however long the response
+        was in transit. Pushed commands don't renew the lease, and a command that is executed late
+        starts nothing that outlives it.
+
+        Clocks drift by 0.05%, and a worker checks its lease only periodically. The margin for both
+        is one percent of the lease, a tenth of the remaining time, and one second. So the task has
+        ended within `cancel_s` of L, and the user was told after L.
         """
         workers = self.facts.workers
         return int(((workers.cancel_s - workers.lease_s * 1.01) * 0.9 - 1.0) * US)
 
     @property
     def session_lease_us(self) -> int:
-        """How long a session lease lasts, in microseconds.
+        """The duration of a session lease, in microseconds.
 
-        By default a third of a worker's lease: when a shard leader is lost, its workers give it up
-        after 4 to 6 s, and find the next shard leader in place before their leases run out.
+        The default is 0.3 of a worker's lease: after the loss of a shard leader, its workers stop
+        trying it after 4 to 6 s, and reach its successor before their leases expire.
         """
         lease_s = self.operator.session_lease_s
         if lease_s is None:
