--- a/basaltlead/api/__init__.py
+++ b/basaltlead/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface that a controller offers to users."""
+"""The HTTP interface of a controller: users' requests, heartbeats and the health check."""
