--- a/basaltlead/api/admission.py
+++ b/basaltlead/api/admission.py
@@ -1,4 +1,4 @@
-"""Which submissions can never run, and are refused for good."""
+"""Rejects submissions that can never run."""
 
 from collections.abc import Mapping
 
@@ -9,7 +9,7 @@
 
 
 class AdmissionCheck:
-    """Compares a submission with the machine types and its team's quota."""
+    """Checks a submission against the machine types and the quota of its team."""
 
     def __init__(
         self, quotas: Mapping[str, TeamQuota], machine_types: Mapping[str, MachineType]
@@ -18,7 +18,7 @@
         self.machine_types = machine_types
 
     def rejection_reason(self, submission: Submission) -> str:
-        """Why the job can never run; empty if it can."""
+        """Return why the job can never run, in words for its user; empty if it can run."""
         quota = self.quotas.get(submission.team)
         if quota is None:
             return "unknown team"
