--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -1,4 +1,4 @@
-"""The state of a job, read from the key-value store for the users' interface."""
+"""Reads the states of jobs from the key-value store for the users' interface."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -15,13 +15,13 @@
 from basaltlead.storage.result_rows import Progress, ResultLayout, parse_open_key
 from basaltlead.wire.store import Row
 
-MAX_JOB_TASKS = 100_000  # of one job
+MAX_JOB_TASKS = 100_000
 MAX_CACHED_FINALS = 5000
 PENDING, RUNNING, CANCELLED = "pending", "running", "withdrawn"
 
 
 class JobStatus(NamedTuple):
-    """What a user is told of a job: its stage, and counts of its tasks."""
+    """The status of a job as reported to users: its stage and the counts of its tasks."""
 
     stage: str
     done: int = 0
@@ -29,7 +29,7 @@
 
 
 class JobReader:
-    """Reads job states. Final states never change, so only these are cached."""
+    """Reads the states of jobs. Only final states are cached, since they never change."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         cancellations: Cancellations,
         on_cancelled: Callable[[str], None],
     ) -> None:
-        """`on_cancelled` is called before anybody is told that a job is cancelled."""
+        """`on_cancelled` is called before any user is told that a job was cancelled."""
         self.store = store
         self.membership = membership
         self.cancellations = cancellations
@@ -49,13 +49,13 @@
         self._finals: dict[str, FinalState] = {}
 
     def cached_final(self, ref: str) -> JobStatus | None:
-        """The final state of a job, if it was read or written before."""
+        """Return the final state of a job from the cache, or None if it is not cached."""
         final = self._finals.get(ref)
         return None if final is None else JobStatus(final.stage, final.done)
 
     def cache_final(self, ref: str, final: FinalState) -> None:
-        """Note a final state. To be called before any user is told: shard leaders must know of
-        every cancellation that was confirmed."""
+        """Cache a final state. Must be called before any user is told of it: shard leaders must
+        know every confirmed cancellation."""
         self._finals[ref] = final
         if final.stage == CANCELLED and self.cancellations.add(ref, now_us()):
             self.on_cancelled(ref)
@@ -63,7 +63,8 @@
             del self._finals[next(iter(self._finals))]
 
     async def open_rows(self, ref: str) -> list[Row]:
-        """The open job's rows: itself first, then its results; empty if it is not open."""
+        """Return the rows of an open job, its own first and then its results; empty if the job is
+        not open."""
         if self.membership.cut_off:
             raise Unavailable("the state service does not answer")
         page = await self.store.page(OPEN + ref, limit=self._max_rows)
@@ -71,7 +72,7 @@
         return rows if rows and rows[0].key == OPEN + ref else []
 
     async def read_final(self, ref: str) -> JobStatus | None:
-        """Read the final state of a job; None if it has none."""
+        """Read the final state of a job, or None if it has none."""
         row = await self.store.get(OVER + ref)
         if row is None:
             return None
@@ -80,9 +81,10 @@
         return JobStatus(final.stage, final.done)
 
     async def read(self, ref: str) -> JobStatus | None:
-        """The present state, or None when the key-value store says that there is no such job.
+        """Read the current state of a job, or None if the key-value store has no such job.
 
-        A job goes from open to over in one transaction, so reading in this order misses none.
+        One transaction moves a job from its open key to its final key, so reading them in this
+        order can't miss it.
         """
         rows = await self.open_rows(ref)
         if not rows:
@@ -90,7 +92,8 @@
         parts = [msgspec.json.decode(row.value, type=Progress) for row in rows[1:]]
         done = sum(part.count for part in parts)
         running = sum(part.running for part in parts)
-        # If a user was told of the end since we sent our request, nobody may hear the older state.
+        # If a user was told the final state after this read was sent, the older state must not be
+        # reported any more.
         final = self.cached_final(ref)
         if final is not None:
             return final
