--- a/basaltlead/api/responses.py
+++ b/basaltlead/api/responses.py
@@ -1,4 +1,4 @@
-"""Answers that several parts of the interface give."""
+"""Responses that several parts of the interface share."""
 
 from basaltlead.clients.codec import encode
 from basaltlead.net.http.messages import Response
@@ -9,10 +9,10 @@
 
 
 def error_response(status: int, text: str, headers: str = "") -> Response:
-    """An answer without a result; `text` says why there is none."""
+    """Create an error response; `text` is its reason."""
     return Response(status, encode(ErrorBody(text)), headers)
 
 
 def job_response(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
-    """An answer with the state of a job."""
+    """Create a response with the state of a job."""
     return Response(status, encode(JobStatusResponse(ref, stage, done, running)))
