--- a/basaltlead/api/routing.py
+++ b/basaltlead/api/routing.py
@@ -1,4 +1,4 @@
-"""Which part of a controller answers which request."""
+"""Routes requests to the parts of a controller."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class HeartbeatApi:
-    """Passes heartbeats on to the leader of the worker's shard, or redirects the worker."""
+    """Passes heartbeats to the leader of the worker's shard, or redirects the worker to it."""
 
     def __init__(
         self, registry: ShardRegistry, assigner: ShardAssigner, membership: Membership
@@ -34,12 +34,13 @@
         self._log_limiter = LogRateLimiter()
 
     def handle(self, body: bytes) -> Response:
-        """Answer a heartbeat: 200 from the shard's leader, 421 naming it, or 503."""
+        """Respond to a heartbeat with 200 from the local shard leader, 421 with the name of the
+        leader's controller, or 503 if the leader is not known."""
         try:
             heartbeat = heartbeat_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
             if self._log_limiter.allow(now_us()):
-                log.info("malformed heartbeat: %s", fault)
+                log.info("rejected a malformed heartbeat: %s", fault)
             return error_response(400, "malformed report")
         number = self.assigner.shard_of(heartbeat.machine) or 0
         leader = self.registry.leaders.get(number)
@@ -54,7 +55,7 @@
 
 
 class Router:
-    """Routes requests to the users' interface, the heartbeats, and the health check."""
+    """Routes requests to the users' interface, the heartbeat interface and the health check."""
 
     def __init__(
         self, user_api: UserApi, heartbeat_api: HeartbeatApi, is_healthy: Callable[[], bool]
@@ -64,7 +65,7 @@
         self.is_healthy = is_healthy
 
     def handle(self, request: Request) -> "Response | Coroutine[Any, Any, Response]":
-        """Answer any request."""
+        """Handle any request."""
         path = request.path
         if path == HEARTBEAT_PATH:
             if request.method != POST:
