--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -1,4 +1,7 @@
-"""The users' interface: submit, poll, cancel. What a user is told was stored, or read, before."""
+"""The users' interface: submit, poll and cancel jobs.
+
+A state is reported to a user only after it was stored in, or read from, the key-value store.
+"""
 
 import asyncio
 import re
@@ -28,8 +31,8 @@
 
 JOBS_PATH = "/api/jobs"
 REF_PATTERN = re.compile(REF)
-MAX_QUEUED_S = 0.5  # a request that would wait for longer for the store is refused at once
-# Users wait 2 s for a poll and 5 s for a change: they are told before that they get no answer.
+MAX_QUEUED_S = 0.5  # a request that would wait longer for the store is rejected immediately
+# Users wait 2 s for a poll and 5 s for a change; they get a 503 before that.
 ANSWER_TIMEOUT_S = {GET: 1.7, POST: 4.0}
 DEFAULT_TIMEOUT_S = 1.0
 CANCEL_ATTEMPTS = 4
@@ -37,7 +40,7 @@
 
 
 class UserApi:
-    """Answers users: submit, poll, cancel."""
+    """Handles users' requests to submit, poll and cancel jobs."""
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         cancellations: Cancellations,
         on_cancelled: Callable[[str], None],
     ) -> None:
-        """`on_cancelled` is called before a user is told that a job is cancelled."""
+        """`on_cancelled` is called before a user is told that a job was cancelled."""
         self.settings = settings
         self.store = store
         self.membership = membership
@@ -60,10 +63,11 @@
         self._log_limiter = LogRateLimiter()
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request in time: with 503 if the store can't be asked, or does not answer."""
+        """Respond to a request in time: with 503 if the key-value store is overloaded or does not
+        respond."""
         submission: Submission | None = None
         if request.path == JOBS_PATH and request.method == POST:
-            try:  # malformed submissions get 400 also while nothing can be accepted
+            try:  # malformed submissions get 400 even while no job can be accepted
                 submission = msgspec.json.decode(request.body, type=Submission)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
                 return error_response(400, str(fault)[:200])
@@ -79,7 +83,7 @@
             return error_response(503, "no answer in time", RETRY_SOON)
         except ServiceError as fault:
             if self._log_limiter.allow(started):
-                log.info("%s %s answered 503: %s", request.method, request.path, fault)
+                log.info("%s %s failed with status 503: %s", request.method, request.path, fault)
             return error_response(503, "not sure right now", RETRY_SOON)
         finally:
             self.limiter.release(now_us() - started)
@@ -100,7 +104,7 @@
     # Submit
 
     async def submit(self, submission: Submission) -> Response:
-        """Accept a job once it is stored. A repeated submission gets the job's state."""
+        """Accept a job after storing it. A repeated submission gets the state of the job."""
         final = self.jobs.cached_final(submission.ref)
         if final is not None:
             return _status_response(submission.ref, final)
@@ -112,7 +116,8 @@
         return await self._existing_job_or(submission.ref, refused)
 
     def _rejection_of(self, submission: Submission) -> Response | None:
-        """Why a submission can't be accepted, for good or for now; None if it can."""
+        """Return the response that rejects a submission, permanently (422) or for now (503); None
+        if it can be accepted."""
         reason = self.admission.rejection_reason(submission)
         if reason:
             return error_response(422, reason)
@@ -122,8 +127,8 @@
         return None
 
     async def _try_to_store(self, submission: Submission) -> Response | None:
-        """Store a submission; None once it is stored, else the answer for a job that is not known
-        already. Raises ServiceError when it is not sure what happened."""
+        """Store a submission. Returns None once it is stored, else the response to send if the job
+        was not accepted earlier. Raises ServiceError if the outcome is not known."""
         try:
             await self._store(submission)
         except TransactionTooLarge as fault:
@@ -142,28 +147,29 @@
             Precondition(OVER + ref, 0),
         ]
         if submission.shape == SERVICE:
-            # A member that can't read the record, and joins in this very moment, makes this fail.
+            # The transaction fails if a member that can't read the record joins at the same time.
             others = [name for name in self.membership.names if name != self.membership.name]
             preconditions += versions.member_preconditions(self.membership.cluster, others)
         record = StoredJob.of(submission, wall_us())
         await self.store.compare_and_swap(preconditions, [Put(OPEN + ref, record)])
 
     async def _existing_job_or(self, ref: str, otherwise: Response) -> Response:
-        """The state of a job that was accepted before, whatever has changed since."""
+        """Respond with the state of a job that was accepted earlier, or with `otherwise` if there
+        is no such job."""
         known = await self.jobs.read(ref)
         return otherwise if known is None else _status_response(ref, known)
 
     # Poll and cancel
 
     async def poll(self, ref: str) -> Response:
-        """The state of a job; 404 if it was never accepted."""
+        """Respond with the state of a job, or 404 if it was never accepted."""
         final = self.jobs.cached_final(ref)
         if final is not None:
             return _status_response(ref, final)
         return await self._existing_job_or(ref, error_response(404, "no such job"))
 
     async def cancel(self, ref: str) -> Response:
-        """Cancel a job that is open; the final state of one that is over."""
+        """Cancel an open job; if the job has ended, respond with its final state."""
         for _ in range(CANCEL_ATTEMPTS):
             final = self.jobs.cached_final(ref)
             if final is not None:
@@ -184,8 +190,8 @@
         )
 
     async def _store_cancellation(self, ref: str, rows: list[Row]) -> None:
-        """Move an open job to over, with as many of its rows as one transaction takes. Does nothing
-        if the job has changed meanwhile."""
+        """Store the final state of an open job, and delete as many of its rows as fit into the same
+        transaction. Does nothing if the job has changed in the meantime."""
         done = sum(msgspec.json.decode(row.value, type=Progress).count for row in rows[1:])
         final = FinalState(CANCELLED, done)
         drops = [Drop(row.key) for row in rows]
@@ -212,5 +218,5 @@
 
 
 def _names_job(conflict: PreconditionFailed, ref: str) -> bool:
-    """Is it the job's own rows that have changed, rather than our lease?"""
+    """Return whether one of the job's own rows changed, rather than this controller's lease."""
     return any(key.endswith("/" + ref) for key in conflict.failed)
