--- a/basaltlead/operators/__init__.py
+++ b/basaltlead/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' commands and the client behind them."""
+"""The operators' commands and their client."""
