--- a/basaltlead/operators/arguments.py
+++ b/basaltlead/operators/arguments.py
@@ -1,6 +1,6 @@
-"""The arguments of the operators' commands.
+"""The command-line arguments of the operators' commands.
 
-Apart from what runs the commands: each start of a controller parses a command line too.
+Separate from the code that runs the commands, since every start of a controller imports this too.
 """
 
 import argparse
@@ -14,9 +14,9 @@
     AUDIT = "audit"
 
 
-# argparse has no public name for the type of what `add_subparsers` returns.
+# argparse has no public name for the return type of `add_subparsers`.
 def add_to(verbs: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """Add the commands to the command line."""
+    """Add the operators' commands to the parser of the command line."""
     duties = verbs.add_parser(Verb.DUTIES.value, help="who holds which duty, and what is open")
     _add_common(duties)
     duties.add_argument("--json", action="store_true", help="as JSON")
