--- a/basaltlead/operators/audit_export.py
+++ b/basaltlead/operators/audit_export.py
@@ -1,6 +1,6 @@
-"""The history of duties as a Parquet file.
+"""Exports the history of duties to a Parquet file.
 
-It is written duty by duty, and the history of a duty is a ring of bounded size: so is the memory.
+Memory is bounded: the file is written duty by duty, and the history of each duty is a ring buffer.
 """
 
 import os
@@ -19,13 +19,13 @@
 SCHEMA = pa.schema(
     [
         ("duty", pa.string()),
-        ("sequence", pa.int64()),  # of an event, counted from its duty's first one
+        ("sequence", pa.int64()),  # position among all events of the duty, from 0
         ("at", pa.timestamp("us", tz="UTC")),
         ("token", pa.int64()),
         ("holder", pa.string()),
         ("action", pa.string()),
         ("about", pa.string()),
-        ("since", pa.timestamp("us", tz="UTC")),  # of the intent; null: there is none
+        ("since", pa.timestamp("us", tz="UTC")),  # of the intent; null if there is none
         ("count", pa.int64()),
         ("names", pa.list_(pa.string())),
     ]
@@ -33,16 +33,18 @@
 
 
 class ExportSummary(Struct):
-    """How many events were written, and how many of the first ones are no longer kept, by duty."""
+    """The number of events written, and by duty the number of the earliest events that were
+    overwritten in the ring buffer."""
 
     events: int
     overwritten: dict[str, int]
 
 
 def export(pages: Iterable[HistoryResponse], out: str) -> ExportSummary:
-    """Write pages, which come duty by duty, to a file. Raises OSError, and what `pages` raises.
+    """Write pages, which must be grouped by duty, to a file.
 
-    The file is written under another name and renamed, so it is complete or not there.
+    The file is written under a temporary name and then renamed, so it is complete or does not
+    exist. Raises OSError, and any exception that `pages` raises.
     """
     summary = ExportSummary(0, {})
     partial = Path(f"{out}.partial")
@@ -64,7 +66,7 @@
 
 
 def _rings(pages: Iterable[HistoryResponse]) -> Iterator[tuple[str, list[HistoryPage]]]:
-    """All pages of each duty, in the order of their keys in the ring."""
+    """Yield each duty with all of its pages, in the order of their keys in the ring buffer."""
     for duty, answers in groupby(pages, key=lambda answer: answer.key.split("/")[1]):
         yield duty, [msgspec.json.decode(answer.page, type=HistoryPage) for answer in answers]
 
