--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -1,4 +1,4 @@
-"""Asks a controller operators' questions, over the connections that controllers have among them."""
+"""Client for operators' requests, over the protocol that controllers use between them."""
 
 import asyncio
 from collections.abc import Iterator
@@ -20,20 +20,20 @@
     OperatorResponse,
 )
 
-TIMEOUT_S = 5.0  # for connecting and the answer together
+TIMEOUT_S = 5.0  # for connecting and the response together
 
 
 class Unreachable(Exception):
-    """The controller can't be reached, or gives no answer in time."""
+    """The controller can't be reached, or does not respond in time."""
 
 
 class StateUnavailable(Exception):
-    """The controller answers that it does not know, since the store does not answer it."""
+    """The controller does not know the requested state, since the store does not respond to it."""
 
 
 def address_of(settings: Settings, controller: str | None) -> str:
-    """Where a controller listens for other controllers: the one whose settings these are, or the
-    named one. Raises SettingsError if the settings know no such controller."""
+    """Return the internal address of the named controller, by default the one that the settings
+    belong to. Raises SettingsError if the settings name no such controller."""
     if controller is None or controller == settings.member:
         return settings.internal_addr
     for peer in settings.known:
@@ -58,7 +58,7 @@
 
 
 async def _ask(address: str, question: OperatorRequest) -> OperatorResponse:
-    """Send a question; its answer. Raises Unreachable, OSError and TimeoutError."""
+    """Send a request and return its response. Raises Unreachable, OSError and TimeoutError."""
     loop = asyncio.get_running_loop()
     answered: asyncio.Future[OperatorResponse] = loop.create_future()
     host, port = address.rsplit(":", 1)
@@ -78,7 +78,8 @@
 
 
 def ask(address: str, question: OperatorRequest) -> OperatorResponse:
-    """The answer to a question. Raises Unreachable or NotKnown, with a text for the operator."""
+    """Send a request and return its response. Raises Unreachable or StateUnavailable, with a text
+    for the operator."""
     try:
         answer = asyncio.run(_ask(address, question))
     except TimeoutError:
@@ -93,15 +94,16 @@
 
 
 def duties(address: str) -> DutiesResponse:
-    """Who holds which duty, and which intents are open. Raises Unreachable or NotKnown."""
+    """Request the holders of the duties and the open intents. Raises Unreachable or
+    StateUnavailable."""
     answer = ask(address, DutiesRequest())
     assert isinstance(answer, DutiesResponse)
     return answer
 
 
 def history(address: str) -> Iterator[HistoryResponse]:
-    """The pages of the recorded history, one at a time, in the order of their keys. Raises
-    Unreachable or NotKnown."""
+    """Request the pages of the recorded history one by one, in the order of their keys. Raises
+    Unreachable or StateUnavailable."""
     after = ""
     while True:
         answer = ask(address, HistoryRequest(after))
