--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -28,7 +28,8 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run the command of parsed arguments; its exit status. Errors are printed, not raised."""
+    """Run the command given by the parsed arguments, and return its exit status. Errors are
+    printed, not raised."""
     try:
         address = client.address_of(load(options.config), options.controller)
         if options.verb == Verb.DUTIES:
@@ -77,7 +78,7 @@
 
 def _export_history(address: str, out: str) -> ExitStatus:
     try:
-        # Needs pyarrow, which only operators install who export the history.
+        # Requires pyarrow, an optional dependency for this command only.
         from basaltlead.operators.audit_export import export
     except ImportError as fault:
         return _fail(f"{fault}: install basaltlead[operators]", ExitStatus.LIBRARY_MISSING)
