--- a/basaltlead/errors.py
+++ b/basaltlead/errors.py
@@ -1,7 +1,7 @@
-"""The errors that a call to another service may raise, and the one of unusable settings.
+"""Errors of calls to other services, and of invalid settings.
 
-Those of calls derive from `ServiceError`, which callers catch where the difference doesn't matter
-to them. `RequestFailed.sent` tells whether the request may have been executed; the others say that
+Errors of calls derive from `ServiceError`, which callers catch if the difference doesn't matter to
+them. `RequestFailed.sent` tells whether the request may have been executed; the others mean that
 it was not.
 """
 
@@ -13,7 +13,7 @@
 
 
 class RequestFailed(ServiceError):
-    """There was no usable answer. `sent` tells whether the request may have been executed."""
+    """There was no usable response. `sent` tells whether the request may have been executed."""
 
     def __init__(self, text: str, sent: bool) -> None:
         super().__init__(text)
@@ -21,12 +21,12 @@
 
 
 class Unavailable(ServiceError):
-    """The other side refused the request for now (429, 503): it was not executed, and may be sent
-    again later."""
+    """The service rejected the request temporarily (429, 503): it was not executed, and may be
+    retried later."""
 
 
 class PreconditionFailed(ServiceError):
-    """A precondition of a transaction did not hold, so nothing was changed; `failed` names the keys
+    """A precondition of a transaction did not hold, so nothing was changed; `failed` lists the keys
     whose versions differ."""
 
     def __init__(self, failed: Sequence[str]) -> None:
@@ -35,28 +35,29 @@
 
 
 class SessionLeaseExpired(ServiceError):
-    """The session lease has expired, and the keys attached to it are gone."""
+    """The session lease has expired, and the keys attached to it were deleted."""
 
 
 class SettingsError(Exception):
-    """Settings, or a file that they name, can't be used; the text names file and field."""
+    """The settings, or a file that they refer to, are invalid; the text names file and field."""
 
 
 class RevisionCompacted(ServiceError):
-    """The changes that a watch asked for are no longer kept: the keys must be listed again."""
+    """The store no longer retains the changes that a watch requested: the keys must be listed
+    again."""
 
 
 class TransactionTooLarge(RequestFailed):
-    """A transaction that the key-value store would refuse for its size, so it was not sent: the
-    same transaction can never succeed, and must not be tried again."""
+    """A transaction exceeds a limit of the key-value store, so it was not sent: it can never
+    succeed, and must not be retried."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"too large: {text}", sent=False)
 
 
 class NoCapacity(ServiceError):
-    """The cloud has no machine of this type and zone, spot or on demand as requested."""
+    """The cloud has no machine available of this type and zone, spot or on demand as requested."""
 
 
 class RequestRejected(RequestFailed):
-    """The cloud calls the request wrong: the same one will be rejected again."""
+    """The cloud rejected the request as invalid: the same request would be rejected again."""
