--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -1,4 +1,4 @@
-"""A controller process: builds its parts, connects them, and runs their loops until killed."""
+"""The controller process: creates and connects its components, and runs their loops."""
 
 import asyncio
 import signal
@@ -41,10 +41,10 @@
 from basaltlead.storage.records import ASSIGNMENT, MACHINE, OPEN, SCALE_OUT
 from basaltlead.storage.result_rows import ResultLayout
 
-BID_BYTES = 40  # what a bid takes of a stored record at most
-RECORD_BYTES = 64  # and the rest of the record
-# For our own calls to key-value store, cloud and peers, the least that go to workers, and what the
-# process itself has open.
+BID_BYTES = 40  # maximum size of a bid in a team's stored record
+RECORD_BYTES = 64  # maximum size of the rest of the record
+# For calls to the key-value store, the cloud and peers, for the files that the process has open,
+# and for the minimum of connections to workers.
 RESERVED_SOCKETS = 80 + MIN_WORKER_SOCKETS
 MIN_INCOMING_CONNECTIONS = 50
 SUPERVISION_INTERVAL_S = 0.3
@@ -115,11 +115,11 @@
 
     @property
     def shard_leaders(self) -> dict[int, ShardLeader]:
-        """The leaders of the shards that this controller holds, by number."""
+        """The leaders of the shards that this controller holds, by shard number."""
         return self.registry.leaders
 
     async def run(self) -> None:
-        """Listen, and run all loops, until the process is killed."""
+        """Start listening, and run all loops until the process is killed."""
         max_connections = max(
             MIN_INCOMING_CONNECTIONS, self.settings.facts.quota.fd_limit - RESERVED_SOCKETS
         )
@@ -131,7 +131,7 @@
         )
         await self.server.start(self.settings.front)
         await self.peers.serve()
-        log.info("%s listens on %s", self.settings.member, self.settings.front)
+        log.info("%s is listening on %s", self.settings.member, self.settings.front)
         spawn = self.background.spawn_restarting
         spawn(self.membership.session.keep, "session lease")
         spawn(self.membership.watch.follow, "cluster watch")
@@ -146,7 +146,7 @@
         await asyncio.Event().wait()
 
     def all_tasks(self) -> list[asyncio.Task[None]]:
-        """All tasks of this process: tests cancel them to simulate a crash."""
+        """Return all tasks of this process; tests cancel them to simulate a crash."""
         groups = [self.background]
         groups += [leader.context.tasks for leader in self.registry.leaders.values()]
         groups += [holder.background for holder in self.duties.holders.values()]
@@ -159,7 +159,8 @@
         self.registry.apply_grants()
 
     async def _supervise(self) -> None:
-        """Release what another controller would serve better, or should share."""
+        """Release grants after a step-down, and hand over those that another controller should
+        hold."""
         while True:
             await asyncio.sleep(SUPERVISION_INTERVAL_S)
             await self.registry.release_stepped_down()
@@ -181,7 +182,7 @@
             new_shard(settings, lease),
             self.result_layout(),
             self.machine_types,
-            BackgroundTasks(lease.step_down),  # a fresh grant starts from what is stored
+            BackgroundTasks(lease.step_down),  # the next grant starts from the stored state
             WorkerClient(worker_sockets(settings), self._worker_sockets_left),
         )
         market = new_market(settings)
@@ -191,11 +192,11 @@
         return leader
 
     def result_layout(self) -> ResultLayout:
-        """In which rows this controller stores results."""
+        """Return the layout of the rows in which this controller stores results."""
         return ResultLayout(self.settings.store_limits.value_bytes)
 
     def _worker_sockets_left(self) -> int:
-        """How many sockets may go to the workers of one shard now: they share one limit with
+        """Return how many sockets the workers of one shard may use now; they share a limit with
         incoming connections."""
         if self.server is None:
             return MIN_WORKER_SOCKETS
@@ -205,20 +206,22 @@
     # Users
 
     def _cancellation_confirmed(self, ref: str) -> None:
-        """Our own user interface is about to tell a user that a job is cancelled."""
+        """Handle a cancellation that this controller is about to confirm to a user."""
         self.registry.close_job(ref)
         self.peers.announce_cancellation(ref)
 
     def _is_healthy(self) -> bool:
-        """Can this node take requests? While the key-value store is away for all, a controller that
-        calls itself unhealthy helps nobody, and the load balancer would be slow to trust it
-        again."""
+        """Return whether this node can take requests.
+
+        While no controller can reach the key-value store, all stay healthy: another node would
+        serve no better, and the load balancer would be slow to use this one again.
+        """
         serves = self.membership.holds_valid_lease or self.peers.all_peers_partitioned()
         return serves and bool(self.machine_types)
 
 
 def new_market(settings: Settings) -> Market:
-    """The market of one shard, by the operators' settings."""
+    """Create the market of one shard from the operators' settings."""
     operator, facts = settings.operator, settings.facts
     terms = Terms(
         int(operator.round_s * US),
@@ -233,7 +236,7 @@
 
 
 def quiet_times_of(settings: Settings) -> QuietTimes | None:
-    """The operators' calendar, if there is one: only then its libraries are imported."""
+    """Return the operators' calendar, or None; its libraries are imported only if there is one."""
     if settings.operator.quiet is None:
         return None
     from basaltlead.scaling.quiet_calendar import QuietCalendar
@@ -242,18 +245,18 @@
 
 
 def max_stored_bids(value_bytes: int) -> int:
-    """How many bids fit into a team's stored record."""
+    """Return how many bids fit into a team's stored record."""
     return max(1, (value_bytes - RECORD_BYTES) // BID_BYTES)
 
 
 def serve(settings: Settings) -> int:
-    """Run a controller until it is killed; the exit status."""
+    """Run a controller until it is killed, and return the exit status."""
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     try:
         asyncio.run(Controller(settings).run())
     except KeyboardInterrupt:
         return 130
     except OSError as fault:
-        log.error("can't listen on %s: %s", settings.front, fault)
+        log.error("failed to listen on %s: %s", settings.front, fault)
         return 1
     return 0
