--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -1,6 +1,6 @@
 """The command line: `basaltlead serve`, and the operators' commands.
 
-Modules are imported where a command needs them: controllers pay for every import at their start.
+Each command imports only the modules that it needs, to keep the start of a controller short.
 """
 
 import argparse
@@ -11,11 +11,11 @@
 from basaltlead.operators import arguments
 
 SERVE = "serve"
-BAD_SETTINGS = 2  # the exit status, which is also that of a wrong command line
+BAD_SETTINGS = 2  # exit status; argparse uses the same for an invalid command line
 
 
 def parser() -> argparse.ArgumentParser:
-    """The parser of the command line: `serve` and the operators' commands."""
+    """Create the parser of the command line: `serve` and the operators' commands."""
     top = argparse.ArgumentParser(prog="basaltlead", description="A cluster scheduler.")
     top.add_argument("--version", action="version", version=f"basaltlead {__version__}")
     verbs = top.add_subparsers(dest="verb", required=True, metavar="VERB")
@@ -27,7 +27,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command line; the exit status."""
+    """Run a command, and return its exit status."""
     options = parser().parse_args(argv)
     if options.verb == SERVE:
         return _serve(options.config, options.operator)
@@ -37,7 +37,7 @@
 
 
 def _serve(config: str, operator: str | None) -> int:
-    """Run a controller until it is killed; the exit status."""
+    """Run a controller until it is killed, and return the exit status."""
     from basaltlead.config.loader import load
     from basaltlead.errors import SettingsError
 
@@ -46,7 +46,7 @@
     except SettingsError as fault:
         print(f"basaltlead: {fault}", file=sys.stderr)
         return BAD_SETTINGS
-    # What imports allocate stays: passes of the garbage collector would only prolong the start.
+    # Objects allocated by imports are never freed, so garbage collection would only slow the start.
     gc.disable()
     from basaltlead import controller
     from basaltlead.runtime import logs
