--- a/basaltlead/__main__.py
+++ b/basaltlead/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m basaltlead`."""
+"""Entry point of `python3 -m basaltlead`."""
 
 import sys
 
