--- a/run.py
+++ b/run.py
@@ -1,32 +1,32 @@
-"""Starts basaltlead from a checkout, with its libraries and byte-code under target/.
+"""Runs basaltlead from a checkout, with its libraries and bytecode under target/.
 
-`run.py --precompile` is the build step; any other arguments are those of the command line.
+`run.py --precompile` is the build step; any other arguments are passed to the command line.
 """
 
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent
-# Controllers may write only to /tmp, and pay for every millisecond of their start: the build step
-# compiles everything once, and the service only reads it.
+# The build step compiles all modules once, and the service only reads the bytecode: controllers may
+# write only to /tmp, and their start must be short.
 sys.pycache_prefix = str(ROOT / "target" / "pycache")
 sys.path[0:0] = [str(ROOT), str(ROOT / "target" / "deps")]
 
 
 def precompile() -> int:
-    """Write the byte-code of the package, its libraries, and the part of the standard library that
-    a controller uses; the exit status."""
+    """Write the bytecode of the package, its libraries, and the part of the standard library that a
+    controller uses. Returns the exit status."""
     import compileall
     from importlib import import_module
 
-    # The build's environment may forbid byte-code. Each start would then compile that part of the
-    # standard library anew, which took half a second of a controller's third of a core.
+    # The build environment may disable writing bytecode. Every start would then compile that part
+    # of the standard library again: 0.5 s with a controller's third of a core.
     sys.dont_write_bytecode = False
     done = True
     for folder in (ROOT / "basaltlead", ROOT / "target" / "deps"):
         done = compileall.compile_dir(folder, quiet=2) and done
-    # An import writes the byte-code of a module, and of all that it imports, under the prefix:
-    # these are what `serve` imports.
+    # Importing a module writes the bytecode of it and of all its imports under the prefix; `serve`
+    # imports these modules.
     for module in ("basaltlead.cli", "basaltlead.config.loader", "basaltlead.controller"):
         import_module(module)
     return 0 if done else 1
