--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -1,4 +1,7 @@
-"""HTTP client: a pool of connections to one address."""
+"""HTTP client: a pool of connections to one address.
+
+The texts of its errors also reach operators through the command `duties`, and must not change.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -65,7 +68,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._fail("response is not valid HTTP")
+            self._fail("not HTTP")
             self.close()
 
     # Called by httptools
@@ -74,7 +77,7 @@
         """Collect a part of the response body."""
         self.size += len(body)
         if self.size > self.pool.max_response_bytes:
-            self._fail("response too large")
+            self._fail("answer too large")
             self.close()
         else:
             self.parts.append(body)
@@ -146,7 +149,7 @@
         except TimeoutError:
             if connection is not None:
                 connection.close()
-            raise RequestFailed("no response in time", sent=sent) from None
+            raise RequestFailed("no answer in time", sent=sent) from None
         except OSError as fault:
             raise RequestFailed(f"no connection: {fault}", sent=False) from None
         except BaseException:  # includes the cancellation of the caller
