--- a/basaltlead/clients/codec.py
+++ b/basaltlead/clients/codec.py
@@ -18,7 +18,8 @@
     try:
         return msgspec.json.decode(body, type=message_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise RequestFailed(f"malformed response: {fault}", sent=True) from None
+        # The command `duties` prints this text, so the wording must not change.
+        raise RequestFailed(f"malformed answer: {fault}", sent=True) from None
 
 
 def encode(value: Any) -> bytes:
