--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -118,7 +118,8 @@
             path += f"&Since={quote(since, safe='/')}"
         status, body = await self._call("GET", path, timeout_us=PAGE_TIMEOUT_US)
         if status != STATUS_OK:
-            raise RequestFailed(f"list failed with status {status}", sent=True)
+            # The command `duties` prints this text, so the wording must not change.
+            raise RequestFailed(f"list: {status}", sent=True)
         return decode(body, Rows)
 
     async def rows(self, prefix: str) -> RowList:
