--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -21,7 +21,7 @@
     def __init__(self, pool: "ConnectionPool") -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
-        self.reply: asyncio.Future[ClientResponse] | None = None
+        self.pending_response: asyncio.Future[ClientResponse] | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
         self.size = 0
@@ -36,9 +36,9 @@
             raise RequestFailed("connection lost", sent=False)
         if not may_send():
             raise RequestFailed("the lease has ended", sent=False)
-        self.reply = asyncio.get_running_loop().create_future()
+        self.pending_response = asyncio.get_running_loop().create_future()
         self.transport.write(request)
-        return self.reply
+        return self.pending_response
 
     def close(self) -> None:
         """Close the connection immediately; a pending request fails."""
@@ -47,8 +47,8 @@
             self.transport = None
 
     def _fail(self, text: str) -> None:
-        if self.reply is not None and not self.reply.done():
-            self.reply.set_exception(RequestFailed(text, sent=True))
+        if self.pending_response is not None and not self.pending_response.done():
+            self.pending_response.set_exception(RequestFailed(text, sent=True))
 
     # Called by asyncio
 
@@ -89,8 +89,8 @@
         self.size = 0
         if not self.parser.should_keep_alive():
             self.close()
-        if self.reply is not None and not self.reply.done():
-            self.reply.set_result(answer)
+        if self.pending_response is not None and not self.pending_response.done():
+            self.pending_response.set_result(answer)
 
 
 class ConnectionPool:
@@ -140,9 +140,9 @@
         try:
             async with asyncio.timeout(timeout_us / 1e6), self.slots:
                 connection = self.idle.pop() if self.idle else await self._connect()
-                reply = connection.send(request, may_send)
+                pending_response = connection.send(request, may_send)
                 sent = True
-                answer = await reply
+                answer = await pending_response
                 if connection.transport is not None:
                     self.idle.append(connection)
                 return answer
