--- a/basaltlead/api/routing.py
+++ b/basaltlead/api/routing.py
@@ -45,9 +45,9 @@
         number = self.assigner.shard_of(heartbeat.machine) or 0
         leader = self.registry.leaders.get(number)
         if leader is not None:
-            answer = leader.heartbeat(heartbeat)
-            if answer is not None:
-                return answer
+            response = leader.heartbeat(heartbeat)
+            if response is not None:
+                return response
         other = self.membership.shard_leader(number)
         if other is None or other == self.membership.name:
             return error_response(503, "no owner known")
--- a/basaltlead/clients/cloud.py
+++ b/basaltlead/clients/cloud.py
@@ -76,20 +76,20 @@
     ) -> bytes:
         await self.rate_limiter.take()
         try:
-            status, answer = await self.pool.request(method, path, body, TIMEOUT_US, may_send)
+            status, response = await self.pool.request(method, path, body, TIMEOUT_US, may_send)
         except RequestFailed:
             self.unanswered_since = self.unanswered_since or now_us()
             raise
         self.unanswered_since = 0
-        if status == STATUS_UNAVAILABLE and b"no capacity" in answer:
+        if status == STATUS_UNAVAILABLE and b"no capacity" in response:
             raise NoCapacity
         if status in STATUSES_UNAVAILABLE:
             raise Unavailable(f"cloud: {status}")
         if status in STATUSES_REJECTED:
-            raise RequestRejected(f"cloud: {status} {answer[:200]!r}", sent=True)
+            raise RequestRejected(f"cloud: {status} {response[:200]!r}", sent=True)
         if status != STATUS_OK:
-            raise RequestFailed(f"cloud: {status} {answer[:200]!r}", sent=True)
-        return answer
+            raise RequestFailed(f"cloud: {status} {response[:200]!r}", sent=True)
+        return response
 
     async def types(self) -> list[MachineTypeInfo]:
         """Return all machine types with their current prices."""
@@ -101,8 +101,8 @@
         Idempotent: the same request, sent again, returns the same machines. `may_send` is called
         immediately before the request is sent. Raises `NoCapacity` if no such machine is available.
         """
-        answer = await self._call("POST", "/machines", encode(request), may_send)
-        return decode(answer, MachineNames).machines
+        response = await self._call("POST", "/machines", encode(request), may_send)
+        return decode(response, MachineNames).machines
 
     async def delete(self, names: list[str], may_send: Callable[[], bool]) -> None:
         """Return machines to the cloud. `may_send` is called immediately before the request is
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -84,13 +84,13 @@
 
     def on_message_complete(self) -> None:
         """Complete the pending request with the response."""
-        answer = ClientResponse(self.parser.get_status_code(), b"".join(self.parts))
+        response = ClientResponse(self.parser.get_status_code(), b"".join(self.parts))
         self.parts = []
         self.size = 0
         if not self.parser.should_keep_alive():
             self.close()
         if self.pending_response is not None and not self.pending_response.done():
-            self.pending_response.set_result(answer)
+            self.pending_response.set_result(response)
 
 
 class ConnectionPool:
@@ -142,10 +142,10 @@
                 connection = self.idle.pop() if self.idle else await self._connect()
                 pending_response = connection.send(request, may_send)
                 sent = True
-                answer = await pending_response
+                response = await pending_response
                 if connection.transport is not None:
                     self.idle.append(connection)
-                return answer
+                return response
         except TimeoutError:
             if connection is not None:
                 connection.close()
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -81,24 +81,24 @@
     """Send a request and return its response. Raises Unreachable or StateUnavailable, with a text
     for the operator."""
     try:
-        answer = asyncio.run(_ask(address, question))
+        response = asyncio.run(_ask(address, question))
     except TimeoutError:
         raise Unreachable(f"{address}: no answer within {TIMEOUT_S:.0f} s") from None
     except OSError as fault:
         raise Unreachable(f"{address}: {fault.strerror or fault}") from None
     except Unreachable as fault:
         raise Unreachable(f"{address}: {fault}") from None
-    if answer.unknown:
-        raise StateUnavailable(f"{address}: not known: {answer.unknown}")
-    return answer
+    if response.unknown:
+        raise StateUnavailable(f"{address}: not known: {response.unknown}")
+    return response
 
 
 def duties(address: str) -> DutiesResponse:
     """Request the holders of the duties and the open intents. Raises Unreachable or
     StateUnavailable."""
-    answer = ask(address, DutiesRequest())
-    assert isinstance(answer, DutiesResponse)
-    return answer
+    response = ask(address, DutiesRequest())
+    assert isinstance(response, DutiesResponse)
+    return response
 
 
 def history(address: str) -> Iterator[HistoryResponse]:
@@ -106,9 +106,9 @@
     Unreachable or StateUnavailable."""
     after = ""
     while True:
-        answer = ask(address, HistoryRequest(after))
-        assert isinstance(answer, HistoryResponse)
-        if not answer.key:
+        response = ask(address, HistoryRequest(after))
+        assert isinstance(response, HistoryResponse)
+        if not response.key:
             return
-        yield answer
-        after = answer.key
+        yield response
+        after = response.key
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -48,19 +48,19 @@
     return status
 
 
-def _show_duties(answer: DutiesResponse, as_json: bool) -> ExitStatus:
+def _show_duties(response: DutiesResponse, as_json: bool) -> ExitStatus:
     if as_json:
-        print(msgspec.json.encode(answer).decode())
+        print(msgspec.json.encode(response).decode())
         return ExitStatus.OK
-    if not answer.granted:
+    if not response.granted:
         print("duties are not granted on their own: the blocks' owners carry them out")
     print(f"{'duty':10} {'holder':20} {'token':>8} since")
-    for held in answer.duties:
+    for held in response.duties:
         holder = held.holder or "nobody"
         print(f"{held.duty:10} {holder:20} {held.token:>8} {_as_time(held.since)}")
-    print(f"open intents: {answer.open_count}")
+    print(f"open intents: {response.open_count}")
     now = wall_us()
-    for intent in answer.intents:
+    for intent in response.intents:
         print(_as_line(intent, now))
     return ExitStatus.OK
 
--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -96,10 +96,10 @@
         return self._checked(await self.pool.request(method, path, raw, timeout_us))
 
     @staticmethod
-    def _checked(answer: ClientResponse) -> ClientResponse:
-        if answer.status in STATUSES_UNAVAILABLE:
-            raise Unavailable(f"state service: {answer.status}")
-        return answer
+    def _checked(response: ClientResponse) -> ClientResponse:
+        if response.status in STATUSES_UNAVAILABLE:
+            raise Unavailable(f"state service: {response.status}")
+        return response
 
     async def get(self, key: str) -> Row | None:
         """Return the row of a key, or None if the key does not exist."""
