--- a/basaltlead/operators/audit_export.py
+++ b/basaltlead/operators/audit_export.py
@@ -67,8 +67,8 @@
 
 def _rings(pages: Iterable[HistoryResponse]) -> Iterator[tuple[str, list[HistoryPage]]]:
     """Yield each duty with all of its pages, in the order of their keys in the ring buffer."""
-    for duty, responses in groupby(pages, key=lambda answer: answer.key.split("/")[1]):
-        yield duty, [msgspec.json.decode(answer.page, type=HistoryPage) for answer in responses]
+    for duty, responses in groupby(pages, key=lambda response: response.key.split("/")[1]):
+        yield duty, [msgspec.json.decode(response.page, type=HistoryPage) for response in responses]
 
 
 def _batch(duty: str, page: HistoryPage) -> pa.RecordBatch:
