--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -77,7 +77,7 @@
             protocol.close()
 
 
-def ask(address: str, request: OperatorRequest) -> OperatorResponse:
+def send_request(address: str, request: OperatorRequest) -> OperatorResponse:
     """Send a request and return its response. Raises Unreachable or StateUnavailable, with a text
     for the operator."""
     try:
@@ -96,7 +96,7 @@
 def duties(address: str) -> DutiesResponse:
     """Request the holders of the duties and the open intents. Raises Unreachable or
     StateUnavailable."""
-    response = ask(address, DutiesRequest())
+    response = send_request(address, DutiesRequest())
     assert isinstance(response, DutiesResponse)
     return response
 
@@ -106,7 +106,7 @@
     Unreachable or StateUnavailable."""
     after = ""
     while True:
-        response = ask(address, HistoryRequest(after))
+        response = send_request(address, HistoryRequest(after))
         assert isinstance(response, HistoryResponse)
         if not response.key:
             return
