--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -57,7 +57,7 @@
         answered.set_exception(Unreachable("it closed the connection"))
 
 
-async def _ask(address: str, request: OperatorRequest) -> OperatorResponse:
+async def _send_request(address: str, request: OperatorRequest) -> OperatorResponse:
     """Send a request and return its response. Raises Unreachable, OSError and TimeoutError."""
     loop = asyncio.get_running_loop()
     answered: asyncio.Future[OperatorResponse] = loop.create_future()
@@ -81,7 +81,7 @@
     """Send a request and return its response. Raises Unreachable or StateUnavailable, with a text
     for the operator."""
     try:
-        response = asyncio.run(_ask(address, request))
+        response = asyncio.run(_send_request(address, request))
     except TimeoutError:
         raise Unreachable(f"{address}: no answer within {TIMEOUT_S:.0f} s") from None
     except OSError as fault:
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -48,7 +48,7 @@
     await deployment.submit(deployment.job(1, Cores=8.0))
     await asyncio.sleep(15)
     addresses = [f"{deployment.host(name)}:8081" for name in deployment.nodes]
-    answers = [await client._ask(one, DutiesRequest()) for one in addresses]
+    answers = [await client._send_request(one, DutiesRequest()) for one in addresses]
     assert answers[0] == answers[1] == answers[2]
     answer = answers[0]
     assert isinstance(answer, DutiesResponse)
@@ -59,14 +59,14 @@
     }
     assert answer.open_count == len(answer.intents) > 0
     assert all("400" in one.refused for one in answer.intents)
-    pages = [await client._ask(one, HistoryRequest("")) for one in addresses]
+    pages = [await client._send_request(one, HistoryRequest("")) for one in addresses]
     assert pages[0] == pages[1] == pages[2]
     deployment.store.down = True
     for wait_s in (1, 20):  # unanswered at first, then known to be away
         await asyncio.sleep(wait_s)
         for address in addresses:
-            assert (await client._ask(address, DutiesRequest())).unknown
-            assert (await client._ask(address, HistoryRequest(""))).unknown
+            assert (await client._send_request(address, DutiesRequest())).unknown
+            assert (await client._send_request(address, HistoryRequest(""))).unknown
     deployment.store.end_outage()
 
 
@@ -89,7 +89,7 @@
             raise answer
         return answer
 
-    monkeypatch.setattr(client, "_ask", ask)
+    monkeypatch.setattr(client, "_send_request", ask)
     return asked
 
 
