--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -16,10 +16,10 @@
 class ConcurrencyLimiter:
     """A limit on concurrent requests that adapts to response times."""
 
-    def __init__(self, low: int = 4, high: int = 256) -> None:
-        self.low = low
+    def __init__(self, min_limit: int = 4, high: int = 256) -> None:
+        self.min_limit = min_limit
         self.high = high
-        self.limit = float(min(high, max(low, INITIAL_LIMIT)))
+        self.limit = float(min(high, max(min_limit, INITIAL_LIMIT)))
         self.running = 0
         self.best_us = 0.0
         self.mean_us = 0.0
@@ -43,6 +43,6 @@
         self.best_us = took if self.best_us == 0 else min(took, self.best_us * BEST_GROWTH)
         tolerated = max(self.best_us * TOLERATED_FACTOR, TOLERATED_US)
         if self.mean_us > tolerated:
-            self.limit = max(float(self.low), self.limit * DECREASE)
+            self.limit = max(float(self.min_limit), self.limit * DECREASE)
         elif self.running + 1 >= int(self.limit) // 2:
             self.limit = min(float(self.high), self.limit + 1 / self.limit)
