--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -16,10 +16,10 @@
 class ConcurrencyLimiter:
     """A limit on concurrent requests that adapts to response times."""
 
-    def __init__(self, min_limit: int = 4, high: int = 256) -> None:
+    def __init__(self, min_limit: int = 4, max_limit: int = 256) -> None:
         self.min_limit = min_limit
-        self.high = high
-        self.limit = float(min(high, max(min_limit, INITIAL_LIMIT)))
+        self.max_limit = max_limit
+        self.limit = float(min(max_limit, max(min_limit, INITIAL_LIMIT)))
         self.running = 0
         self.best_us = 0.0
         self.mean_us = 0.0
@@ -45,4 +45,4 @@
         if self.mean_us > tolerated:
             self.limit = max(float(self.min_limit), self.limit * DECREASE)
         elif self.running + 1 >= int(self.limit) // 2:
-            self.limit = min(float(self.high), self.limit + 1 / self.limit)
+            self.limit = min(float(self.max_limit), self.limit + 1 / self.limit)
