--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -31,10 +31,10 @@
         self.running += 1
         return True
 
-    def release(self, took_us: int) -> None:
-        """Record that a request ended after `took_us`, and adjust the limit."""
+    def release(self, duration_us: int) -> None:
+        """Record that a request ended after `duration_us`, and adjust the limit."""
         self.running -= 1
-        took = float(max(took_us, 1))
+        took = float(max(duration_us, 1))
         if self.mean_us == 0:
             self.mean_us = took
         else:
