--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -34,13 +34,13 @@
     def release(self, duration_us: int) -> None:
         """Record that a request ended after `duration_us`, and adjust the limit."""
         self.running -= 1
-        took = float(max(duration_us, 1))
+        duration = float(max(duration_us, 1))
         if self.mean_us == 0:
-            self.mean_us = took
+            self.mean_us = duration
         else:
-            self.mean_us = self.mean_us * (1 - SMOOTHING) + took * SMOOTHING
+            self.mean_us = self.mean_us * (1 - SMOOTHING) + duration * SMOOTHING
         # The best time grows slowly, so that it adapts if all requests have become slower.
-        self.best_us = took if self.best_us == 0 else min(took, self.best_us * BEST_GROWTH)
+        self.best_us = duration if self.best_us == 0 else min(duration, self.best_us * BEST_GROWTH)
         tolerated = max(self.best_us * TOLERATED_FACTOR, TOLERATED_US)
         if self.mean_us > tolerated:
             self.limit = max(float(self.min_limit), self.limit * DECREASE)
