--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -1,4 +1,4 @@
-"""Stored and sent spellings outlive renames in the code: versions can be mixed in a roll."""
+"""Stored records and sent messages keep their encoding, so that versions can run side by side."""
 
 import msgspec
 import pytest
