--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,7 +1,7 @@
-"""Which package may import which: lower layers know nothing of higher ones; no imports in circles.
+"""Packages import only lower layers, and there are no circular imports.
 
-Counted are imports that run when a module is loaded; an import inside a function is made late on
-purpose (libraries that few need) and says why beside it.
+Only imports that run when a module is loaded are checked. An import inside a function is deliberate
+(of libraries that few deployments need), and a comment beside it gives the reason.
 """
 
 import ast
@@ -12,7 +12,7 @@
 
 PACKAGE = Path(__file__).resolve().parent.parent / "basaltlead"
 
-# From the lowest layer up. A package may import those of lower layers, not its neighbours.
+# From the lowest layer up. A package may import lower layers, but not others of its own layer.
 LAYERS = (
     ("errors", "runtime", "wire"),
     ("core", "net"),
@@ -27,13 +27,13 @@
     ("__main__",),
 )
 LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
-ONLY_ERRORS = {"core", "errors"}  # all that decisions may know of
-# Decisions, and what takes no part in messages: names of the protocol stay out of these.
+ONLY_ERRORS = {"core", "errors"}  # the only packages that core may import
+# Packages that must not depend on the names on the wire.
 WITHOUT_WIRE = {"core", "net", "runtime", "config", "errors"}
 
 
 def _modules() -> dict[str, ast.Module]:
-    """The sources by dotted name within the package."""
+    """Parse all modules, by dotted name within the package."""
     return {
         ".".join(path.relative_to(PACKAGE).with_suffix("").parts): ast.parse(path.read_text())
         for path in sorted(PACKAGE.rglob("*.py"))
@@ -42,7 +42,8 @@
 
 
 def _statements(body: list[ast.stmt]) -> Iterator[ast.stmt]:
-    """What runs when a module is loaded: not the bodies of functions, nor for type checkers."""
+    """Yield the statements that run when a module is loaded: neither the bodies of functions nor
+    blocks for type checkers."""
     for node in body:
         yield node
         if isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test):
@@ -56,7 +57,7 @@
 
 
 def _imports(module: str) -> set[str]:
-    """The modules of the package that a module imports when it is loaded."""
+    """Return the modules of the package that a module imports when it is loaded."""
     found: set[str] = set()
     for node in _statements(MODULES[module].body):
         if isinstance(node, ast.ImportFrom) and (node.module or "").split(".")[0] == "basaltlead":
