--- a/basaltlead/net/netstring.py
+++ b/basaltlead/net/netstring.py
@@ -83,8 +83,8 @@
             self.on_frame(self, body)
 
     def send(self, body: bytes) -> bool:
-        """Send a frame. Returns False if the connection is closed, or if the peer does not read
-        and the write buffer has reached its limit."""
+        """Send a frame. Returns False if the connection is closed, or if the peer does not read and
+        the write buffer is over its limit, which bounds memory."""
         if self.transport is None or self.transport.get_write_buffer_size() > MAX_FRAME_BYTES:
             return False
         self.transport.write(encode_frame(body))
