--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -48,7 +48,7 @@
 # Fractions of the store's rate limits that all controllers together use.
 REQUESTS_SHARE = 0.8
 WRITES_SHARE = 0.85
-# Fraction of that write rate for the controller that leads a shard, if there is only one.
+# Fraction of these writes that is available to a sole shard leader.
 SINGLE_WRITER_SHARE = 0.6
 CALL_TIMEOUT_US = 1_500_000
 PAGE_TIMEOUT_US = 2_500_000
