--- a/basaltlead/runtime/tasks.py
+++ b/basaltlead/runtime/tasks.py
@@ -11,7 +11,7 @@
 
 from basaltlead.runtime.logs import log
 
-LOOP_PREFIX = "loop "  # of the names of tasks whose failure their owner does not survive
+LOOP_PREFIX = "loop "  # begins the names of tasks whose failure ends their owner
 RESTART_PAUSE_S = 0.5  # before a failed loop is restarted
 
 
@@ -36,7 +36,7 @@
         return task
 
     def spawn_restarting(self, loop: Callable[[], Coroutine[Any, Any, None]], name: str) -> None:
-        """Run a loop and restart it if it fails, which is logged, or returns."""
+        """Run a loop, and restart it whenever it returns or fails; failures are logged."""
         self.spawn(self._run_forever(loop, name), name)
 
     @staticmethod
