--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -33,7 +33,7 @@
 REF_PATTERN = re.compile(REF)
 MAX_QUEUED_S = 0.5  # a request that would wait longer for the store is rejected immediately
 # Users wait 2 s for a poll and 5 s for a change; they get a 503 before that.
-ANSWER_TIMEOUT_S = {GET: 1.7, POST: 4.0}
+RESPONSE_TIMEOUT_S = {GET: 1.7, POST: 4.0}
 DEFAULT_TIMEOUT_S = 1.0
 CANCEL_ATTEMPTS = 4
 SERVICE = "service"
@@ -77,7 +77,7 @@
             return error_response(503, "busy", RETRY_SOON)
         started = now_us()
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S.get(request.method, DEFAULT_TIMEOUT_S)):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S.get(request.method, DEFAULT_TIMEOUT_S)):
                 return await (self.submit(submission) if submission else self._route(request))
         except TimeoutError:
             return error_response(503, "no answer in time", RETRY_SOON)
