--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -31,7 +31,7 @@
 
 JOBS_PATH = "/api/jobs"
 REF_PATTERN = re.compile(REF)
-MAX_QUEUED_S = 0.5  # a request that would wait longer for the store is rejected immediately
+MAX_QUEUE_DELAY_S = 0.5  # a request that would wait longer for the store is rejected immediately
 # Users wait 2 s for a poll and 5 s for a change; they get a 503 before that.
 RESPONSE_TIMEOUT_S = {GET: 1.7, POST: 4.0}
 DEFAULT_TIMEOUT_S = 1.0
@@ -71,7 +71,7 @@
                 submission = msgspec.json.decode(request.body, type=Submission)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
                 return error_response(400, str(fault)[:200])
-        if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUED_S:
+        if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUE_DELAY_S:
             return error_response(503, "busy", RETRY_LATER)
         if not self.limiter.acquire():
             return error_response(503, "busy", RETRY_SOON)
