--- a/basaltlead/api/responses.py
+++ b/basaltlead/api/responses.py
@@ -1,18 +1,18 @@
-"""Answers that several parts of the interface give."""
+"""Responses that several parts of the interface share."""
 
 from basaltlead.clients.codec import encode
 from basaltlead.net.http.messages import Response
-from basaltlead.wire.users import JobAnswer, Refusal
+from basaltlead.wire.users import ErrorBody, JobStatusResponse
 
 RETRY_SOON = "Retry-After: 1\r\n"
 RETRY_LATER = "Retry-After: 3\r\n"
 
 
-def refusal(status: int, text: str, headers: str = "") -> Response:
-    """An answer without a result; `text` says why there is none."""
-    return Response(status, encode(Refusal(text)), headers)
+def error_response(status: int, text: str, headers: str = "") -> Response:
+    """Create an error response; `text` is its reason."""
+    return Response(status, encode(ErrorBody(text)), headers)
 
 
-def job_answer(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
-    """An answer with the state of a job."""
-    return Response(status, encode(JobAnswer(ref, stage, done, running)))
+def job_response(status: int, ref: str, stage: str, done: int = 0, running: int = 0) -> Response:
+    """Create a response with the state of a job."""
+    return Response(status, encode(JobStatusResponse(ref, stage, done, running)))
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -1,4 +1,7 @@
-"""The users' interface: submit, poll, cancel. What a user is told was stored, or read, before."""
+"""The users' interface: submit, poll and cancel jobs.
+
+A state is reported to a user only after it was stored in, or read from, the key-value store.
+"""
 
 import asyncio
 import re
@@ -8,36 +11,36 @@
 
 from basaltlead.api.admission import AdmissionCheck
 from basaltlead.api.job_reader import CANCELLED, PENDING, JobReader, JobStatus
-from basaltlead.api.responses import RETRY_LATER, RETRY_SOON, job_answer, refusal
+from basaltlead.api.responses import RETRY_LATER, RETRY_SOON, error_response, job_response
 from basaltlead.cluster import versions
 from basaltlead.cluster.membership import Membership
 from basaltlead.config.settings import Settings
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.core.jobs import MachineType
 from basaltlead.errors import PreconditionFailed, ServiceError, TransactionTooLarge
+from basaltlead.net.concurrency_limiter import ConcurrencyLimiter
 from basaltlead.net.http.messages import GET, POST, Request, Response
-from basaltlead.net.limiter import Limiter
 from basaltlead.runtime.clock import now_us, wall_us
 from basaltlead.runtime.logs import LogRateLimiter, log
 from basaltlead.shard.leader import team_quotas
 from basaltlead.storage.client import KeyValueStore
-from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, Final, StoredJob
+from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, FinalState, StoredJob
 from basaltlead.storage.result_rows import Progress
 from basaltlead.wire.store import Drop, Precondition, Put, Row
 from basaltlead.wire.users import REF, Submission
 
 JOBS_PATH = "/api/jobs"
-KNOWN_REF = re.compile(REF)
-MAX_QUEUED_S = 0.5  # a request that would wait for longer for the store is refused at once
-# Users wait 2 s for a poll and 5 s for a change: they are told before that they get no answer.
-ANSWER_TIMEOUT_S = {GET: 1.7, POST: 4.0}
+REF_PATTERN = re.compile(REF)
+MAX_QUEUE_DELAY_S = 0.5  # a request that would wait longer for the store is rejected immediately
+# Users wait 2 s for a poll and 5 s for a change; they get a 503 before that.
+RESPONSE_TIMEOUT_S = {GET: 1.7, POST: 4.0}
 DEFAULT_TIMEOUT_S = 1.0
 CANCEL_ATTEMPTS = 4
 SERVICE = "service"
 
 
 class UserApi:
-    """Answers users: submit, poll, cancel."""
+    """Handles users' requests to submit, poll and cancel jobs."""
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         cancellations: Cancellations,
         on_cancelled: Callable[[str], None],
     ) -> None:
-        """`on_cancelled` is called before a user is told that a job is cancelled."""
+        """`on_cancelled` is called before a user is told that a job was cancelled."""
         self.settings = settings
         self.store = store
         self.membership = membership
@@ -56,82 +59,84 @@
         self.teams = team_quotas(settings)
         self.admission = AdmissionCheck(self.teams, machine_types)
         self.jobs = JobReader(settings, store, membership, cancellations, on_cancelled)
-        self.limiter = Limiter()
+        self.limiter = ConcurrencyLimiter()
         self._log_limiter = LogRateLimiter()
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request in time: with 503 if the store can't be asked, or does not answer."""
+        """Respond to a request in time: with 503 if the key-value store is overloaded or does not
+        respond."""
         submission: Submission | None = None
         if request.path == JOBS_PATH and request.method == POST:
-            try:  # malformed submissions get 400 also while nothing can be accepted
+            try:  # malformed submissions get 400 even while no job can be accepted
                 submission = msgspec.json.decode(request.body, type=Submission)
             except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-                return refusal(400, str(fault)[:200])
-        if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUED_S:
-            return refusal(503, "busy", RETRY_LATER)
-        if not self.limiter.enter():
-            return refusal(503, "busy", RETRY_SOON)
+                return error_response(400, str(fault)[:200])
+        if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUE_DELAY_S:
+            return error_response(503, "busy", RETRY_LATER)
+        if not self.limiter.acquire():
+            return error_response(503, "busy", RETRY_SOON)
         started = now_us()
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S.get(request.method, DEFAULT_TIMEOUT_S)):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S.get(request.method, DEFAULT_TIMEOUT_S)):
                 return await (self.submit(submission) if submission else self._route(request))
         except TimeoutError:
-            return refusal(503, "no answer in time", RETRY_SOON)
+            return error_response(503, "no answer in time", RETRY_SOON)
         except ServiceError as fault:
-            if self._log_limiter.ok(started):
-                log.info("%s %s answered 503: %s", request.method, request.path, fault)
-            return refusal(503, "not sure right now", RETRY_SOON)
+            if self._log_limiter.allow(started):
+                log.info("%s %s failed with status 503: %s", request.method, request.path, fault)
+            return error_response(503, "not sure right now", RETRY_SOON)
         finally:
-            self.limiter.leave(now_us() - started)
+            self.limiter.release(now_us() - started)
 
     async def _route(self, request: Request) -> Response:
         rest = request.path.removeprefix(JOBS_PATH)
         if rest == "":
-            return refusal(405, "use POST")
+            return error_response(405, "use POST")
         ref, _, verb = rest[1:].partition("/")
         if verb not in ("", "cancel"):
-            return refusal(404, "no such path")
+            return error_response(404, "no such path")
         if request.method != (POST if verb else GET):
-            return refusal(405, "use POST" if verb else "use GET")
-        if not KNOWN_REF.match(ref):
-            return refusal(404, "no such job")
+            return error_response(405, "use POST" if verb else "use GET")
+        if not REF_PATTERN.match(ref):
+            return error_response(404, "no such job")
         return await (self.cancel(ref) if verb else self.poll(ref))
 
     # Submit
 
     async def submit(self, submission: Submission) -> Response:
-        """Accept a job once it is stored. A repeated submission gets the job's state."""
-        final = self.jobs.known_final(submission.ref)
+        """Accept a job after storing it. A repeated submission gets the state of the job."""
+        final = self.jobs.cached_final(submission.ref)
         if final is not None:
-            return _status_answer(submission.ref, final)
+            return _status_response(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
-            return refusal(503, "starting", RETRY_SOON)
-        refused = self._refusal_of(submission) or await self._try_to_store(submission)
+            return error_response(503, "starting", RETRY_SOON)
+        refused = self._rejection_of(submission) or await self._try_to_store(submission)
         if refused is None:
-            return job_answer(201, submission.ref, PENDING)
-        return await self._known_or(submission.ref, refused)
+            return job_response(201, submission.ref, PENDING)
+        return await self._existing_job_or(submission.ref, refused)
 
-    def _refusal_of(self, submission: Submission) -> Response | None:
-        """Why a submission can't be accepted, for good or for now; None if it can."""
-        reason = self.admission.never_runs(submission)
+    def _rejection_of(self, submission: Submission) -> Response | None:
+        """Return the response that rejects a submission, permanently (422) or for now (503); None
+        if it can be accepted."""
+        reason = self.admission.rejection_reason(submission)
         if reason:
-            return refusal(422, reason)
+            return error_response(422, reason)
         is_service = submission.shape == SERVICE
         if is_service and not versions.services_allowed(self.membership.cluster):
-            return refusal(503, "not all upgraded", RETRY_LATER)
+            return error_response(503, "not all upgraded", RETRY_LATER)
         return None
 
     async def _try_to_store(self, submission: Submission) -> Response | None:
-        """Store a submission; None once it is stored, else the answer for a job that is not known
-        already. Raises ServiceError when it is not sure what happened."""
+        """Store a submission. Returns None once it is stored, else the response to send if the job
+        was not accepted earlier. Raises ServiceError if the outcome is not known."""
         try:
             await self._store(submission)
         except TransactionTooLarge as fault:
-            return refusal(422, str(fault))
+            return error_response(422, str(fault))
         except PreconditionFailed as conflict:
             if not _names_job(conflict, submission.ref):
                 raise
-            return refusal(503, "again, please", RETRY_SOON)
+            return error_response(503, "again, please", RETRY_SOON)
         return None
 
     async def _store(self, submission: Submission) -> None:
@@ -142,48 +147,53 @@
             Precondition(OVER + ref, 0),
         ]
         if submission.shape == SERVICE:
-            # A member that can't read the record, and joins in this very moment, makes this fail.
+            # The transaction fails if a member that can't read the record joins at the same time.
             others = [name for name in self.membership.names if name != self.membership.name]
             preconditions += versions.member_preconditions(self.membership.cluster, others)
         record = StoredJob.of(submission, wall_us())
         await self.store.compare_and_swap(preconditions, [Put(OPEN + ref, record)])
 
-    async def _known_or(self, ref: str, otherwise: Response) -> Response:
-        """The state of a job that was accepted before, whatever has changed since."""
+    async def _existing_job_or(self, ref: str, otherwise: Response) -> Response:
+        """Respond with the state of a job that was accepted earlier, or with `otherwise` if there
+        is no such job."""
         known = await self.jobs.read(ref)
-        return otherwise if known is None else _status_answer(ref, known)
+        return otherwise if known is None else _status_response(ref, known)
 
     # Poll and cancel
 
     async def poll(self, ref: str) -> Response:
-        """The state of a job; 404 if it was never accepted."""
-        final = self.jobs.known_final(ref)
+        """Respond with the state of a job, or 404 if it was never accepted."""
+        final = self.jobs.cached_final(ref)
         if final is not None:
-            return _status_answer(ref, final)
-        return await self._known_or(ref, refusal(404, "no such job"))
+            return _status_response(ref, final)
+        return await self._existing_job_or(ref, error_response(404, "no such job"))
 
     async def cancel(self, ref: str) -> Response:
-        """Cancel a job that is open; the final state of one that is over."""
+        """Cancel an open job; if the job has ended, respond with its final state."""
         for _ in range(CANCEL_ATTEMPTS):
-            final = self.jobs.known_final(ref)
+            final = self.jobs.cached_final(ref)
             if final is not None:
-                return _status_answer(ref, final)
+                return _status_response(ref, final)
             rows = await self.jobs.open_rows(ref)
             if not rows:
                 if await self.jobs.read_final(ref) is None:
-                    return refusal(404, "no such job")
+                    return error_response(404, "no such job")
                 continue
             if not self.membership.holds_valid_lease:
-                return refusal(503, "starting", RETRY_SOON)
+                return error_response(503, "starting", RETRY_SOON)
             await self._store_cancellation(ref, rows)
-        final = self.jobs.known_final(ref)
-        return refusal(503, "busy", RETRY_SOON) if final is None else _status_answer(ref, final)
+        final = self.jobs.cached_final(ref)
+        return (
+            error_response(503, "busy", RETRY_SOON)
+            if final is None
+            else _status_response(ref, final)
+        )
 
     async def _store_cancellation(self, ref: str, rows: list[Row]) -> None:
-        """Move an open job to over, with as many of its rows as one transaction takes. Does nothing
-        if the job has changed meanwhile."""
+        """Store the final state of an open job, and delete as many of its rows as fit into the same
+        transaction. Does nothing if the job has changed in the meantime."""
         done = sum(msgspec.json.decode(row.value, type=Progress).count for row in rows[1:])
-        final = Final(CANCELLED, done)
+        final = FinalState(CANCELLED, done)
         drops = [Drop(row.key) for row in rows]
         if self.settings.operator.shards > 1:
             drops.insert(1, Drop(ASSIGNMENT + ref))
@@ -200,13 +210,13 @@
                 raise
             return
         log.info("job %s cancelled", ref)
-        self.jobs.remember(ref, final)
+        self.jobs.cache_final(ref, final)
 
 
-def _status_answer(ref: str, status: JobStatus) -> Response:
-    return job_answer(200, ref, status.stage, status.done, status.running)
+def _status_response(ref: str, status: JobStatus) -> Response:
+    return job_response(200, ref, status.stage, status.done, status.running)
 
 
 def _names_job(conflict: PreconditionFailed, ref: str) -> bool:
-    """Is it the job's own rows that have changed, rather than our lease?"""
+    """Return whether one of the job's own rows changed, rather than this controller's lease."""
     return any(key.endswith("/" + ref) for key in conflict.failed)
--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -57,10 +57,10 @@
                     await self._grant_vacant()
             except PreconditionFailed as conflict:
                 log.debug("claim or grant failed: %s changed concurrently", conflict)
-                await asyncio.sleep(self.membership.chance.uniform(*CONFLICT_PAUSE_S))
+                await asyncio.sleep(self.membership.rng.uniform(*CONFLICT_PAUSE_S))
             except ServiceError as fault:
                 log.debug("claim or grant failed: %s", fault)
-                await asyncio.sleep(self.membership.chance.uniform(*FAILURE_PAUSE_S))
+                await asyncio.sleep(self.membership.rng.uniform(*FAILURE_PAUSE_S))
 
     async def _claim_in_turn(self) -> float:
         """Claim the leadership if it is our turn. Returns the seconds until the next pass."""
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -18,7 +18,7 @@
     shard_key,
 )
 from basaltlead.errors import ServiceError
-from basaltlead.runtime.clock import chance, now_us
+from basaltlead.runtime.clock import now_us, rng
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Drop, Precondition, Put
@@ -53,7 +53,7 @@
         # A shard leader may act for a limited time after it sent its last read of the open jobs.
         # That time is at least a session lease, so a watch must return well within one.
         self.watch_timeout_ms = min(MAX_WATCH_TIMEOUT_MS, self.ttl_us // 4000)
-        self.chance = chance
+        self.rng = rng
         self.wake = asyncio.Event()  # set to have the election check the cluster again
         self.claim_cooldown_until = 0
         self.session = SessionLeaseKeeper(
--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -11,13 +11,13 @@
 from basaltlead.net.http.server import listen
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
-    Answer,
     CancellationNotice,
     DeferralRequest,
-    DutiesQuestion,
+    DutiesRequest,
     FailoverDeferral,
-    HistoryQuestion,
-    Question,
+    HistoryRequest,
+    OperatorRequest,
+    OperatorResponse,
 )
 
 MAX_CONNECTIONS = 16
@@ -33,7 +33,7 @@
         membership: Membership,
         reader: MessageReader,
         exchange: CancellationExchange,
-        answer_question: Callable[[Question], Awaitable[Answer]],
+        answer_question: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
         self.address = settings.internal_addr
         self.peer_names = {peer.member for peer in settings.known}
@@ -61,7 +61,7 @@
                 protocol.send(encode(self._deferral(request)))
             case CancellationNotice(refs):
                 self.exchange.add_reported(refs)
-            case (DutiesQuestion() | HistoryQuestion()) as question:
+            case (DutiesRequest() | HistoryRequest()) as question:
                 self._start_reply(protocol, question)
 
     def _deferral(self, request: DeferralRequest) -> FailoverDeferral:
@@ -77,11 +77,11 @@
             cancelled=self.exchange.confirmed_since(request.unconfirmed_us),
         )
 
-    def _start_reply(self, protocol: FrameProtocol, question: Question) -> None:
+    def _start_reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
         if len(self.reply_tasks) < MAX_CONCURRENT_QUESTIONS:
             task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
             self.reply_tasks.add(task)
             task.add_done_callback(self.reply_tasks.discard)
 
-    async def _reply(self, protocol: FrameProtocol, question: Question) -> None:
+    async def _reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
         protocol.send(encode(await self.answer_question(question)))
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -8,7 +8,7 @@
 from basaltlead.cluster.peer_link import MessageReader
 from basaltlead.cluster.peer_server import PeerServer
 from basaltlead.config.settings import Settings
-from basaltlead.wire.peers import Answer, CancellationNotice, Question
+from basaltlead.wire.peers import CancellationNotice, OperatorRequest, OperatorResponse
 
 
 class Peers:
@@ -19,7 +19,7 @@
         settings: Settings,
         membership: Membership,
         exchange: CancellationExchange,
-        answer_question: Callable[[Question], Awaitable[Answer]],
+        answer_question: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
         """`answer_question` answers the questions of operators."""
         reader = MessageReader()
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -6,7 +6,7 @@
 from basaltlead.clients.backoff import Backoff
 from basaltlead.core.cluster_view import MemberRecord, member_key, session_validity_end
 from basaltlead.errors import ServiceError, SessionLeaseExpired
-from basaltlead.runtime.clock import chance, now_us
+from basaltlead.runtime.clock import now_us, rng
 from basaltlead.runtime.logs import log
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.wire.store import Precondition, Put
@@ -90,7 +90,7 @@
 
     async def keep(self) -> None:
         """Join, renew the session lease, and rejoin whenever it is lost; never returns."""
-        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, chance)
+        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, rng)
         while True:
             try:
                 if not self.version:
@@ -123,7 +123,7 @@
         sent = now_us()
         lease = await self.store.create_lease(self.ttl_us)
         old = await self.store.get(member_key(self.name))
-        incarnation = f"{chance.getrandbits(INCARNATION_BITS):012x}"
+        incarnation = f"{rng.getrandbits(INCARNATION_BITS):012x}"
         member_record = MemberRecord(self.name, incarnation, self.record_version)
         # Conditional on the version that was read, so that a delayed copy of this request from an
         # earlier incarnation can't overwrite the record of a later one.
--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -18,7 +18,7 @@
 from basaltlead.runtime.clock import age_us
 from basaltlead.runtime.logs import log
 from basaltlead.storage.records import MACHINE, OPEN, SCALE_OUT, StoredScaleOut
-from basaltlead.storage.result_rows import split_open
+from basaltlead.storage.result_rows import parse_open_key
 from basaltlead.wire.store import Drop, Precondition, Row
 
 PASS_INTERVAL_S = 30.0
@@ -43,7 +43,7 @@
     open_jobs: set[str] = set()
     results: dict[str, list[str]] = {}
     for row in rows:
-        ref, part = split_open(row.key)
+        ref, part = parse_open_key(row.key)
         if part is None:
             open_jobs.add(ref)
         else:
@@ -102,7 +102,9 @@
             await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
 
     async def _drop(self, action: str, keys: list[str], preconditions: list[Precondition]) -> None:
-        for batch in self.store.limits.drops(keys, extra_operations=1):  # 1 for the history page
+        for batch in self.store.limits.delete_batches(
+            keys, extra_operations=1
+        ):  # 1 for the history page
             event = Event.of_rows(action, len(batch))
             await self.history.commit(
                 preconditions, list(map(Drop, batch)), event, low_priority=True
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -16,13 +16,13 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.records import HISTORY, SCALE_IN, SCALE_OUT, StoredScaleIn, StoredScaleOut
 from basaltlead.wire.peers import (
-    Answer,
-    DutiesAnswer,
-    DutiesQuestion,
+    DutiesRequest,
+    DutiesResponse,
     HeldDuty,
-    HistoryAnswer,
+    HistoryResponse,
     OpenIntent,
-    Question,
+    OperatorRequest,
+    OperatorResponse,
 )
 from basaltlead.wire.store import Row
 
@@ -36,19 +36,19 @@
         self.store = store
         self.membership = membership
 
-    async def answer(self, question: Question) -> Answer:
+    async def answer(self, question: OperatorRequest) -> OperatorResponse:
         """The response to a request; it contains an error text if the store can't be read."""
-        answer_type = DutiesAnswer if isinstance(question, DutiesQuestion) else HistoryAnswer
+        answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryResponse
         if self.membership.store_unreachable:
             return answer_type("the state service does not answer")
         try:
-            if isinstance(question, DutiesQuestion):
+            if isinstance(question, DutiesRequest):
                 return await self._duties()
             return await self._history_page(question.after)
         except ServiceError as fault:
             return answer_type(str(fault))
 
-    async def _duties(self) -> DutiesAnswer:
+    async def _duties(self) -> DutiesResponse:
         cluster = ClusterView()
         rows, _ = await self.store.rows(PREFIX)
         for row in rows:
@@ -59,18 +59,18 @@
             [*_open_scale_outs(scale_outs), *_open_scale_ins(scale_ins)],
             key=lambda intent: intent.since,
         )
-        return DutiesAnswer(
+        return DutiesResponse(
             granted=duties_allowed(cluster),
             duties=[_held_duty(cluster, duty) for duty in Duty],
             intents=intents[:MAX_INTENTS],
             open_count=len(intents),
         )
 
-    async def _history_page(self, after: str) -> HistoryAnswer:
-        page = await self.store.page(HISTORY, since=after, most=1)
+    async def _history_page(self, after: str) -> HistoryResponse:
+        page = await self.store.page(HISTORY, since=after, limit=1)
         if not page.rows:
-            return HistoryAnswer()
-        return HistoryAnswer(key=page.rows[0].key, page=page.rows[0].value)
+            return HistoryResponse()
+        return HistoryResponse(key=page.rows[0].key, page=page.rows[0].value)
 
 
 def _held_duty(cluster: ClusterView, duty: Duty) -> HeldDuty:
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -63,7 +63,7 @@
         self.open_scale_ins.pop(key, None)
 
     async def _execute(self) -> None:
-        backoff = Backoff(500_000, 4_000_000, self.membership.chance)
+        backoff = Backoff(500_000, 4_000_000, self.membership.rng)
         while True:
             await wait_for_event(self.wake, PASS_INTERVAL_S)
             if not self.holds_valid_lease:
@@ -112,7 +112,7 @@
         records = [MACHINE + name for name in stored.names]
         # The last batch shares its transaction with the scale-in record and the history page,
         # which are two more operations.
-        *batches, last = list(self.store.limits.drops(records, extra_operations=2)) or [[]]
+        *batches, last = list(self.store.limits.delete_batches(records, extra_operations=2)) or [[]]
         try:
             for batch in batches:
                 await self.store.compare_and_swap(
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -1,4 +1,7 @@
-"""The client side: a pool of connections to one address."""
+"""HTTP client: a pool of connections to one address.
+
+The texts of its errors also reach operators through the command `duties`, and must not change.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -6,62 +9,62 @@
 import httptools
 
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http.messages import HttpAnswer
+from basaltlead.net.http.messages import ClientResponse
 
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 TIMEOUT_US = 2_000_000
 
 
 class ClientProtocol(asyncio.Protocol):
-    """One connection to a server, with one request at a time."""
+    """A connection to a server that carries one request at a time."""
 
-    def __init__(self, pool: "Pool") -> None:
+    def __init__(self, pool: "ConnectionPool") -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
-        self.reply: asyncio.Future[HttpAnswer] | None = None
+        self.pending_response: asyncio.Future[ClientResponse] | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
         self.size = 0
 
-    def send(self, request: bytes, may_send: Callable[[], bool]) -> asyncio.Future[HttpAnswer]:
-        """Send a request; its answer comes as the result of the future.
+    def send(self, request: bytes, may_send: Callable[[], bool]) -> asyncio.Future[ClientResponse]:
+        """Send a request, and return a future of its response.
 
-        Raises `RequestFailed` if nothing was sent. The future is not made before that is certain:
-        one that nobody awaits would be reported as a lost exception.
+        Raises `RequestFailed` if nothing was sent. The future is created only after these checks:
+        if it failed without being awaited, asyncio would report an unretrieved exception.
         """
         if self.transport is None:
             raise RequestFailed("connection lost", sent=False)
         if not may_send():
             raise RequestFailed("the lease has ended", sent=False)
-        self.reply = asyncio.get_running_loop().create_future()
+        self.pending_response = asyncio.get_running_loop().create_future()
         self.transport.write(request)
-        return self.reply
+        return self.pending_response
 
     def close(self) -> None:
-        """Close the connection at once; a request that is under way fails."""
+        """Close the connection immediately; a pending request fails."""
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
 
     def _fail(self, text: str) -> None:
-        if self.reply is not None and not self.reply.done():
-            self.reply.set_exception(RequestFailed(text, sent=True))
+        if self.pending_response is not None and not self.pending_response.done():
+            self.pending_response.set_exception(RequestFailed(text, sent=True))
 
     # Called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Called when the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, _fault: Exception | None) -> None:
-        """The connection is closed, by either side."""
+        """Called when the connection was closed by either side."""
         self.transport = None
-        self.pool.dropped(self)
+        self.pool.connection_closed(self)
         self._fail("connection lost")
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received bytes."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -71,47 +74,47 @@
     # Called by httptools
 
     def on_body(self, body: bytes) -> None:
-        """A part of the answer's body."""
+        """Collect a part of the response body."""
         self.size += len(body)
-        if self.size > self.pool.most_answer_bytes:
+        if self.size > self.pool.max_response_bytes:
             self._fail("answer too large")
             self.close()
         else:
             self.parts.append(body)
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
-        answer = HttpAnswer(self.parser.get_status_code(), b"".join(self.parts))
+        """Complete the pending request with the response."""
+        response = ClientResponse(self.parser.get_status_code(), b"".join(self.parts))
         self.parts = []
         self.size = 0
         if not self.parser.should_keep_alive():
             self.close()
-        if self.reply is not None and not self.reply.done():
-            self.reply.set_result(answer)
+        if self.pending_response is not None and not self.pending_response.done():
+            self.pending_response.set_result(response)
 
 
-class Pool:
-    """Connections to one address, so many at most."""
+class ConnectionPool:
+    """A pool of connections to one address, limited in number."""
 
     def __init__(
-        self, address: str, limit: int, most_answer_bytes: int = MOST_ANSWER_BYTES
+        self, address: str, limit: int, max_response_bytes: int = MAX_RESPONSE_BYTES
     ) -> None:
         host, port = address.rsplit(":", 1)
         self.host = host
         self.port = int(port)
         self.limit = limit
-        self.most_answer_bytes = most_answer_bytes
+        self.max_response_bytes = max_response_bytes
         self.idle: list[ClientProtocol] = []  # open connections without a request
         self.slots = asyncio.Semaphore(limit)
-        self.running = 0  # requests that wait for a connection or an answer
+        self.running = 0  # requests that wait for a connection or a response
 
     @property
     def busy(self) -> bool:
-        """Whether a request is under way."""
+        """Whether any request is in progress."""
         return self.running > 0
 
-    def dropped(self, connection: ClientProtocol) -> None:
-        """A connection was closed."""
+    def connection_closed(self, connection: ClientProtocol) -> None:
+        """Remove a connection that was closed."""
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -122,13 +125,13 @@
         body: bytes = b"",
         timeout_us: int = TIMEOUT_US,
         may_send: Callable[[], bool] = lambda: True,
-    ) -> HttpAnswer:
-        """Send one request and await its answer.
+    ) -> ClientResponse:
+        """Send one request and wait for its response.
 
-        Raises `RequestFailed` if there is none in time; its connection is closed then, since the
-        answer may come later. What needs a lease passes `may_send`, which is called at the last
-        moment: the request may have waited for a connection, or the whole process may have stood
-        still.
+        Raises `RequestFailed` if there is none within `timeout_us`; the connection is then closed,
+        since the response may still arrive. Requests that require a lease pass `may_send`, which is
+        called immediately before sending: the request may have waited for a connection, or the
+        process may have been suspended.
         """
         request = self._encode(method, path, body)
         connection: ClientProtocol | None = None
@@ -137,19 +140,19 @@
         try:
             async with asyncio.timeout(timeout_us / 1e6), self.slots:
                 connection = self.idle.pop() if self.idle else await self._connect()
-                reply = connection.send(request, may_send)
+                pending_response = connection.send(request, may_send)
                 sent = True
-                answer = await reply
+                response = await pending_response
                 if connection.transport is not None:
                     self.idle.append(connection)
-                return answer
+                return response
         except TimeoutError:
             if connection is not None:
                 connection.close()
             raise RequestFailed("no answer in time", sent=sent) from None
         except OSError as fault:
             raise RequestFailed(f"no connection: {fault}", sent=False) from None
-        except BaseException:  # also when the caller is cancelled
+        except BaseException:  # includes the cancellation of the caller
             if connection is not None:
                 connection.close()
             raise
@@ -171,7 +174,7 @@
         return protocol
 
     def close(self) -> None:
-        """Close the connections that have no request under way."""
+        """Close all idle connections."""
         for connection in list(self.idle):
             connection.close()
         self.idle.clear()
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -1,4 +1,4 @@
-"""Asks a controller operators' questions, over the connections that controllers have among them."""
+"""Client for operators' requests, over the protocol that controllers use between them."""
 
 import asyncio
 from collections.abc import Iterator
@@ -11,29 +11,29 @@
 from basaltlead.errors import SettingsError
 from basaltlead.net.netstring import FrameProtocol
 from basaltlead.wire.peers import (
-    Answer,
-    DutiesAnswer,
-    DutiesQuestion,
-    HistoryAnswer,
-    HistoryQuestion,
+    DutiesRequest,
+    DutiesResponse,
+    HistoryRequest,
+    HistoryResponse,
     Message,
-    Question,
+    OperatorRequest,
+    OperatorResponse,
 )
 
-TIMEOUT_S = 5.0  # for connecting and the answer together
+TIMEOUT_S = 5.0  # for connecting and the response together
 
 
 class Unreachable(Exception):
-    """The controller can't be reached, or gives no answer in time."""
+    """The controller can't be reached, or does not respond in time."""
 
 
-class NotKnown(Exception):
-    """The controller answers that it does not know, since the store does not answer it."""
+class StateUnavailable(Exception):
+    """The controller does not know the requested state, since the store does not respond to it."""
 
 
 def address_of(settings: Settings, controller: str | None) -> str:
-    """Where a controller listens for other controllers: the one whose settings these are, or the
-    named one. Raises SettingsError if the settings know no such controller."""
+    """Return the internal address of the named controller, by default the one that the settings
+    belong to. Raises SettingsError if the settings name no such controller."""
     if controller is None or controller == settings.member:
         return settings.internal_addr
     for peer in settings.known:
@@ -42,21 +42,25 @@
     raise SettingsError(f"known: no controller {controller}")
 
 
-def _on_message(answered: asyncio.Future[Answer], _protocol: FrameProtocol, body: bytes) -> None:
+def _on_message(
+    answered: asyncio.Future[OperatorResponse], _protocol: FrameProtocol, body: bytes
+) -> None:
     message = msgspec.json.decode(body, type=Message)
-    if isinstance(message, Answer) and not answered.done():
+    if isinstance(message, OperatorResponse) and not answered.done():
         answered.set_result(message)
 
 
-def _on_connection_lost(answered: asyncio.Future[Answer], _protocol: FrameProtocol) -> None:
+def _on_connection_lost(
+    answered: asyncio.Future[OperatorResponse], _protocol: FrameProtocol
+) -> None:
     if not answered.done():
         answered.set_exception(Unreachable("it closed the connection"))
 
 
-async def _ask(address: str, question: Question) -> Answer:
-    """Send a question; its answer. Raises Unreachable, OSError and TimeoutError."""
+async def _send_request(address: str, request: OperatorRequest) -> OperatorResponse:
+    """Send a request and return its response. Raises Unreachable, OSError and TimeoutError."""
     loop = asyncio.get_running_loop()
-    answered: asyncio.Future[Answer] = loop.create_future()
+    answered: asyncio.Future[OperatorResponse] = loop.create_future()
     host, port = address.rsplit(":", 1)
     async with asyncio.timeout(TIMEOUT_S):
         _, protocol = await loop.create_connection(
@@ -67,42 +71,44 @@
             int(port),
         )
         try:
-            protocol.send(encode(question))
+            protocol.send(encode(request))
             return await answered
         finally:
             protocol.close()
 
 
-def ask(address: str, question: Question) -> Answer:
-    """The answer to a question. Raises Unreachable or NotKnown, with a text for the operator."""
+def send_request(address: str, request: OperatorRequest) -> OperatorResponse:
+    """Send a request and return its response. Raises Unreachable or StateUnavailable, with a text
+    for the operator."""
     try:
-        answer = asyncio.run(_ask(address, question))
+        response = asyncio.run(_send_request(address, request))
     except TimeoutError:
         raise Unreachable(f"{address}: no answer within {TIMEOUT_S:.0f} s") from None
     except OSError as fault:
         raise Unreachable(f"{address}: {fault.strerror or fault}") from None
     except Unreachable as fault:
         raise Unreachable(f"{address}: {fault}") from None
-    if answer.unknown:
-        raise NotKnown(f"{address}: not known: {answer.unknown}")
-    return answer
+    if response.unknown:
+        raise StateUnavailable(f"{address}: not known: {response.unknown}")
+    return response
 
 
-def duties(address: str) -> DutiesAnswer:
-    """Who holds which duty, and which intents are open. Raises Unreachable or NotKnown."""
-    answer = ask(address, DutiesQuestion())
-    assert isinstance(answer, DutiesAnswer)
-    return answer
+def duties(address: str) -> DutiesResponse:
+    """Request the holders of the duties and the open intents. Raises Unreachable or
+    StateUnavailable."""
+    response = send_request(address, DutiesRequest())
+    assert isinstance(response, DutiesResponse)
+    return response
 
 
-def history(address: str) -> Iterator[HistoryAnswer]:
-    """The pages of the recorded history, one at a time, in the order of their keys. Raises
-    Unreachable or NotKnown."""
+def history(address: str) -> Iterator[HistoryResponse]:
+    """Request the pages of the recorded history one by one, in the order of their keys. Raises
+    Unreachable or StateUnavailable."""
     after = ""
     while True:
-        answer = ask(address, HistoryQuestion(after))
-        assert isinstance(answer, HistoryAnswer)
-        if not answer.key:
+        response = send_request(address, HistoryRequest(after))
+        assert isinstance(response, HistoryResponse)
+        if not response.key:
             return
-        yield answer
-        after = answer.key
+        yield response
+        after = response.key
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -13,7 +13,7 @@
 from basaltlead.operators import client
 from basaltlead.operators.arguments import Verb
 from basaltlead.runtime.clock import wall_us
-from basaltlead.wire.peers import DutiesAnswer, OpenIntent
+from basaltlead.wire.peers import DutiesResponse, OpenIntent
 
 
 class ExitStatus(IntEnum):
@@ -22,13 +22,14 @@
     OK = 0
     BAD_SETTINGS = 2
     UNREACHABLE = 3
-    NOT_KNOWN = 4
+    STATE_UNAVAILABLE = 4
     LIBRARY_MISSING = 5
     NOT_WRITTEN = 6
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run the command of parsed arguments; its exit status. Errors are printed, not raised."""
+    """Run the command given by the parsed arguments, and return its exit status. Errors are
+    printed, not raised."""
     try:
         address = client.address_of(load(options.config), options.controller)
         if options.verb == Verb.DUTIES:
@@ -38,8 +39,8 @@
         return _fail(str(fault), ExitStatus.BAD_SETTINGS)
     except client.Unreachable as fault:
         return _fail(str(fault), ExitStatus.UNREACHABLE)
-    except client.NotKnown as fault:
-        return _fail(str(fault), ExitStatus.NOT_KNOWN)
+    except client.StateUnavailable as fault:
+        return _fail(str(fault), ExitStatus.STATE_UNAVAILABLE)
 
 
 def _fail(text: str, status: ExitStatus) -> ExitStatus:
@@ -47,19 +48,19 @@
     return status
 
 
-def _show_duties(answer: DutiesAnswer, as_json: bool) -> ExitStatus:
+def _show_duties(response: DutiesResponse, as_json: bool) -> ExitStatus:
     if as_json:
-        print(msgspec.json.encode(answer).decode())
+        print(msgspec.json.encode(response).decode())
         return ExitStatus.OK
-    if not answer.granted:
+    if not response.granted:
         print("duties are not granted on their own: the blocks' owners carry them out")
     print(f"{'duty':10} {'holder':20} {'token':>8} since")
-    for held in answer.duties:
+    for held in response.duties:
         holder = held.holder or "nobody"
         print(f"{held.duty:10} {holder:20} {held.token:>8} {_as_time(held.since)}")
-    print(f"open intents: {answer.open_count}")
+    print(f"open intents: {response.open_count}")
     now = wall_us()
-    for intent in answer.intents:
+    for intent in response.intents:
         print(_as_line(intent, now))
     return ExitStatus.OK
 
@@ -77,7 +78,7 @@
 
 def _export_history(address: str, out: str) -> ExitStatus:
     try:
-        # Needs pyarrow, which only operators install who export the history.
+        # Requires pyarrow, an optional dependency for this command only.
         from basaltlead.operators.audit_export import export
     except ImportError as fault:
         return _fail(f"{fault}: install basaltlead[operators]", ExitStatus.LIBRARY_MISSING)
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -33,14 +33,14 @@
         self.context = context
         self.quiet_times = quiet_times
         self.key = f"{QUIET}{context.number}"
-        self.budget = QuietBudget(operator.quiet.most_cost / operator.shards, self._reserve)
+        self.budget = QuietBudget(operator.quiet.max_cost / operator.shards, self._reserve)
         self.loaded = False
         self.reserving = False
 
     async def load(self) -> None:
         """Read what earlier shard leaders reserved. Retries until it succeeds."""
         backoff = Backoff(
-            MIN_LOAD_RETRY_DELAY_US, MAX_LOAD_RETRY_DELAY_US, self.context.membership.chance
+            MIN_LOAD_RETRY_DELAY_US, MAX_LOAD_RETRY_DELAY_US, self.context.membership.rng
         )
         while not self.loaded:
             try:
--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -73,7 +73,7 @@
 
     async def follow(self) -> None:
         """Read the types and their current prices periodically; never returns."""
-        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.membership.chance)
+        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.membership.rng)
         while True:
             try:
                 types = await self.cloud.types()
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -54,7 +54,7 @@
 
     async def _return_terminating(self) -> None:
         """Record or delete the machines that are marked as terminating; never returns."""
-        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.context.membership.chance)
+        backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.context.membership.rng)
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             names = [m.name for m in self.context.shard.machines.values() if m.terminating]
@@ -154,7 +154,7 @@
 
     async def _drop_records(self, keys: list[str]) -> None:
         """Delete records, with as many in one transaction as the key-value store accepts."""
-        for batch in self.context.store.limits.drops(keys):
+        for batch in self.context.store.limits.delete_batches(keys):
             await self._drop_batch(batch)
 
     async def _drop_batch(self, keys: list[str]) -> None:
--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -12,7 +12,7 @@
 from basaltlead.shard.rebalancer import Rebalancer
 from basaltlead.shard.results import ResultWriter
 from basaltlead.storage.records import OPEN, StoredJob, job_of
-from basaltlead.storage.result_rows import CHUNK_SHARDS, load_results, split_open
+from basaltlead.storage.result_rows import CHUNK_SHARD_OFFSET, load_results, parse_open_key
 from basaltlead.storage.watch import KeyWatch
 from basaltlead.wire.store import Change, Row
 
@@ -57,13 +57,13 @@
 
     def apply_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
         """Apply a row under `open/`: a job, or results of some of its tasks."""
-        ref, part = split_open(key)
+        ref, part = parse_open_key(key)
         job_state = self.shard.job_states.get(ref)
         if part is None:
             if job_state is None:
                 self._add_job(ref, raw, version, now)
             return
-        own = part[0] in (self.context.number, CHUNK_SHARDS + self.context.number)
+        own = part[0] in (self.context.number, CHUNK_SHARD_OFFSET + self.context.number)
         if job_state is None:
             if not self._loaded:
                 self.orphaned_rows.append(key)
@@ -77,7 +77,7 @@
         if self.is_cancelled(ref):
             return  # already confirmed to its user; the watch will report it too
         age = age_us(stored.at)
-        job = job_of(stored.sent)
+        job = job_of(stored.submission)
         job_state = self.shard.add_job(job, version, now, age)
         if self.context.sharded:
             job_state.assign(self.rebalancer.ranges_of(ref))
@@ -91,12 +91,12 @@
         if change.put is not None:
             self.apply_row(change.put, change.value, change.version, now_us())
         elif change.drop is not None:
-            ref, part = split_open(change.drop)
+            ref, part = parse_open_key(change.drop)
             if part is None:
                 self.close(ref)
 
     def _relist(self, rows: list[Row]) -> None:
-        listed = {split_open(row.key)[0] for row in rows}
+        listed = {parse_open_key(row.key)[0] for row in rows}
         for row in rows:
             self.apply_row(row.key, row.value, row.version, now_us())
         for ref in [ref for ref in self.shard.job_states if ref not in listed]:
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -10,8 +10,8 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.runtime.logs import log
 from basaltlead.shard.context import ShardContext
-from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, Final
-from basaltlead.storage.result_rows import split_open
+from basaltlead.storage.records import ASSIGNMENT, OPEN, OVER, FinalState
+from basaltlead.storage.result_rows import parse_open_key
 from basaltlead.wire.store import Drop, Precondition, Put
 
 SCAN_INTERVAL_S = 0.1
@@ -99,7 +99,7 @@
         if self.context.sharded:
             rows.insert(0, ASSIGNMENT + ref)
         max_drops = self.context.store.limits.operations - FINAL_OPERATIONS
-        final = Final("done", job_state.job.tasks)
+        final = FinalState("done", job_state.job.tasks)
         try:
             await self.context.store.commit(
                 [Put(OVER + ref, final), Drop(OPEN + ref), *map(Drop, rows[:max_drops])],
@@ -142,7 +142,7 @@
         if self.context.membership.duties_granted:
             return  # the holder of the clean-up duty does it
         preconditions = [*self.context.lease.preconditions(), Precondition(OPEN + ref, 0)]
-        for batch in self.context.store.limits.drops(keys):
+        for batch in self.context.store.limits.delete_batches(keys):
             await attempt_write(self._drop(batch, preconditions))
 
     async def _drop(self, keys: list[str], preconditions: list[Precondition]) -> None:
@@ -153,6 +153,6 @@
         """Drop the rows that an earlier shard leader left when their jobs ended."""
         keys_by_job: dict[str, list[str]] = {}
         for key in keys:
-            keys_by_job.setdefault(split_open(key)[0], []).append(key)
+            keys_by_job.setdefault(parse_open_key(key)[0], []).append(key)
         for ref, rows in keys_by_job.items():
             await self._sweep(ref, rows)
--- a/basaltlead/wire/users.py
+++ b/basaltlead/wire/users.py
@@ -14,7 +14,7 @@
 
 
 class Submission(Struct, frozen=True, rename=PROTOCOL_NAMES):
-    """A job as its user describes it. Sizes are for one task; durations in seconds."""
+    """A job as submitted by a user. Sizes are per task, durations in seconds."""
 
     ref: Annotated[str, Meta(pattern=REF)]
     job_class: Text
@@ -38,8 +38,8 @@
     due_s: Amount | None = None
 
 
-class JobAnswer(Struct, rename=PROTOCOL_NAMES):
-    """The state of a job, with how many of its tasks are done and run."""
+class JobStatusResponse(Struct, rename=PROTOCOL_NAMES):
+    """The state of a job, with the numbers of its tasks that are done and running."""
 
     ref: str
     stage: str
@@ -47,7 +47,7 @@
     running: int = 0
 
 
-class Refusal(Struct):
-    """Why a request was not carried out."""
+class ErrorBody(Struct):
+    """The body of an error response: why the request was not executed."""
 
     error: str
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from basaltlead.clients.rate_budget import RateBudget
-from basaltlead.clients.workers import Workers
+from basaltlead.clients.rate_limiter import RateLimiter
+from basaltlead.clients.workers import WorkerClient
 from basaltlead.errors import RequestFailed
-from basaltlead.net.http.client import Pool
+from basaltlead.net.http.client import ConnectionPool
 from basaltlead.net.http.messages import Request, Response
 from basaltlead.net.http.server import Server
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
@@ -286,29 +286,29 @@
     """More is asked than the key-value store's share allows, then it falls silent."""
     deployment = Deployment(loop)
     await deployment.start_with_running_job(1, 60.0)
-    desk = deployment.controllers["node-0"].user_api
+    user_api = deployment.controllers["node-0"].user_api
 
-    desk.store.requests.full_at = loop.time() + 60.0
-    bad = await desk.handle(Request("POST", "/api/jobs", "", b"[]"))
+    user_api.store.request_limiter.full_at = loop.time() + 60.0
+    bad = await user_api.handle(Request("POST", "/api/jobs", "", b"[]"))
     assert bad.status == 400  # malformed is told apart, and not asked again
-    pool = Pool(dict(deployment.front_addresses())["node-0"], 1)
+    pool = ConnectionPool(dict(deployment.front_addresses())["node-0"], 1)
     asked = loop.time()
     status, _ = await pool.request("GET", "/api/jobs/req-000001")
     assert status == 503
     assert loop.time() - asked < 0.1
-    desk.store.requests.full_at = 0.0
-    answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
+    user_api.store.request_limiter.full_at = 0.0
+    answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 200
     # Connections hang: nobody answers, nobody refuses
     deployment.cut_from_store_and_peers("node-0")
     asked = loop.time()
-    answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
+    answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 503
     assert "Retry-After" in answer.headers
     assert loop.time() - asked < 2.0  # users wait no longer
     await asyncio.sleep(3)
     asked = loop.time()
-    answer = await desk.handle(Request("GET", "/api/jobs/req-000001", "", b""))
+    answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
 
     assert answer.status == 503
     assert loop.time() == asked
@@ -324,7 +324,7 @@
     addresses = [f"10.1.1.{number}:9000" for number in range(12)]
     for address in addresses:
         await Server(machine.handle, 100).start(address)
-    workers = Workers(most=4)
+    workers = WorkerClient(max_connections=4)
     command = DirectCommand(0, 1, [])
     asked = [workers.command(address, command) for address in addresses]
     answers = await asyncio.gather(*asked)
@@ -336,7 +336,7 @@
 @simulated
 async def test_background_writes_wait_for_user_writes(loop: Loop) -> None:
     """Hundreds of machines and results fill the limit on writes by themselves."""
-    budget = RateBudget(rate=20.0)
+    budget = RateLimiter(rate=20.0)
     records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
     for _ in range(10):
         await asyncio.sleep(0.5)
@@ -354,7 +354,7 @@
     await deployment.start_with_running_job(1, 60.0)
     machine = next(iter(deployment.cloud.machines.values()))
 
-    workers = Workers(most=4)
+    workers = WorkerClient(max_connections=4)
 
     def handle(request: Request) -> Response:
         return Response(200, b"{}")
@@ -366,17 +366,17 @@
         await Server(machine.handle, 100).start(address)
         await workers.command(address, DirectCommand(0, 1, []))
     assert len(workers.pools) == 4
-    comers = [Pool("10.0.0.9:80", 1) for _ in range(6)]
-    for comer in comers:
-        assert (await comer.request("GET", "/"))[0] == 200
+    clients = [ConnectionPool("10.0.0.9:80", 1) for _ in range(6)]
+    for client in clients:
+        assert (await client.request("GET", "/"))[0] == 200
     assert len(workers.pools) == 0
     assert len(server.connections) == 6
-    assert all(comer.idle for comer in comers)  # nobody was thrown out
-    late = Pool("10.0.0.9:80", 1)
-    assert (await late.request("GET", "/"))[0] == 200  # now the longest unused goes
+    assert all(client.idle for client in clients)  # nobody was thrown out
+    extra_client = ConnectionPool("10.0.0.9:80", 1)
+    assert (await extra_client.request("GET", "/"))[0] == 200  # now the longest unused goes
     await asyncio.sleep(0.1)
 
-    assert [bool(comer.idle) for comer in comers] == [False] + [True] * 5
+    assert [bool(client.idle) for client in clients] == [False] + [True] * 5
 
 
 @simulated
@@ -389,8 +389,8 @@
     (machine,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
     (attempt,) = machine.attempts.values()
     halt = WorkerCommand("halt", "req-000001/0", attempt.attempt_number, 0.0)
-    workers = Workers(most=1)
-    async with workers.calls:
+    workers = WorkerClient(max_connections=1)
+    async with workers.call_slots:
         command = DirectCommand(shard_leader.lease.fencing_token, machine.epoch, [halt])
         asked = loop.create_task(
             workers.command(machine.address, command, lambda: shard_leader.holds_valid_lease)
@@ -451,7 +451,7 @@
         return Response(200, b"{}")
 
     await Server(answer, 10).start("10.0.0.1:8080")
-    pool = Pool("10.0.0.1:8080", 1)
+    pool = ConnectionPool("10.0.0.1:8080", 1)
     with pytest.raises(RequestFailed) as failed:
         await pool.request("POST", "/", may_send=lambda: False)
     assert not failed.value.sent
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from basaltlead.clients.workers import Workers
+from basaltlead.clients.workers import WorkerClient
 from basaltlead.core.entities import Machine
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.dispatcher import WorkerDispatcher, worker_sockets
@@ -124,7 +124,7 @@
     name = await deployment.start_with_running_job(8, 4.0)
     # Has results to store all the time
     await deployment.submit(deployment.job(2, Pieces=40, RunS=4.0))
-    writes = deployment.controllers[name].shard_leaders[0].context.store.client.writes
+    writes = deployment.controllers[name].shard_leaders[0].context.store.client.write_limiter
 
     records = [loop.create_task(writes.take_low_priority(4)) for _ in range(100)]
     await deployment.submit(deployment.job(3, RunS=2.0, Rank="high"))
@@ -148,10 +148,10 @@
 
     (live,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
     context = shard_leader.context
-    own_connections = Workers(worker_sockets(context.settings))  # from the test's own host
+    own_connections = WorkerClient(worker_sockets(context.settings))  # from the test's own host
     context = msgspec.structs.replace(context, workers=own_connections)
     shard_leader.dispatcher = WorkerDispatcher(context)
-    for number in range(2 * shard_leader.dispatcher.workers.most):
+    for number in range(2 * shard_leader.dispatcher.workers.max_connections):
         silent = Machine(f"m-9{number:05d}", live.machine_type, "b", False, now_us())
         silent.address = f"10.1.3.{number}:9000"
         deployment.net.cut(HOST.get(), f"10.1.3.{number}")  # this test sends from there
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -22,11 +22,11 @@
 from basaltlead.scaling.quiet_budget import HOUR_US, QuietBudget, StoredQuietReservation
 from basaltlead.scaling.quiet_calendar import QuietCalendar, read_calendar
 from basaltlead.wire.peers import (
-    DutiesAnswer,
-    DutiesQuestion,
+    DutiesRequest,
+    DutiesResponse,
     HeldDuty,
-    HistoryAnswer,
-    HistoryQuestion,
+    HistoryRequest,
+    HistoryResponse,
     OpenIntent,
 )
 from tests.duty_support import DUTIES_ON, start_with_duties
@@ -48,10 +48,10 @@
     await deployment.submit(deployment.job(1, Cores=8.0))
     await asyncio.sleep(15)
     addresses = [f"{deployment.host(name)}:8081" for name in deployment.nodes]
-    answers = [await client._ask(one, DutiesQuestion()) for one in addresses]
+    answers = [await client._send_request(one, DutiesRequest()) for one in addresses]
     assert answers[0] == answers[1] == answers[2]
     answer = answers[0]
-    assert isinstance(answer, DutiesAnswer)
+    assert isinstance(answer, DutiesResponse)
     assert answer.granted
     assert not answer.unknown
     assert {one.duty: one.holder for one in answer.duties} == {
@@ -59,14 +59,14 @@
     }
     assert answer.open_count == len(answer.intents) > 0
     assert all("400" in one.refused for one in answer.intents)
-    pages = [await client._ask(one, HistoryQuestion("")) for one in addresses]
+    pages = [await client._send_request(one, HistoryRequest("")) for one in addresses]
     assert pages[0] == pages[1] == pages[2]
     deployment.store.down = True
     for wait_s in (1, 20):  # unanswered at first, then known to be away
         await asyncio.sleep(wait_s)
         for address in addresses:
-            assert (await client._ask(address, DutiesQuestion())).unknown
-            assert (await client._ask(address, HistoryQuestion(""))).unknown
+            assert (await client._send_request(address, DutiesRequest())).unknown
+            assert (await client._send_request(address, HistoryRequest(""))).unknown
     deployment.store.end_outage()
 
 
@@ -89,14 +89,14 @@
             raise answer
         return answer
 
-    monkeypatch.setattr(client, "_ask", ask)
+    monkeypatch.setattr(client, "_send_request", ask)
     return asked
 
 
 def test_the_command_shows_holders_and_open_intents(
     config: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    answer = DutiesAnswer(
+    answer = DutiesResponse(
         "",
         True,
         [HeldDuty("rent", "node-2", 7, 5 * SECOND), HeldDuty("return", "", 0, 0)],
@@ -112,7 +112,7 @@
     assert "open intents: 1" in shown
     assert "refused: cloud: 400" in shown
     assert cli.main(["duties", "--json", "--controller", "node-1", "--config", config]) == 0
-    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesAnswer) == answer
+    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesResponse) == answer
     assert asked == ["10.0.0.1:8081", "10.0.0.2:8081"]
 
 
@@ -122,9 +122,9 @@
         (OSError(111, "Connection refused"), [], 3, "10.0.0.1:8081: Connection refused"),
         (TimeoutError(), [], 3, "no answer within 5 s"),
         (client.Unreachable("it closed the connection"), [], 3, "closed"),
-        (DutiesAnswer("the state service does not answer"), [], 4, "not known: the state"),
-        (DutiesAnswer(), ["--controller", "node-9"], 2, "no controller node-9"),
-        (DutiesAnswer(), ["--config", "/nowhere.toml"], 2, "/nowhere.toml: No such file"),
+        (DutiesResponse("the state service does not answer"), [], 4, "not known: the state"),
+        (DutiesResponse(), ["--controller", "node-9"], 2, "no controller node-9"),
+        (DutiesResponse(), ["--config", "/nowhere.toml"], 2, "/nowhere.toml: No such file"),
     ],
     ids=["refused", "timeout", "closed", "unknown", "no such controller", "no such file"],
 )
@@ -145,7 +145,7 @@
 # The history
 
 
-def _pages(duty: str, low: int, high: int) -> list[HistoryAnswer]:
+def _pages(duty: str, low: int, high: int) -> list[HistoryResponse]:
     """Pages of ten events each, in the order of their keys in the ring."""
     pages = []
     for number in range(low, high):
@@ -177,9 +177,9 @@
 def test_failed_export_leaves_no_file(tmp_path: Path) -> None:
     def broken() -> Any:
         yield from _pages("rent", 0, 2)
-        raise client.NotKnown("the state service does not answer")
+        raise client.StateUnavailable("the state service does not answer")
 
-    with pytest.raises(client.NotKnown):
+    with pytest.raises(client.StateUnavailable):
         export(broken(), str(tmp_path / "history.parquet"))
     assert list(tmp_path.iterdir()) == []
 
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -19,12 +19,12 @@
 from basaltlead.storage.client import KeyValueStore
 from basaltlead.storage.limits import TRANSACTION_BYTES, StoreLimits
 from basaltlead.storage.result_rows import (
-    CHUNK_SHARDS,
-    STRETCH,
+    CHUNK_SHARD_OFFSET,
+    SEGMENT_TASKS,
     ProgressChunk,
     ResultLayout,
     load_results,
-    split_open,
+    parse_open_key,
 )
 from basaltlead.wire.cloud import MachineTypeInfo
 from basaltlead.wire.store import Drop, Precondition, Put
@@ -36,7 +36,7 @@
 
 
 def _excess(preconditions: int, values: list[int], total: int) -> str:
-    return LIMITS.excess(preconditions, len(values), values, total)
+    return LIMITS.limit_error(preconditions, len(values), values, total)
 
 
 def test_each_limit_is_exact_to_the_byte_and_to_the_operation() -> None:
@@ -101,26 +101,26 @@
     for row in rows:
         raw = encode(row.value)
         assert len(raw) <= value_bytes
-        _, part = split_open(row.key)
+        _, part = parse_open_key(row.key)
         assert part is not None
         load_results(again, 0, *part, msgspec.Raw(raw), layout)
 
     assert {index for index in range(tasks) if again.is_done(index)} == wanted
     assert {index for row in rows for index in row.tasks} == wanted
     assert {row.key for row in rows} <= set(layout.keys(job_state.job.ref, tasks, [0]))
-    assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.most_rows(tasks, 1)
+    assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.max_rows(tasks, 1)
     assert sum(row.value.count for row in rows) == len(wanted)
 
 
 def test_results_stored_under_larger_limits_are_read_and_not_rewritten() -> None:
     before, after = ResultLayout(32_768), ResultLayout(2048)
-    old = _job_state(STRETCH)
+    old = _job_state(SEGMENT_TASKS)
 
     for index in range(0, 20_000, 3):
         old.finish(index)
     (row,) = before.unstored(old, 0)
     assert len(encode(row.value)) > 2048
-    job_state = _job_state(STRETCH)
+    job_state = _job_state(SEGMENT_TASKS)
     load_results(job_state, 0, 0, 0, msgspec.Raw(encode(row.value)), after)
     assert job_state.done_count == old.done_count
     job_state.finish(1)
@@ -128,7 +128,7 @@
 
     assert isinstance(new.value, ProgressChunk)
     assert new.value.count == 1  # what the old row holds is not counted twice
-    assert split_open(new.key) == ("req-000001", (CHUNK_SHARDS, 0))
+    assert parse_open_key(new.key) == ("req-000001", (CHUNK_SHARD_OFFSET, 0))
 
 
 def test_budgets_and_machine_types_fit_into_values_however_many_there_are() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,7 @@
 from basaltlead.core.cluster_view import ClusterView, Counter, Grant, MemberRecord, Versioned
 from basaltlead.core.jobs import Shape
 from basaltlead.core.market import TeamRecord
-from basaltlead.storage.records import Final, StoredJob, StoredMachine, StoredScaleOut, job_of
+from basaltlead.storage.records import FinalState, StoredJob, StoredMachine, StoredScaleOut, job_of
 from basaltlead.storage.result_rows import Progress
 from tests.fakes import Deployment, FakeWorker, old_schemas
 from tests.simulation import Loop, simulated
@@ -36,7 +36,7 @@
     "hire": StoredScaleOut,
     "mach": StoredMachine,
     "open": StoredJob,
-    "over": Final,
+    "over": FinalState,
     "result": Progress,
     "team": TeamRecord,
 }
@@ -61,9 +61,9 @@
         if isinstance(read, MemberRecord):
             assert read.version == 0
         if isinstance(read, StoredJob):
-            assert read.sent.ref == key.removeprefix("open/")
+            assert read.submission.ref == key.removeprefix("open/")
             shapes = {"batch": Shape.ARRAY, "group": Shape.GANG, "service": Shape.SERVICE}
-            assert job_of(read.sent).shape is shapes[value["job"]["Shape"]]
+            assert job_of(read.submission).shape is shapes[value["job"]["Shape"]]
         elif not isinstance(read, MemberRecord):
             assert msgspec.to_builtins(read) == value
     assert machine_types == set(TYPES)
@@ -139,7 +139,7 @@
         old_schemas.read("open/req-000001", deployment.store.keys["open/req-000001"][0])
     stored = deployment.store.keys["open/req-000001"][0]
 
-    assert msgspec.convert(stored, StoredJob).sent.shape == "service"
+    assert msgspec.convert(stored, StoredJob).submission.shape == "service"
     await deployment.wait_until_served("req-000001")
     deployment.assert_no_violation()
 
