--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -120,7 +120,9 @@
 
 def segment_row(job_state: JobState, number: int) -> Progress:
     """Return the segment row with this number, with the results that this shard recorded."""
-    done = bytes(job_state.own_done[number * SEGMENT_TASKS // 8 : (number + 1) * SEGMENT_TASKS // 8])
+    done = bytes(
+        job_state.own_done[number * SEGMENT_TASKS // 8 : (number + 1) * SEGMENT_TASKS // 8]
+    )
     return Progress(done, count_bits(done), shown_running(job_state, number))
 
 
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -154,7 +154,7 @@
         ]
         raw = msgspec.json.encode(HistoryPage(number, number * 10, events))
         pages.append(
-            HistoryAnswer("", f"history/{duty}/{number % RING_PAGES:03d}", msgspec.Raw(raw))
+            HistoryResponse("", f"history/{duty}/{number % RING_PAGES:03d}", msgspec.Raw(raw))
         )
     return sorted(pages, key=lambda page: page.key)
 
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -194,7 +194,9 @@
         machine.recorded = True
         shard_leader.shard.add_machine(machine)
     # Types boot in 5 s
-    recordable = int((5.0 + RECORDING_WINDOW_S) * shard_leader.context.store.client.write_limiter.rate)
+    recordable = int(
+        (5.0 + RECORDING_WINDOW_S) * shard_leader.context.store.client.write_limiter.rate
+    )
     assert autoscaler._max_rentals() == MACHINES // RENTALS_FLEET_DIVISOR < recordable
     for number in range(recordable - 100):
         shard_leader.shard.machines[_name(number)].recorded = False
