--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -49,8 +49,9 @@
 
 
 def test_member_without_a_version_is_of_the_first() -> None:
-    record = msgspec.json.decode('{"name":"n-0","life":"ab"}', type=MemberRecord)
-    assert record == MemberRecord("n-0", "ab", 0)
+    assert msgspec.json.decode('{"name":"n-0","life":"ab"}', type=MemberRecord) == MemberRecord(
+        "n-0", "ab", 0
+    )
 
 
 def test_transactions_keep_their_spelling() -> None:
