--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -358,7 +358,7 @@
         """Remove and return the task to start next; None if there is none."""
         return self.queue.next(self.live, self.is_done)
 
-    def spare_tail(self) -> TaskRange | None:
+    def unstarted_tail(self) -> TaskRange | None:
         """Tasks that another shard may start instead: the second half of the last range, if none
         of them was ever started here."""
         return self.queue.unstarted_tail((*self.live, *self.unstored))
--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -78,7 +78,7 @@
         until it was executed, or can't be executed any more because the record has changed.
         """
         ref = job_state.job.ref
-        tail = job_state.spare_tail()
+        tail = job_state.unstarted_tail()
         known = self._assignments.get(ref)
         if tail is None or known is None or ref in self._handing_over:
             return
