--- a/basaltlead/core/draining.py
+++ b/basaltlead/core/draining.py
@@ -37,5 +37,5 @@
             need_us = int(job.checkpoint_duration_s * US) + self._stop_lead_us
             if left_us is None or left_us <= need_us:
                 self._attempts.stop_gracefully(attempt)
-        elif machine.draining and (machine.failed_jobs or machine.straggler_jobs):
+        elif machine.faulty and (machine.failed_jobs or machine.straggler_jobs):
             self._attempts.stop(attempt, 0.0)
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -105,7 +105,7 @@
         self.synced = False  # a message with our fencing token has arrived in this agent epoch
         self.recorded = False  # recorded in the key-value store, so tasks may be started
         self.lost = False  # its lease has expired without an answer of ours
-        self.draining = False  # considered faulty or slow
+        self.faulty = False  # considered faulty or slow
         self.terminating = False  # to be returned to the cloud
         self.preemption_at: int | None = None  # when the cloud takes it back
         self.cordoned_until = 0  # nothing is started on it until then
@@ -154,7 +154,7 @@
             self.synced
             and self.recorded
             and not self.lost
-            and not self.draining
+            and not self.faulty
             and not self.terminating
             and not self.unreachable_since
             and self.preemption_at is None
@@ -164,7 +164,7 @@
     @property
     def is_draining(self) -> bool:
         """Whether its tasks are to be moved to other machines."""
-        return self.draining or self.preemption_at is not None
+        return self.faulty or self.preemption_at is not None
 
     @property
     def epoch(self) -> int:
--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -99,7 +99,7 @@
         others = (self._jobs.by_ref.get(ref) for ref in machine.failed_jobs)
         proven = sum(1 for other in others if other is None or other.proven)
         if proven >= FAULTY_MACHINE_PROVEN_JOBS or len(machine.failed_jobs) >= FAULTY_MACHINE_JOBS:
-            machine.draining = True
+            machine.faulty = True
             self._log(
                 f"machine {machine.name} is faulty: jobs {sorted(machine.failed_jobs)} failed on it"
             )
--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -95,7 +95,7 @@
         self._bins = [
             PackingBin(m.machine_type, Offer(m.machine_type.name, m.zone, m.spot), m)
             for m in machines
-            if not (m.draining or m.terminating or m.lost or m.preemption_at is not None)
+            if not (m.faulty or m.terminating or m.lost or m.preemption_at is not None)
         ]
         # Cheap room first, then machines that have work: those left unused can be returned.
         self._bins.sort(
--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -120,7 +120,7 @@
         """Stop replicas on machines that are about to go, each once there is a place for it. A
         later plan starts it there, as soon as the old attempt is provably gone."""
         for machine in self._context.shard.machines.values():
-            if machine.preemption_at is None and not machine.draining:
+            if machine.preemption_at is None and not machine.faulty:
                 continue
             for attempt in list(machine.attempts.values()):
                 if attempt.job_state.job.service and attempt.stop_grace_s is None:
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -228,7 +228,7 @@
         due = [
             m
             for m in self.machines.values()
-            if m.lease.counted_from < silent_before or m.preemption_at is not None or m.draining
+            if m.lease.counted_from < silent_before or m.preemption_at is not None or m.faulty
         ]
         for machine in due:
             if machine.lost or not machine.lease.has_expired(now, self.timing):
--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -65,7 +65,7 @@
             f"stopping straggler {job_state.job.ref}/{attempt.index} on it"
         )
         if len(machine.straggler_jobs) >= FAULTY_MACHINE_SLOW_JOBS:
-            machine.draining = True
+            machine.faulty = True
         self._attempts.stop_gracefully(attempt)
 
 
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -98,7 +98,7 @@
             return TerminationReason.UNREACHABLE
         if not self.context.shard.is_settled(machine):
             return None
-        if machine.draining:
+        if machine.faulty:
             return TerminationReason.FAULTY
         surplus = machine.name not in needed and self._idle_for_long(machine, now)
         return TerminationReason.IDLE if surplus and not self._retained(machine) else None
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -9,7 +9,7 @@
 from basaltlead.core.machine_state import MachineState
 from tests.builders import MACHINE_TYPE, TIMING, Story, task_status
 
-FACTS = ("up", "synced", "recorded", "lost", "draining", "terminating")
+FACTS = ("up", "synced", "recorded", "lost", "faulty", "terminating")
 
 
 def _state(story: Story, name: str = "m-0") -> MachineState:
@@ -130,7 +130,7 @@
     machine = story.shard.machines["m-0"]
 
     machine.terminating = True
-    machine.draining = True
+    machine.faulty = True
     assert _state(story) is MachineState.TERMINATING
     story.now += TIMING.lease_expiry_us + 1
     story.shard.advance(story.now)
--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -74,7 +74,7 @@
     assert deployment.rule_checker.starts_of("req-000001") < 40  # of 3 replicas, for two minutes
     shard_leader = deployment.acting_shard_leader()
     machines = deployment.controllers[shard_leader].shard_leaders[0].shard.machines.values()
-    assert not any(machine.draining for machine in machines)
+    assert not any(machine.faulty for machine in machines)
     assert await deployment.cancel("req-000001") == "withdrawn"
     await asyncio.sleep(3)
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -538,7 +538,7 @@
             break
         story.shard._attempts.remove(attempt, story.now)
         for machine in story.shard.machines.values():
-            machine.draining = False
+            machine.faulty = False
         story.now += 301 * US
         for name in story.shard.machines:
             story.heartbeat(name)
@@ -683,5 +683,5 @@
         assert not job_state.live  # both are avoided for a while
     machines = story.shard.machines.values()
 
-    assert not any(machine.draining for machine in machines)
+    assert not any(machine.faulty for machine in machines)
     assert all(not machine.failed_jobs for machine in machines)
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -30,7 +30,7 @@
     assert deployment.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, for three minutes
     shard_leader = deployment.acting_shard_leader()
     machines = deployment.controllers[shard_leader].shard_leaders[0].shard.machines.values()
-    assert not any(machine.draining for machine in machines)
+    assert not any(machine.faulty for machine in machines)
     assert deployment.cloud.rented_count <= len(rented) + 4  # none was changed for another
     assert await deployment.cancel("req-000001") == "withdrawn"
     await asyncio.sleep(3)
