--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -121,7 +121,7 @@
             offer = Offer(machine.machine_type.name, machine.zone, machine.spot)
             self._cpus[offer] = self._cpus.get(offer, 0.0) + machine.machine_type.cpus - taken
 
-    def drain_us(self, job: Job, backlog: float) -> float:
+    def backlog_us(self, job: Job, backlog: float) -> float:
         """How long the machines that a job may use, booting ones included, need for a backlog in
         CPU microseconds; infinite if there are none.
 
--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -16,7 +16,7 @@
 
     job_state: JobState
     count: int
-    drain_us: float = float("inf")  # time until the rented machines have done all open work
+    backlog_us: float = float("inf")  # time until the rented machines have done all open work
     run_us: int = 0  # estimated run time of a task of the job
 
 
@@ -123,7 +123,7 @@
         self._drop_full_bins()
         for need, count in zip(needs, unplaced, strict=True):
             zone_room = self._zone_room(need.job_state, count)
-            self._place(need.job_state.job, count, zone_room, need.drain_us)
+            self._place(need.job_state.job, count, zone_room, need.backlog_us)
 
     def place_spares(self, spares: Sequence[WarmSpare]) -> None:
         """Find room for spares.
@@ -223,7 +223,7 @@
         )
 
     def _place(
-        self, job: Job, count: int, zone_room: dict[str, int] | None, drain_us: float
+        self, job: Job, count: int, zone_room: dict[str, int] | None, backlog_us: float
     ) -> None:
         """Place this many tasks of a job.
 
@@ -234,7 +234,7 @@
         while placed < count:
             if position == len(self._with_room):
                 zones = None if zone_room is None else {z for z, n in zone_room.items() if n > 0}
-                if self._rent(job, zones, count - placed, drain_us) is None:
+                if self._rent(job, zones, count - placed, backlog_us) is None:
                     break
             packing_bin = self._with_room[position]
             position += 1
@@ -253,11 +253,11 @@
             self._drop_full_bins()
 
     def _rent(
-        self, job: Job, zones: set[str] | None, count: int, drain_us: float
+        self, job: Job, zones: set[str] | None, count: int, backlog_us: float
     ) -> PackingBin | None:
         """Add a bin for a machine to be rented for these tasks; None if no offer is worth its
         price."""
-        offer = self._rental_choice.rent(job, zones, count, drain_us)
+        offer = self._rental_choice.rent(job, zones, count, backlog_us)
         if offer is None:
             return None
         machine_type = self._rental_choice.machine_types[offer.type_name]
--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -51,11 +51,11 @@
         self._max_rentals = max_rentals
         self._counts: dict[Offer, int] = {}  # of rentals
 
-    def rent(self, job: Job, zones: set[str] | None, count: int, drain_us: float) -> Offer | None:
+    def rent(self, job: Job, zones: set[str] | None, count: int, backlog_us: float) -> Offer | None:
         """Rent one machine for this many tasks of a job: the one that gives them room at the lowest
         price.
 
-        `zones` are the zones that they may be in, None for all; `drain_us` is the time until the
+        `zones` are the zones that they may be in, None for all; `backlog_us` is the time until the
         machines rented already have done all open work. Returns None if no offer is worth its price
         or the maximum number of rentals is reached.
         """
@@ -66,7 +66,7 @@
             offer
             for offer, available in self.offers.items()
             if (available is None or counts.get(offer, 0) < available)
-            and self._is_worth_renting(job, offer, zones, drain_us)
+            and self._is_worth_renting(job, offer, zones, backlog_us)
         ]
         if not candidates:
             return None
@@ -84,7 +84,7 @@
         return chosen
 
     def _is_worth_renting(
-        self, job: Job, offer: Offer, zones: set[str] | None, drain_us: float
+        self, job: Job, offer: Offer, zones: set[str] | None, backlog_us: float
     ) -> bool:
         """Whether the job may use such a machine, and it would still be of use once it has
         booted."""
@@ -94,7 +94,7 @@
             offer.allows(job)
             and (zones is None or offer.zone in zones)
             and machine_type.capacity_for(job) > 0
-            and machine_type.boot_us * min_boot_times <= drain_us
+            and machine_type.boot_us * min_boot_times <= backlog_us
         )
 
     def _price(self, job: Job, offer: Offer, count: int) -> float:
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -48,7 +48,7 @@
             state.need = counts[state.job.ref]
             need = Demand(state, state.need, run_us=shard.estimated_run_us(state))
             if state.job.shape is Shape.ARRAY:
-                need.drain_us = capacity.drain_us(state.job, backlog)
+                need.backlog_us = capacity.backlog_us(state.job, backlog)
             needs.append(need)
         return needs
 
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -11,12 +11,12 @@
 BOTH: dict[Offer, int | None] = {Offer("k", "a", True): None, Offer("k", "a", False): None}
 
 
-def _rented(drain_us: float, offers: dict[Offer, int | None]) -> list[bool]:
+def _rented(backlog_us: float, offers: dict[Offer, int | None]) -> list[bool]:
     """What is rented, as whether it is spot, for a job of 40 tasks while all that is rented
     would need so long for what waits."""
     story = Story(machines=0)
     job_state = story.shard.add_job(make_job(tasks=40), 200, story.now)
-    needs = [Demand(job_state, 40, drain_us)]
+    needs = [Demand(job_state, 40, backlog_us)]
     return [
         offer.spot
         for offer in fleet_sizing.plan_fleet(needs, [], [], {"k": MACHINE_TYPE}, offers, 12).rentals
