--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -80,7 +80,7 @@
     )
 
 
-def is_preemptible(job_state: JobState) -> bool:
+def is_preemptible_by_any_array(job_state: JobState) -> bool:
     """Whether arrays of a higher rank that are below HIGH_RANK may preempt it: it has no objective,
     and its tasks save checkpoints."""
     return not job_state.has_objective and job_state.job.checkpoint_interval_us > 0
@@ -116,7 +116,7 @@
                 or not exceeds_guarantee(self._shard, other.job.team)
             ):
                 return False
-            return not restricted or is_preemptible(other)
+            return not restricted or is_preemptible_by_any_array(other)
 
         return may_stop
 
