--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -102,7 +102,7 @@
         self._finish_list(machine, listed, is_newest, now)
         messages.record_list(heartbeat.sequence)
 
-    def receive_answer(
+    def receive_push_response(
         self, machine: Machine, answer: WorkerReport, now: int, pushed_starts: Iterable[Attempt]
     ) -> None:
         """Apply the answer to pushed commands. `pushed_starts` are the starts that it proves to be
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -212,7 +212,7 @@
         executed."""
         machine = self.machines.get(heartbeat.machine)
         if machine is not None:
-            self._reconciler.receive_answer(machine, heartbeat, now, pushed_starts)
+            self._reconciler.receive_push_response(machine, heartbeat, now, pushed_starts)
 
     def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
         """Record whether pushed starts were executed; None if that is unknown."""
