--- a/basaltlead/core/message_order.py
+++ b/basaltlead/core/message_order.py
@@ -16,7 +16,7 @@
         self.sequence = 0  # of the newest message whose list of tasks was applied
         self.heartbeat_sequence = 0  # of the newest heartbeat
         # Since when we have answered heartbeats that do not carry our fencing token; 0: they do.
-        self.unsynced_since = 0
+        self.token_missing_since = 0
 
     def begin_epoch(self, epoch: int, now: int) -> None:
         """Begin a new epoch, with no message received in it yet."""
@@ -29,7 +29,7 @@
         """End the epoch: delayed reports of it are obsolete. Has no effect before the first
         epoch."""
         self.min_epoch = self.epoch + 1 if self.epoch else 0
-        self.unsynced_since = 0
+        self.token_missing_since = 0
 
     def record_list(self, sequence: int) -> None:
         """Record that the list of tasks of the message with this sequence number was applied."""
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -66,8 +66,8 @@
             return OUTDATED
         has_token = heartbeat.fencing_token == self._fencing_token
         if not has_token:
-            messages.unsynced_since = messages.unsynced_since or now
-            if now - messages.unsynced_since > self._timing.lease_us:
+            messages.token_missing_since = messages.token_missing_since or now
+            if now - messages.token_missing_since > self._timing.lease_us:
                 return REFUSED
             if machine.lost:  # only a report with our fencing token proves that it is alive
                 return UNPROVEN
@@ -88,8 +88,8 @@
     ) -> None:
         """Apply a heartbeat that carries our fencing token."""
         messages = machine.messages
-        if messages.unsynced_since:  # earlier ones did not carry it, so an answer has arrived
-            messages.unsynced_since = 0
+        if messages.token_missing_since:  # earlier ones did not carry it, so an answer has arrived
+            messages.token_missing_since = 0
             self._fleet.confirm_reachable(machine)
         doubted_at = max(messages.epoch_started_at, machine.unreachable_since)
         if now - doubted_at > self._timing.lease_expiry_us:
