--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -44,12 +44,12 @@
     due_of: Callable[[JobState, int], Due],
     estimated_run_us: Callable[[JobState], int],
     lead_us: int,
-    cpu_us_left: dict[str, float],
+    remaining_cpu_us: dict[str, float],
 ) -> dict[str, int]:
     """How many tasks of each job should run, by job, including those that run already.
 
     `estimated_run_us` estimates how long a task of a job runs, `lead_us` is how long a machine
-    takes to boot, and `cpu_us_left` is the remaining work of each array (see `remaining_cpu_us`).
+    takes to boot, and `remaining_cpu_us` is the remaining work of each array (see `remaining_cpu_us`).
     """
     wanted: dict[str, int] = {}
     due_jobs: list[DueJob] = []
@@ -63,7 +63,7 @@
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_JOB_SPAN_US)
             due_jobs.append(DueJob(due_at, run_us, job_state))
     due_jobs.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
-    rate = _needed_rate(due_jobs, now, lead_us, cpu_us_left)
+    rate = _needed_rate(due_jobs, now, lead_us, remaining_cpu_us)
     for _, _, job_state in due_jobs:
         size = job_state.job.size
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
@@ -76,14 +76,14 @@
 
 
 def _needed_rate(
-    due_jobs: Iterable[DueJob], now: int, lead_us: int, cpu_us_left: dict[str, float]
+    due_jobs: Iterable[DueJob], now: int, lead_us: int, remaining_cpu_us: dict[str, float]
 ) -> float:
     """The CPUs that must work at the same time for these jobs, which come in the order of their due
     times."""
     total = 0.0
     rate = 0.0
     for due_at, run_us, job_state in due_jobs:
-        total += cpu_us_left[job_state.job.ref]
+        total += remaining_cpu_us[job_state.job.ref]
         left_us = int((due_at - now) * USABLE_TIME_FRACTION) - (0 if job_state.live else lead_us)
         rate = max(rate, total / max(left_us, run_us, US))
     return rate
@@ -95,13 +95,13 @@
     """The remaining work of each array, in CPU microseconds. It takes a pass over every running
     task, so it is computed once per pass over the demand."""
     return {
-        job_state.job.ref: _cpu_us_left(job_state, estimated_run_us(job_state), now)
+        job_state.job.ref: _remaining_cpu_us(job_state, estimated_run_us(job_state), now)
         for job_state in job_states
         if job_state.job.shape is Shape.ARRAY
     }
 
 
-def _cpu_us_left(job_state: JobState, run_us: int, now: int) -> float:
+def _remaining_cpu_us(job_state: JobState, run_us: int, now: int) -> float:
     left_us = job_state.waiting * run_us
     for attempt in job_state.live.values():
         ran_us = now - attempt.running_since if attempt.running_since else 0
--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -69,14 +69,14 @@
             for bid in (bids[member.job.ref] for member in members):
                 slots[bid.key] = min(1, bid.max_slots)
                 left -= slots[bid.key] * bid.size
-            for job_state in sorted(members, key=self._cpu_us_left):
+            for job_state in sorted(members, key=self._remaining_cpu_us):
                 bid = bids[job_state.job.ref]
                 more = min(bid.max_slots - slots[bid.key], max(0, int(left / bid.size)))
                 slots[bid.key] += more
                 left -= more * bid.size
         return slots
 
-    def _cpu_us_left(self, job_state: JobState) -> float:
+    def _remaining_cpu_us(self, job_state: JobState) -> float:
         return job_state.remaining * job_state.job.size * self._shard.estimated_run_us(job_state)
 
     def _bid(self, job_state: JobState) -> Bid[str]:
