--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -63,30 +63,30 @@
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_JOB_SPAN_US)
             due_jobs.append(DueJob(due_at, run_us, job_state))
     due_jobs.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
-    rate = _needed_rate(due_jobs, now, lead_us, remaining_cpu_us)
+    needed_cpus = _needed_cpus(due_jobs, now, lead_us, remaining_cpu_us)
     for _, _, job_state in due_jobs:
         size = job_state.job.size
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
         if now - job_state.submitted_at > MAX_INITIAL_WAIT_US:
             running = max(running, 1)  # prevents starvation: the job takes part in the auction
-        count = min(job_state.remaining, max(running, int(rate / size + ROUND_UP_OFFSET)))
+        count = min(job_state.remaining, max(running, int(needed_cpus / size + ROUND_UP_OFFSET)))
         wanted[job_state.job.ref] = count
-        rate = max(0.0, rate - count * size)
+        needed_cpus = max(0.0, needed_cpus - count * size)
     return wanted
 
 
-def _needed_rate(
+def _needed_cpus(
     due_jobs: Iterable[DueJob], now: int, lead_us: int, remaining_cpu_us: dict[str, float]
 ) -> float:
     """The CPUs that must work at the same time for these jobs, which come in the order of their due
     times."""
     total = 0.0
-    rate = 0.0
+    needed_cpus = 0.0
     for due_at, run_us, job_state in due_jobs:
         total += remaining_cpu_us[job_state.job.ref]
         left_us = int((due_at - now) * USABLE_TIME_FRACTION) - (0 if job_state.live else lead_us)
-        rate = max(rate, total / max(left_us, run_us, US))
-    return rate
+        needed_cpus = max(needed_cpus, total / max(left_us, run_us, US))
+    return needed_cpus
 
 
 def remaining_cpu_us(
