--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -108,7 +108,7 @@
 
     def _open_to(self, job_state: JobState, machines: list[Machine]) -> list[Machine]:
         """Leave out reserved machines, and machines that the job avoids since it failed there."""
-        failed_on = job_state.history.failed_on
+        failed_on = job_state.failure_history.failed_on
         if not self._reserved and not failed_on:
             return machines
         return [
--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -290,7 +290,7 @@
         self.queue_done_count = 0  # tasks of the queue that are done
         self.live: dict[int, Attempt] = {}
         self.live_unfinished_count = 0  # live tasks that are not done
-        self.history = FailureHistory()
+        self.failure_history = FailureHistory()
         self.retry_at = 0  # nothing is started until then
 
         # The market.
@@ -339,7 +339,7 @@
     @property
     def proven(self) -> bool:
         """Whether it is known to be able to run: a task completed, or a replica ran for long."""
-        return bool(self.done_count) or self.history.replica_ran_long
+        return bool(self.done_count) or self.failure_history.replica_ran_long
 
     # The tasks of this shard
 
--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -47,8 +47,8 @@
                 machine.cordoned_until = now + IN_USE_CORDON_US
             case ExitReason.NO_SUCH:
                 # The user may still be uploading the job; if not, frequent retries are useless.
-                job_state.history.record_failure()
-                pause_s = min(MAX_LOOKUP_PAUSE_S, 1 << min(job_state.history.failures, 5))
+                job_state.failure_history.record_failure()
+                pause_s = min(MAX_LOOKUP_PAUSE_S, 1 << min(job_state.failure_history.failures, 5))
                 job_state.retry_at = now + pause_s * US
 
     def record_replica_end(self, attempt: Attempt, reason: str, now: int) -> bool:
@@ -56,7 +56,7 @@
         its end counts against neither its machine nor its job. A replica that repeatedly ends by
         itself soon after its start is restarted at growing intervals, like one that fails."""
         job_state = attempt.job_state
-        history = job_state.history
+        history = job_state.failure_history
         ran_us = now - attempt.running_since if attempt.running_since else 0
         if ran_us >= STABLE_RUN_US:
             history.replica_ran_long = True
@@ -70,7 +70,7 @@
 
     def clear(self, job_state: JobState) -> None:
         """Withdraw the failures of a job from the machines on which it failed."""
-        for name in job_state.history.failed_on:
+        for name in job_state.failure_history.failed_on:
             if name in self._machines:
                 self._machines[name].failed_jobs.discard(job_state.job.ref)
 
@@ -79,7 +79,7 @@
         succeeded, and failed on another machine too, or again on this one after a while. Then the
         error counts against no machine, and from the third trial on the job waits increasingly
         long."""
-        history = job_state.history
+        history = job_state.failure_history
         history.record_trial(machine.name, now)
         history.record_failure()
         if history.trials < TRIALS_UNTIL_JOB_IS_BLAMED or job_state.done_count:
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -105,7 +105,9 @@
         guaranteed = fits_guarantee(self._shard, job_state)
         restricted = not job.gang and job.rank < HIGH_RANK and not guaranteed
         # A service that always fails would preempt other work with each of its attempts.
-        if job.service and (restricted or job_state.history.trials >= TRIALS_UNTIL_JOB_IS_BLAMED):
+        if job.service and (
+            restricted or job_state.failure_history.trials >= TRIALS_UNTIL_JOB_IS_BLAMED
+        ):
             return lambda _: False
 
         def may_stop(other: JobState) -> bool:
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -92,7 +92,7 @@
         if job_state is None:
             return
         job_state.closed = True
-        if not (job_state.history.replica_ran_long or job_state.complete):
+        if not (job_state.failure_history.replica_ran_long or job_state.complete):
             self._failures.clear(job_state)  # the job itself may have been faulty
         self._attempts.stop_all(job_state)
         self._jobs.discard_if_over(job_state)
--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -44,7 +44,7 @@
         that is slow everywhere is left alone after `MAX_STOPPED` stops; one without an estimate is
         never checked."""
         if (
-            job_state.history.stragglers_stopped >= MAX_STOPPED
+            job_state.failure_history.stragglers_stopped >= MAX_STOPPED
             or job_state.job.estimated_run_us <= 0
             or job_state.job.service
         ):
@@ -58,7 +58,7 @@
 
     def _stop(self, attempt: Attempt, now: int) -> None:
         machine, job_state = attempt.machine, attempt.job_state
-        job_state.history.record_straggler(machine.name, now + STRAGGLER_AVOIDANCE_US)
+        job_state.failure_history.record_straggler(machine.name, now + STRAGGLER_AVOIDANCE_US)
         machine.straggler_jobs.add(job_state.job.ref)
         self._log(
             f"machine {machine.name} is slow: "
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -84,7 +84,7 @@
 
     assert not job_state.live
     assert job_state.waiting == 1
-    assert not job_state.history.failures
+    assert not job_state.failure_history.failures
     assert not job_state.retry_at
     assert _state(story) is MachineState.READY
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -544,7 +544,7 @@
             story.heartbeat(name)
         plan(story.shard, story.now)
 
-    assert everywhere.history.stragglers_stopped == 4
+    assert everywhere.failure_history.stragglers_stopped == 4
     assert attempt.stop_grace_s is None
 
 
