--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -205,7 +205,7 @@
         """Whether some commands for the machine have not been sent."""
         return has_pending_commands(machine)
 
-    def answer(
+    def receive_push_response(
         self, heartbeat: WorkerReport, now: int, pushed_starts: Iterable[Attempt] = ()
     ) -> None:
         """Apply the answer to pushed commands. `pushed_starts` are the starts that it proves to be
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -112,7 +112,7 @@
             if self.lease.stepped_down or heartbeat.machine != machine.name:
                 executed = None
             else:
-                self.shard.answer(heartbeat, now_us(), starts if executed else ())
+                self.shard.receive_push_response(heartbeat, now_us(), starts if executed else ())
         except RequestFailed as fault:
             log.debug("pushing commands to %s failed: %s", machine.name, fault)
             executed = None if fault.sent else False
@@ -222,7 +222,7 @@
                     return
                 epoch = heartbeat.epoch
                 if executed and self.lease.holds_valid_lease:
-                    self.shard.answer(heartbeat, now_us())
+                    self.shard.receive_push_response(heartbeat, now_us())
                     self.note_contact(now_us())
                     if machine.synced and not machine.recorded:
                         self.record(machine)
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -94,7 +94,7 @@
 
     story.shard.mark_unreachable(story.shard.machines["m-0"], story.now)
     assert _state(story) is MachineState.CORDONED
-    story.shard.answer(story.make_heartbeat("m-0"), story.now)
+    story.shard.receive_push_response(story.make_heartbeat("m-0"), story.now)
 
     assert _state(story) is MachineState.READY
 
@@ -120,7 +120,7 @@
     story.heartbeat("m-0", epoch=2, tick=1, fencing_token=7)
     assert not story.shard.machines["m-0"].lost
     assert _state(story) is MachineState.CORDONED
-    story.shard.answer(story.make_heartbeat("m-0", epoch=2, tick=2), story.now)
+    story.shard.receive_push_response(story.make_heartbeat("m-0", epoch=2, tick=2), story.now)
 
     assert _state(story) is MachineState.READY
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -198,7 +198,7 @@
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     attempt = story.attempt(job_state)
     answer = story.make_heartbeat("m-0", task_status(attempt, "fetching"))
-    story.shard.answer(answer, story.now, pushed_starts)
+    story.shard.receive_push_response(answer, story.now, pushed_starts)
     story.shard.acknowledge_starts(pushed_starts, True)
     assert attempt.stage == "fetching"
     story.shard.heartbeat(before, story.now)
@@ -415,7 +415,9 @@
     plan(story.shard, story.now)
     assert job_state.live[0].machine is not unreachable
     assert not unreachable.usable(story.now)
-    story.shard.answer(story.make_heartbeat(unreachable.name, epoch=2, tick=2), story.now)
+    story.shard.receive_push_response(
+        story.make_heartbeat(unreachable.name, epoch=2, tick=2), story.now
+    )
 
     assert unreachable.usable(story.now)
 
--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -48,7 +48,7 @@
     """The machine answers a push, and shows its epoch and, if it executed them, the starts."""
     machine = starts[0].machine.name
     tasks = [task_status(attempt, "running") for attempt in starts] if executed else []
-    story.shard.answer(
+    story.shard.receive_push_response(
         story.make_heartbeat(machine, *tasks, epoch=epoch), story.now, starts if executed else ()
     )
     story.shard.acknowledge_starts(starts, executed)
@@ -56,7 +56,7 @@
 
 def _probe(story: Story, machine: str, epoch: int) -> None:
     """A probe is answered, without a task."""
-    story.shard.answer(story.make_heartbeat(machine, epoch=epoch), story.now)
+    story.shard.receive_push_response(story.make_heartbeat(machine, epoch=epoch), story.now)
 
 
 def _start_in_new_epoch(story: Story, machine: Machine, job_state: JobState) -> Attempt:
