--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -45,7 +45,7 @@
         team.gpus += job_state.job.gpus
         return attempt
 
-    def plan_again(self, attempt: Attempt) -> None:
+    def resend_start(self, attempt: Attempt) -> None:
         """Have the start command sent again, after it has provably not been executed."""
         attempt.stage = PLANNED
         self._signals.push_queue[attempt.machine.name] = None
@@ -107,5 +107,5 @@
                 # The answer to the next heartbeat carries the start again.
                 attempt.start_unacknowledged = True
             elif not executed and attempt.stage == SENT:
-                self.plan_again(attempt)
+                self.resend_start(attempt)
                 self._signals.plan_needed = True
--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -165,6 +165,6 @@
         if attempt.sent_sequence and attempt.sent_sequence >= sequence:
             return  # the start command was sent with or after the answer to this heartbeat
         if attempt.stage == SENT and attempt.stop_grace_s is None:
-            self._attempts.plan_again(attempt)  # the answer with the start command was lost
+            self._attempts.resend_start(attempt)  # the answer with the start command was lost
         else:
             self._attempts.remove(attempt, now)
