--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -108,11 +108,12 @@
 
     def _open_to(self, job_state: JobState, machines: list[Machine]) -> list[Machine]:
         """Leave out reserved machines, and machines that the job avoids since it failed there."""
-        failed_on = job_state.failure_history.failed_on
-        if not self._reserved and not failed_on:
+        avoided_until = job_state.failure_history.avoided_until
+        if not self._reserved and not avoided_until:
             return machines
         return [
             machine
             for machine in machines
-            if machine.name not in self._reserved and failed_on.get(machine.name, 0) <= self._now
+            if machine.name not in self._reserved
+            and avoided_until.get(machine.name, 0) <= self._now
         ]
--- a/basaltlead/core/failure_history.py
+++ b/basaltlead/core/failure_history.py
@@ -15,7 +15,7 @@
         self.trials = 0
         self.replica_ran_long = False  # so the job is known to be able to run
         self.stragglers_stopped = 0  # how often a task was stopped for being slow
-        self.failed_on: dict[str, int] = {}  # machines that the job avoids, and until when
+        self.avoided_until: dict[str, int] = {}  # machines that the job avoids, and until when
 
     def record_failure(self) -> None:
         """Record that an attempt failed."""
@@ -24,11 +24,11 @@
     def record_straggler(self, machine: str, until: int) -> None:
         """Record a task stopped on this machine for being slow; the job avoids it until then."""
         self.stragglers_stopped += 1
-        self.failed_on[machine] = until
+        self.avoided_until[machine] = until
 
     def record_trial(self, machine: str, now: int) -> None:
         """Record a failed attempt on this machine. It counts as a trial unless the job failed there
         within the last `FAILED_AVOIDANCE_US`."""
-        if now >= self.failed_on.get(machine, 0):
+        if now >= self.avoided_until.get(machine, 0):
             self.trials += 1
-        self.failed_on[machine] = now + FAILED_AVOIDANCE_US
+        self.avoided_until[machine] = now + FAILED_AVOIDANCE_US
--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -70,7 +70,7 @@
 
     def clear(self, job_state: JobState) -> None:
         """Withdraw the failures of a job from the machines on which it failed."""
-        for name in job_state.failure_history.failed_on:
+        for name in job_state.failure_history.avoided_until:
             if name in self._machines:
                 self._machines[name].failed_jobs.discard(job_state.job.ref)
 
--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -32,7 +32,7 @@
     """The job's requirements; None if its chances also depend on its own state, as for a job that
     failed on some machines, or one whose running tasks decide where the others may be placed."""
     job = job_state.job
-    if job_state.failure_history.failed_on or (job.single_shard and job_state.live):
+    if job_state.failure_history.avoided_until or (job.single_shard and job_state.live):
         return None
     return Requirements(
         job.shape,
