--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -71,7 +71,7 @@
         self._pushing: set[str] = set()  # names of machines with pushed commands in flight
         self._probing: set[str] = set()
         self._recording: set[str] = set()
-        self.last_contact_at = 0  # when any machine last showed our fencing token
+        self.last_token_shown_at = 0  # when any machine last showed our fencing token
 
     def _holds_valid_lease(self) -> bool:
         return self.lease.holds_valid_lease
@@ -83,7 +83,7 @@
 
     def note_contact(self, now: int) -> None:
         """Record that a machine has shown our fencing token."""
-        self.last_contact_at = now
+        self.last_token_shown_at = now
 
     def push_all(self, now: int) -> None:
         """Push the commands that can't wait for the next heartbeat."""
