--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -81,7 +81,7 @@
         for address in list(self.workers.pools):
             self.workers.forget(address)
 
-    def note_contact(self, now: int) -> None:
+    def note_token_shown(self, now: int) -> None:
         """Record that a machine has shown our fencing token."""
         self.last_token_shown_at = now
 
@@ -223,7 +223,7 @@
                 epoch = heartbeat.epoch
                 if executed and self.lease.holds_valid_lease:
                     self.shard.receive_push_response(heartbeat, now_us())
-                    self.note_contact(now_us())
+                    self.note_token_shown(now_us())
                     if machine.synced and not machine.recorded:
                         self.record(machine)
                     self.context.wake.set()
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -84,7 +84,7 @@
     def _after_heartbeat(self, machine: Machine, shows_token: bool, now: int) -> None:
         """Record a new machine, and probe one that commands may not reach."""
         if shows_token:
-            self.dispatcher.note_contact(now)
+            self.dispatcher.note_token_shown(now)
             if not machine.recorded:
                 self.dispatcher.record(machine)
         if machine.unreachable_since or not machine.synced:
