--- a/basaltlead/core/cancellations.py
+++ b/basaltlead/core/cancellations.py
@@ -8,13 +8,13 @@
 
 
 class Cancellations:
-    """The most recent `most` jobs known to be cancelled. Times are microseconds.
+    """The most recent `max_known` jobs known to be cancelled. Times are microseconds.
 
     Dropping the oldest shortens the period for which the list is complete.
     """
 
-    def __init__(self, now: int, most: int = MAX_KNOWN) -> None:
-        self.most = most
+    def __init__(self, now: int, max_known: int = MAX_KNOWN) -> None:
+        self.max_known = max_known
         # Everything that this incarnation has confirmed at this time or later is listed.
         self.complete_since = now
         self._known: dict[str, int] = {}  # when each job was first known to be cancelled
@@ -28,7 +28,7 @@
         if ref in self._known:
             return False
         self._known[ref] = now
-        while len(self._known) > self.most:
+        while len(self._known) > self.max_known:
             oldest = next(iter(self._known))
             self.complete_since = self._known.pop(oldest) + 1
         return True
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -92,7 +92,7 @@
 
 
 def test_cancellations_are_confirmed_only_as_far_back_as_they_are_remembered() -> None:
-    known = Cancellations(100, most=2)
+    known = Cancellations(100, max_known=2)
 
     assert known.since(99) is None  # an earlier incarnation may have confirmed some
     assert known.since(100) == []
