--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -129,10 +129,10 @@
         Below HIGH_RANK and outside a guarantee a task waits for machines that are rented for it,
         unless its objective depends on a share that others hold.
         """
-        below_share = job_state.slots is not None and len(job_state.live) < job_state.slots
+        below_slots = job_state.slots is not None and len(job_state.live) < job_state.slots
         if (
             job_state.job.rank < HIGH_RANK
-            and not (job_state.has_objective and below_share)
+            and not (job_state.has_objective and below_slots)
             and not fits_guarantee(self._shard, job_state)
         ):
             return None
