--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -132,19 +132,21 @@
         spare takes no room from them here. When it counted as taken, machines were rented for tasks
         that never had to move.
         """
-        spare_room = {id(packing_bin): packing_bin.room.copy() for packing_bin in self._with_room}
+        room_for_spares = {
+            id(packing_bin): packing_bin.room.copy() for packing_bin in self._with_room
+        }
         for spare in spares:
             held: Counter[str] = Counter()  # by zone
             for _ in range(spare.count):
-                found = self._spare_bin(spare, spare_room, held)
+                found = self._spare_bin(spare, room_for_spares, held)
                 if found is None:
                     break
-                spare_room.setdefault(id(found), found.room.copy()).take(spare.job)
+                room_for_spares.setdefault(id(found), found.room.copy()).take(spare.job)
                 held[found.zone] += 1
                 found.used += 1
 
     def _spare_bin(
-        self, spare: WarmSpare, spare_room: dict[int, Resources], held: Counter[str]
+        self, spare: WarmSpare, room_for_spares: dict[int, Resources], held: Counter[str]
     ) -> PackingBin | None:
         """The machine with the most of the images, in a zone that does not have its part of the
         spares yet. One is rented if none has room."""
@@ -156,7 +158,7 @@
             for b in self._with_room
             if b.zone not in full
             and b.offer.allows(job)
-            and spare_room.get(id(b), b.room).fits(job)
+            and room_for_spares.get(id(b), b.room).fits(job)
         ]
         if fitting:
             return max(fitting, key=lambda b: b.image_count(spare.images))
