--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -199,12 +199,12 @@
         best_zone: str | None = None
         best_slots = 0
         for zone in zones:
-            slots = self._slots_in(zone, job, count)
+            slots = self._capacity_in(zone, job, count)
             if slots > best_slots and (slots >= count or self._may_rent_in(zone, job)):
                 best_zone, best_slots = zone, slots
         return best_zone
 
-    def _slots_in(self, zone: str, job: Job, count: int) -> int:
+    def _capacity_in(self, zone: str, job: Job, count: int) -> int:
         """How many of these tasks fit on what is rented in a zone."""
         slots = 0
         for packing_bin in self._with_room:
