--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -9,7 +9,7 @@
 from basaltlead.core.task_states import ExitReason
 
 # A job that failed in this many trials and never succeeded is itself considered faulty.
-TRIALS_UNTIL_JOB_IS_BLAMED = 2
+TRIALS_UNTIL_JOB_IS_FAULTY = 2
 TRIALS_BEFORE_PAUSE = 3  # from then on a job that never succeeded waits between trials
 MAX_RETRY_PAUSE_S = 60
 MAX_LOOKUP_PAUSE_S = 30  # between attempts of a job that workers do not find
@@ -82,7 +82,7 @@
         history = job_state.failure_history
         history.record_trial(machine.name, now)
         history.record_failure()
-        if history.trials < TRIALS_UNTIL_JOB_IS_BLAMED or job_state.done_count:
+        if history.trials < TRIALS_UNTIL_JOB_IS_FAULTY or job_state.done_count:
             self._record_machine_failure(machine, job_state, now)
             return
         self.clear(job_state)
--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -6,7 +6,7 @@
 from basaltlead.core import placement
 from basaltlead.core.candidate_machines import CandidateMachines
 from basaltlead.core.entities import Attempt, JobState, Machine
-from basaltlead.core.failures import TRIALS_UNTIL_JOB_IS_BLAMED
+from basaltlead.core.failures import TRIALS_UNTIL_JOB_IS_FAULTY
 from basaltlead.core.jobs import RANKS, Job
 from basaltlead.core.shard import Shard
 from basaltlead.core.task_states import BEFORE_FIRST_RUN
@@ -106,7 +106,7 @@
         restricted = not job.gang and job.rank < HIGH_RANK and not guaranteed
         # A service that always fails would preempt other work with each of its attempts.
         if job.service and (
-            restricted or job_state.failure_history.trials >= TRIALS_UNTIL_JOB_IS_BLAMED
+            restricted or job_state.failure_history.trials >= TRIALS_UNTIL_JOB_IS_FAULTY
         ):
             return lambda _: False
 
