--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -91,8 +91,8 @@
         if messages.token_missing_since:  # earlier ones did not carry it, so an answer has arrived
             messages.token_missing_since = 0
             self._fleet.confirm_reachable(machine)
-        doubted_at = max(messages.epoch_started_at, machine.unreachable_since)
-        if now - doubted_at > self._timing.lease_expiry_us:
+        uncertain_since = max(messages.epoch_started_at, machine.unreachable_since)
+        if now - uncertain_since > self._timing.lease_expiry_us:
             # Without our answers its lease would have expired and its agent epoch ended.
             self._fleet.confirm_reachable(machine)
         listed = self._apply_tasks(machine, heartbeat.tasks, is_newest, now)
