--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -40,8 +40,8 @@
         with_objective = [self._bid(job_state) for job_state in arrays if job_state.has_objective]
         others = [job_state for job_state in arrays if not job_state.has_objective]
         capacity = self._capacity()
-        kept_back = capacity * SHARE_WITHOUT_OBJECTIVE if others else 0.0
-        slots = allocate(with_objective, capacity - kept_back)
+        reserved_cpus = capacity * SHARE_WITHOUT_OBJECTIVE if others else 0.0
+        slots = allocate(with_objective, capacity - reserved_cpus)
         given = sum(slots[bid.key] * bid.size for bid in with_objective)
         slots |= self._share_remainder(others, capacity - given)
         all_bids = [*with_objective, *map(self._bid, others)]
