--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -42,8 +42,8 @@
         capacity = self._capacity()
         reserved_cpus = capacity * SHARE_WITHOUT_OBJECTIVE if others else 0.0
         slots = allocate(with_objective, capacity - reserved_cpus)
-        given = sum(slots[bid.key] * bid.size for bid in with_objective)
-        slots |= self._share_remainder(others, capacity - given)
+        allocated_cpus = sum(slots[bid.key] * bid.size for bid in with_objective)
+        slots |= self._share_remainder(others, capacity - allocated_cpus)
         all_bids = [*with_objective, *map(self._bid, others)]
         return AuctionResult(slots, price(all_bids, capacity))
 
