--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -116,7 +116,7 @@
     def _update_bid(self, job_state: JobState, span_us: int, now: int) -> None:
         if job_state.bid <= 0:
             job_state.bid = self.first_bid(job_state, now)
-        value, wanted = self._measured(job_state, span_us, now)
+        value, wanted = self._update_progress(job_state, span_us, now)
         direction = self._directions.setdefault(job_state.job.ref, BidDirection())
         job_state.bid = direction.next_bid(
             job_state.bid,
@@ -127,7 +127,7 @@
             self.parameters.threshold,
         )
 
-    def _measured(self, job_state: JobState, span_us: int, now: int) -> tuple[float, float]:
+    def _update_progress(self, job_state: JobState, span_us: int, now: int) -> tuple[float, float]:
         """The measured and the wanted progress of a job in a round.
 
         For a service these are running and wanted replicas. For a job with a due time they are the
