--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -2,7 +2,8 @@
 
 The list of a machine's tasks is trusted only if the report carries our fencing token: the worker
 then rejects every command of an earlier shard leader, so only our own commands can still change the
-list (test_heartbeat_without_our_fencing_token_does_not_sync_the_machine).
+list (test_heartbeat_without_our_fencing_token_does_not_sync_the_machine). Its entries are applied
+only if no newer list was applied before.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -22,9 +23,9 @@
 class HeartbeatOutcome(Enum):
     """How a heartbeat was classified, which determines its HTTP response."""
 
-    REFUSED = auto()  # not 200, which would renew the worker's lease
-    OUTDATED = auto()  # 200 without commands: a late copy, whose sender no longer waits
-    UNPROVEN = auto()  # 200 with halts only: a copy, or from a machine that our answers don't reach
+    REFUSED = auto()  # an error status, since 200 would renew the worker's lease
+    OUTDATED = auto()  # 200 without commands: a delayed copy, whose answer nobody waits for
+    UNPROVEN = auto()  # 200 with halts only: a copy, or our answers don't reach the machine
     ACCEPTED = auto()  # 200 with commands
 
 
@@ -53,9 +54,9 @@
         """Apply a heartbeat as far as it can be trusted, and return its classification.
 
         A report without our fencing token may be an old copy, or come from a machine that our
-        answers don't reach. Such reports are answered, so that a live machine can send the token
-        with its next one, but for one lease duration at most: without answers the machine's own
-        lease then expires, and jobs need not wait for the machine any longer
+        answers don't reach. Such reports are answered for one lease duration, so that a live
+        machine learns the token and shows it in its next heartbeat. After that they are refused:
+        the machine's lease then expires, and jobs need not wait for the machine any longer
         (test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever,
         test_late_copy_of_an_old_heartbeat_is_ignored).
         """
@@ -69,11 +70,14 @@
             messages.token_missing_since = messages.token_missing_since or now
             if now - messages.token_missing_since > self._timing.lease_us:
                 return REFUSED
-            if machine.lost:  # only a report with our fencing token proves that it is alive
+            if (
+                machine.lost
+            ):  # only a report with our fencing token proves that the machine is alive
                 return UNPROVEN
         if heartbeat.epoch > messages.epoch:
             self._fleet.begin_epoch(machine, heartbeat.epoch, now)
         messages.heartbeat_sequence = heartbeat.sequence
+        # An answer to a push may already have delivered a newer list.
         is_newest = heartbeat.sequence > messages.sequence
         machine.last_heartbeat_at = now
         machine.address = heartbeat.address
@@ -88,12 +92,14 @@
     ) -> None:
         """Apply a heartbeat that carries our fencing token."""
         messages = machine.messages
-        if messages.token_missing_since:  # earlier ones did not carry it, so an answer has arrived
+        if messages.token_missing_since:
+            # Earlier heartbeats lacked our token, so the machine has since received an answer.
             messages.token_missing_since = 0
             self._fleet.confirm_reachable(machine)
+        # Since when it has not been certain that our answers reach the machine.
         uncertain_since = max(messages.epoch_started_at, machine.unreachable_since)
         if now - uncertain_since > self._timing.lease_expiry_us:
-            # Without our answers its lease would have expired and its agent epoch ended.
+            # Without an answer its lease would have expired by now and its agent epoch ended.
             self._fleet.confirm_reachable(machine)
         listed = self._apply_tasks(machine, heartbeat.tasks, is_newest, now)
         for attempt in list(machine.attempts.values()):
@@ -106,8 +112,12 @@
         self, machine: Machine, answer: WorkerReport, now: int, pushed_starts: Iterable[Attempt]
     ) -> None:
         """Apply the answer to pushed commands. `pushed_starts` are the starts that it proves to be
-        executed. An attempt that it does not list is kept: only heartbeats, whose answers carry
-        start commands, are ordered relative to those commands and so prove that it is not there."""
+        executed.
+
+        An attempt that the answer does not list is kept, since its start command may still be on
+        its way. Only heartbeats, whose answers carry start commands, are ordered relative to those
+        commands, so only they prove that an attempt is not on the machine.
+        """
         messages = machine.messages
         if answer.epoch == messages.epoch:
             for attempt in pushed_starts:
@@ -149,7 +159,8 @@
     def _finish_list(
         self, machine: Machine, listed: set[PlainAttemptKey], is_newest: bool, now: int
     ) -> None:
-        """Complete the processing of a task list that came with our fencing token."""
+        """After a task list that came with our fencing token: drop the orphaned attempts that the
+        newest list lacks, and mark the machine synced."""
         if is_newest:
             for key in [key for key in machine.orphaned_attempts if key not in listed]:
                 del machine.orphaned_attempts[key]
@@ -157,13 +168,14 @@
             self._fleet.confirm_synced(machine, now)
 
     def _handle_unlisted(self, attempt: Attempt, sequence: int, now: int) -> None:
-        """Handle an attempt of ours that a heartbeat does not list."""
+        """Keep, resend or remove an attempt of ours that a heartbeat does not list."""
         if attempt.start_in_flight or attempt.start_unacknowledged or not attempt.may_be_on_machine:
             # A pushed start without an answer keeps its task bound to the machine
             # (test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it).
             return
         if attempt.sent_sequence and attempt.sent_sequence >= sequence:
-            return  # the start command was sent with or after the answer to this heartbeat
+            # The worker may not have had the start command yet when it sent this heartbeat.
+            return
         if attempt.stage == SENT and attempt.stop_grace_s is None:
             self._attempts.resend_start(attempt)  # the answer with the start command was lost
         else:
