--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -52,11 +52,12 @@
         self.attempt_key = AttemptKey(job_state.job.ref, index, attempt_number)
         # A TaskState, or the reported value if this version does not know it.
         self.stage: str = PLANNED
-        # Not None: it is to stop, with this many seconds to save a checkpoint.
+        # The seconds that it has to save a checkpoint once it is to stop; None until then.
         self.stop_grace_s: float | None = None
-        self.pushed_grace_s: float | None = None  # the grace period of the halt that was pushed
-        # Messages up to this sequence number say nothing about the attempt: the answer to this
-        # heartbeat carried the start command, or this is the worker's answer to a pushed start.
+        self.pushed_grace_s: float | None = None  # grace period of the last pushed halt, if any
+        # Messages up to this sequence number say nothing about the attempt. It is the number of the
+        # heartbeat whose answer carried the start command, or of the worker's answer to the pushed
+        # start.
         self.sent_sequence = 0
         self.start_in_flight = False  # a start was pushed and is not answered yet
         # A pushed start was never answered: a copy of it may still arrive at the worker.
@@ -81,7 +82,8 @@
 
     def __init__(self, ended: bool, forgettable: bool, start_unacknowledged: bool = False) -> None:
         self.ended = ended
-        self.forgettable = forgettable  # it has no result that must be stored first
+        # The worker may be told to forget it: it has no result that must be stored first.
+        self.forgettable = forgettable
         # A start command may still arrive. The worker must keep the attempt in its list: it rejects
         # a start of a listed attempt, but would execute one of an attempt that it has forgotten.
         self.start_unacknowledged = start_unacknowledged
@@ -101,15 +103,17 @@
         self.address = ""
 
         # The flags and times from which `state` is computed.
-        self.up = False  # a message of it has arrived
+        self.up = False  # it has sent a message; stays set if it is lost
         self.synced = False  # a message with our fencing token has arrived in this agent epoch
         self.recorded = False  # recorded in the key-value store, so tasks may be started
-        self.lost = False  # its lease has expired without an answer of ours
-        self.faulty = False  # considered faulty or slow
+        self.lost = False  # its lease has expired since our last answer
+        self.faulty = False  # too many jobs failed on it or were too slow on it
         self.terminating = False  # to be returned to the cloud
         self.preemption_at: int | None = None  # when the cloud takes it back
         self.cordoned_until = 0  # nothing is started on it until then
-        self.unreachable_since = 0  # since when our commands may not reach it; 0: no doubt
+        self.unreachable_since = (
+            0  # since when our commands may not reach it; 0: nothing suggests that
+        )
 
         # Messages.
         self.messages = MessageOrder()
@@ -123,7 +127,9 @@
         self.orphaned_attempts: dict[AttemptKey, OrphanedAttempt] = {}
         self.images: dict[str, float] = {}  # sizes in GB; the most recently used last
         self.idle_since = now
-        self.needed = True  # False: the fleet does not need it, and it is left to run empty
+        # False: fleet sizing placed nothing on it. Tasks are placed on other machines first, so
+        # that it can be returned once it is empty.
+        self.needed = True
         self.free = Resources.of(machine_type)  # capacity not taken by attempts that are to stay
         self.booked = 0.0  # the sum of the bids of those attempts
 
@@ -134,7 +140,7 @@
     # State
 
     def state(self, now: int) -> MachineState:
-        """Whether tasks can be started on it, and if not, why: see `MachineState`."""
+        """Its state, which tells whether tasks can be started on it and, if not, why."""
         if self.usable(now):
             return MachineState.READY
         if self.terminating:
@@ -148,8 +154,8 @@
         return MachineState.CORDONED
 
     def usable(self, now: int) -> bool:
-        """Whether tasks can be started on it, that is, whether it is READY. Called for each machine
-        in each plan, hence a single expression."""
+        """Whether tasks can be started on it, that is, whether it is READY. A single expression,
+        since each plan evaluates it for each machine."""
         return (
             self.synced
             and self.recorded
@@ -163,7 +169,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether its tasks are to be moved to other machines."""
+        """Whether its tasks are to be moved to other machines: it is faulty or to be preempted."""
         return self.faulty or self.preemption_at is not None
 
     @property
@@ -240,9 +246,11 @@
         return len(self.attempts) + len(self.orphaned_attempts) >= MAX_TASKS_PER_MACHINE
 
     def has_other_attempt(self, key: TaskKey) -> bool:
-        """Whether an orphaned attempt of the task may still run there. One that has ended does not
-        count, even if its start command may arrive again: the worker rejects a start of an attempt
-        that it still lists."""
+        """Whether an orphaned attempt of the task may still run there.
+
+        Those that have ended don't count, even if their start command may arrive again: the worker
+        rejects a start of an attempt that it still lists.
+        """
         return any(
             known[:2] == key and not orphan.ended
             for known, orphan in self.orphaned_attempts.items()
@@ -288,21 +296,22 @@
         # Attempts.
         self.queue = TaskQueue(job.tasks)
         self.queue_done_count = 0  # tasks of the queue that are done
-        self.live: dict[int, Attempt] = {}
-        self.live_unfinished_count = 0  # live tasks that are not done
+        self.live: dict[int, Attempt] = {}  # by task; every task that is bound to a machine
+        self.live_unfinished_count = 0  # bound tasks without a result from this or another shard
         self.failure_history = FailureHistory()
         self.retry_at = 0  # nothing is started until then
 
         # The market.
         self.bid = 0.0
         self.slots: int | None = None  # allotted by the auction; None before its first round
-        self.need: int | None = None  # how many tasks must run now to meet its objective
-        # Whether it has a deadline or an objective of its class, even if missed. Arrays only.
+        self.need: int | None = None  # tasks that should run now to be on time; None: not known yet
+        # Whether it has a deadline or an objective of its class, even if missed; always True for
+        # gangs and services.
         self.has_objective = True
         self.finished_recent = 0  # tasks that completed since the last round
         self.ran_us = 0  # total run time of the completed tasks counted in ran_count
         self.ran_count = 0
-        self.rate = 0.0  # measured tasks per second; of a service, the number of running replicas
+        self.rate = 0.0  # tasks finished per second or, for a service, running replicas; smoothed
 
     # Results
 
@@ -311,7 +320,7 @@
         return bool(self.done[index >> 3] >> (index & 7) & 1)
 
     def record_result(self, index: int, is_own: bool) -> bool:
-        """Record a result, `is_own` if of this shard and not of another; True if it is new."""
+        """Record a result, `is_own` if this shard produced it. Returns whether it is new."""
         if index >= self.job.tasks:
             return False
         bit = 1 << (index & 7)
@@ -359,8 +368,8 @@
         return self.queue.next(self.live, self.is_done)
 
     def unstarted_tail(self) -> TaskRange | None:
-        """Tasks that another shard may start instead: the second half of the last range, if none
-        of them was ever started here."""
+        """The later half of the last range's untaken tasks, for another shard to start; None if any
+        of that half has an attempt or an unstored result here, or was put back."""
         return self.queue.unstarted_tail((*self.live, *self.unstored))
 
     @property
