--- a/basaltlead/core/task_queue.py
+++ b/basaltlead/core/task_queue.py
@@ -15,7 +15,7 @@
     def __init__(self, tasks: int) -> None:
         self.ranges: list[TaskRange] = [(0, tasks)]
         self.size = tasks
-        self._position = (0, 0)  # index of a range, and a task in it: all before were taken
+        self._position = (0, 0)  # index of a range and a task; all tasks before it were taken
         self._returned: list[int] = []
 
     def assign(self, ranges: list[TaskRange]) -> None:
@@ -55,7 +55,8 @@
         return None
 
     def unstarted_tail(self, touched: Collection[int]) -> TaskRange | None:
-        """The later half of the last range, if none of it was taken, put back or is `touched`."""
+        """The later half of the last range's untaken tasks; None if any of that half is in
+        `touched` or was put back."""
         if not self.ranges or self._position[0] >= len(self.ranges):
             return None
         low, high = self.ranges[-1]
