--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -1,4 +1,4 @@
-"""What to rent and what to return: packs the wanted tasks onto machines, cheapest room first."""
+"""What to rent and what to return: packs the wanted tasks onto the cheapest machines first."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,7 +12,7 @@
 
 
 class Demand(Struct):
-    """Tasks of a job that should have room now, whether or not they run already."""
+    """How many tasks of a job should be on machines now, including those that are already."""
 
     job_state: JobState
     count: int
@@ -21,12 +21,12 @@
 
 
 class WarmSpare(Struct):
-    """Room to be kept for tasks like those of `job`, whose class can't wait for a machine to
+    """Capacity to keep free for tasks like those of `job`, whose class can't wait for a machine to
     boot."""
 
     job: Job
     count: int
-    images: frozenset[str] = frozenset()  # that such jobs have lately used
+    images: frozenset[str] = frozenset()  # images that such jobs have used lately
 
 
 class FleetPlan(Struct):
@@ -50,7 +50,7 @@
         self.used = 0
 
     def image_count(self, wanted: frozenset[str]) -> int:
-        """How many of these images are on the machine."""
+        """How many of these images are on the machine; 0 if it is to be rented."""
         return 0 if self.machine is None else len(wanted & self.machine.images.keys())
 
     def take(self, job: Job, count: int) -> None:
@@ -70,8 +70,8 @@
     """Pack the wanted tasks onto the present machines, highest rank first, and rent machines for
     the rest.
 
-    Running tasks stay where they are unless a higher rank takes their place, in which case they
-    count as wanted elsewhere. `offers` tells how many machines of each offer are available, None if
+    Tasks that are on a machine stay there unless a higher rank takes their place; then they are
+    placed like waiting tasks. `offers` tells how many machines of each offer are available, None if
     that is not known.
     """
     jobs = [*(need.job_state.job for need in needs), *(spare.job for spare in spares)]
@@ -97,7 +97,8 @@
             for m in machines
             if not (m.faulty or m.terminating or m.lost or m.preemption_at is not None)
         ]
-        # Cheap room first, then machines that have work: those left unused can be returned.
+        # By price per CPU; at equal prices those with most attempts first, so that the emptier ones
+        # stay unused and can be returned.
         self._bins.sort(
             key=lambda b: (
                 unit_price(b.machine_type, b.offer.spot) / max(b.machine_type.cpus, 0.1),
@@ -115,7 +116,7 @@
         return {b.machine.name for b in self._bins if b.machine is not None and b.used}
 
     def place_tasks(self, needs: Sequence[Demand]) -> None:
-        """Place the wanted tasks of one rank: running tasks stay, then the others are placed."""
+        """Place the wanted tasks of one rank: those on machines stay, the others are placed."""
         unplaced: list[int] = []
         for need in needs:
             live = [a for a in need.job_state.live.values() if a.stop_grace_s is None]
@@ -128,9 +129,9 @@
     def place_spares(self, spares: Sequence[WarmSpare]) -> None:
         """Find room for spares.
 
-        Lower ranks may borrow this room, and their tasks are preempted when it is needed, so a
-        spare takes no room from them here. When it counted as taken, machines were rented for tasks
-        that never had to move.
+        Lower ranks may use this room, and their tasks are preempted when it is needed, so a spare
+        takes no room from them here. Otherwise machines would be rented for tasks that never have
+        to move.
         """
         room_for_spares = {
             id(packing_bin): packing_bin.room.copy() for packing_bin in self._with_room
@@ -148,8 +149,9 @@
     def _spare_bin(
         self, spare: WarmSpare, room_for_spares: dict[int, Resources], held: Counter[str]
     ) -> PackingBin | None:
-        """The machine with the most of the images, in a zone that does not have its part of the
-        spares yet. One is rented if none has room."""
+        """The machine with the most of the images, in a zone that does not have its limit of the
+        spares yet: half of them if the tasks are spread over zones. One is rented if none has
+        room. None if that is impossible too."""
         job = spare.job
         cap = (spare.count + 1) // 2 if job.spread_zones else spare.count
         full = {zone for zone, count in held.items() if count >= cap}
@@ -169,7 +171,7 @@
         self._with_room = [b for b in self._with_room if b.room.cpus >= self._min_cpus]
 
     def _keep_in_place(self, attempt: Attempt) -> bool:
-        """Keep a running task where it is; False if a higher rank has taken its place."""
+        """Keep a task on its machine; False if a higher rank has taken its place."""
         packing_bin = self._by_name.get(attempt.machine.name)
         if packing_bin is None or not packing_bin.room.fits(attempt.job_state.job):
             return False
@@ -194,8 +196,8 @@
         return {zone: job.zone_cap - held[zone] for zone in zones}
 
     def _best_zone(self, job: Job, count: int, zones: Iterable[str]) -> str | None:
-        """The zone where most of the tasks fit on what is rented already, of those where all of
-        them fit or more may be rented; None if no task fits anywhere."""
+        """The zone where most of the tasks fit on rented machines. Zones without room for all of
+        them count only if machines may be rented there. None if no such zone has room."""
         best_zone: str | None = None
         best_slots = 0
         for zone in zones:
@@ -205,7 +207,7 @@
         return best_zone
 
     def _capacity_in(self, zone: str, job: Job, count: int) -> int:
-        """How many of these tasks fit on what is rented in a zone."""
+        """How many of these tasks fit on the rented machines of a zone."""
         slots = 0
         for packing_bin in self._with_room:
             if packing_bin.zone == zone and packing_bin.offer.allows(job):
@@ -230,7 +232,7 @@
         """Place this many tasks of a job.
 
         Bins with room are visited first, then new rentals. No bin is visited twice: one that was
-        passed has no room left for this job.
+        passed can't take any more of these tasks.
         """
         placed = position = full = 0
         while placed < count:
@@ -258,7 +260,7 @@
         self, job: Job, zones: set[str] | None, count: int, backlog_us: float
     ) -> PackingBin | None:
         """Add a bin for a machine to be rented for these tasks; None if no offer is worth its
-        price."""
+        price or the maximum number of rentals is reached."""
         offer = self._rental_choice.rent(job, zones, count, backlog_us)
         if offer is None:
             return None
