--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -1,9 +1,10 @@
 """How many tasks of each open job should run now so that all jobs are done on time.
 
 Jobs are considered in the order of their due times. For each due time, the work due by then divided
-by the time left is a rate that the fleet must have. The highest of these rates is the wanted one,
-and it is given to the jobs in the same order. Work that can wait for machines that are already
-rented waits for them.
+by the time left is a number of CPUs that the fleet needs. The highest of these numbers is
+distributed over the jobs in the same order. Gangs and jobs without a due time want all their tasks
+now. `RentedCapacity` tells how long the rented machines need for all open work, so that none are
+rented for work that is done before they have booted.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,14 +15,15 @@
 from basaltlead.core.offers import Offer
 
 USABLE_TIME_FRACTION = 0.85  # of the time left, since estimates are often wrong by half
-MAX_INITIAL_WAIT_US = 60 * US  # after it a job should start, however late it is due
-LATE_JOB_SPAN_US = 120 * US  # a late job should be done within this, or two runs if longer
-MIN_REMAINING_DIVISOR = 4  # remaining time of a task: at least its estimate divided by this
+MAX_INITIAL_WAIT_US = 60 * US  # after it a job should have a task, even if it is due much later
+LATE_JOB_SPAN_US = 120 * US  # a late job is due after this, or after two runs if that is longer
+MIN_REMAINING_DIVISOR = 4  # a task is assumed to need at least its estimate divided by this
 ROUND_UP_OFFSET = 0.999  # added before truncation: rounds up, but ignores rounding errors
 
 
 class Due(NamedTuple):
-    """When a job should be done; None without an objective, or if it is late and can meet none."""
+    """When a job should be done. `at` is None for a job without an objective, and for a late one
+    that can meet none."""
 
     at: int | None
     late: bool = False
@@ -49,7 +51,7 @@
     """How many tasks of each job should run, by job, including those that run already.
 
     `estimated_run_us` estimates how long a task of a job runs, `lead_us` is how long a machine
-    takes to boot, and `remaining_cpu_us` is the remaining work of each array (see `remaining_cpu_us`).
+    takes to boot, and `remaining_cpu_us` is the result of the function of that name.
     """
     wanted: dict[str, int] = {}
     due_jobs: list[DueJob] = []
@@ -59,7 +61,8 @@
             wanted[job_state.job.ref] = job_state.remaining
         else:
             run_us = estimated_run_us(job_state)
-            # For a job that is late anyway, more machines are not worth their price.
+            # A job that is late anyway gets a due time for which few machines are needed: more are
+            # not worth their price.
             due_at = due.at if due.at is not None else now + max(2 * run_us, LATE_JOB_SPAN_US)
             due_jobs.append(DueJob(due_at, run_us, job_state))
     due_jobs.sort(key=lambda job: (job.due_at, job.job_state.submitted_at))
@@ -68,7 +71,7 @@
         size = job_state.job.size
         running = sum(1 for a in job_state.live.values() if a.stop_grace_s is None)
         if now - job_state.submitted_at > MAX_INITIAL_WAIT_US:
-            running = max(running, 1)  # prevents starvation: the job takes part in the auction
+            running = max(running, 1)  # prevents starvation: the job then bids in the auction
         count = min(job_state.remaining, max(running, int(needed_cpus / size + ROUND_UP_OFFSET)))
         wanted[job_state.job.ref] = count
         needed_cpus = max(0.0, needed_cpus - count * size)
@@ -92,8 +95,8 @@
 def remaining_cpu_us(
     job_states: Iterable[JobState], now: int, estimated_run_us: Callable[[JobState], int]
 ) -> dict[str, float]:
-    """The remaining work of each array, in CPU microseconds. It takes a pass over every running
-    task, so it is computed once per pass over the demand."""
+    """The remaining work of each array, in CPU microseconds. It visits every running task, so it is
+    computed once and shared by its users."""
     return {
         job_state.job.ref: _remaining_cpu_us(job_state, estimated_run_us(job_state), now)
         for job_state in job_states
@@ -110,8 +113,8 @@
 
 
 class RentedCapacity:
-    """CPUs that arrays may use, counted once for all jobs and grouped by offer, which decides
-    whether a job may use them."""
+    """CPUs that arrays may use, counted once for all jobs. They are grouped by offer, since a job's
+    constraints allow or exclude whole offers."""
 
     def __init__(self, machines: Iterable[Machine]) -> None:
         self._cpus: dict[Offer, float] = {}
