--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -13,14 +13,16 @@
 from basaltlead.core.team_limits import exceeds_guarantee, fits_guarantee
 
 REPLICA_PREEMPTION_COST_S = 30.0  # the assumed cost of stopping a replica, in seconds of its CPUs
-HIGH_RANK = RANKS["high"]  # from this rank on, jobs preempt any lower rank
+HIGH_RANK = RANKS[
+    "high"
+]  # from this rank on, arrays and services preempt any lower rank; gangs always do
 
 # Tells whether tasks of a job may be stopped.
 MayStop = Callable[[JobState], bool]
 
 
 class PlacementOption(NamedTuple):
-    """A machine on which one task fits once these attempts are stopped."""
+    """A machine on which one task fits once the attempts in `preempted` are stopped."""
 
     preemption_cost: float  # what stopping them wastes, in CPU seconds
     machine: Machine
@@ -28,7 +30,8 @@
 
 
 def preemption_cost(attempt: Attempt, now: int) -> float:
-    """What stopping an attempt would waste, in CPU seconds."""
+    """What stopping an attempt would waste, in CPU seconds. Of a task with checkpoints, this is
+    only the time to save one."""
     job = attempt.job_state.job
     if attempt.stage in BEFORE_FIRST_RUN:
         return 0.0
@@ -81,13 +84,14 @@
 
 
 def is_preemptible_by_any_array(job_state: JobState) -> bool:
-    """Whether arrays of a higher rank that are below HIGH_RANK may preempt it: it has no objective,
-    and its tasks save checkpoints."""
+    """Whether arrays of any higher rank may preempt it, even below HIGH_RANK and outside their
+    team's guarantee: it has no objective, and its tasks save checkpoints."""
     return not job_state.has_objective and job_state.job.checkpoint_interval_us > 0
 
 
 class Preemption:
-    """Makes room in one plan by stopping tasks of lower rank or of teams above their guarantee."""
+    """During one plan, makes room by stopping tasks of lower rank or of teams above their
+    guarantee."""
 
     def __init__(self, shard: Shard, machines: CandidateMachines, now: int) -> None:
         self._shard = shard
@@ -98,8 +102,9 @@
         """The rule that tells whose tasks may be stopped to make room for the job.
 
         These are tasks of lower rank and, for a job within its team's guarantee, also tasks of
-        other teams that use more than theirs. Below HIGH_RANK and outside a guarantee, arrays stop
-        only tasks of preemptible jobs, and services stop none.
+        other teams that use more than theirs. Arrays and services below HIGH_RANK and outside
+        their guarantee are restricted: arrays stop only tasks of jobs that are preemptible by any
+        array, and services stop none.
         """
         job = job_state.job
         guaranteed = fits_guarantee(self._shard, job_state)
@@ -127,7 +132,7 @@
         none.
 
         Below HIGH_RANK and outside a guarantee a task waits for machines that are rented for it,
-        unless its objective depends on a share that others hold.
+        unless the job has an objective and fewer tasks than the slots from the auction.
         """
         below_slots = job_state.slots is not None and len(job_state.live) < job_state.slots
         if (
@@ -146,8 +151,8 @@
     def for_gang_of_one(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> PlacementOption | None:
-        """The machine for a gang of one task, which often fills a machine: where preemption and the
-        wait for the image together waste least."""
+        """The machine for a gang of one task: where preemption and the wait for the image together
+        cost least. Such a task often needs a whole machine."""
         job = job_state.job
 
         def preference(option: PlacementOption) -> tuple[object, ...]:
