--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -1,5 +1,5 @@
-"""The market: in each round budgets are refilled, bids follow progress, and an auction allocates
-slots."""
+"""The market: in each round budgets are refilled, bids are adjusted to the measured progress, and
+an auction allocates slots."""
 
 from msgspec import Struct
 
@@ -14,7 +14,7 @@
 
 
 class MarketParameters(Struct, frozen=True):
-    """The parameters of the market."""
+    """Budgets, prices and times of the market."""
 
     round_us: int
     refill_us: int  # time to refill an empty budget
@@ -71,8 +71,8 @@
         return TeamRecord(round(self.budgets[team].left, 3), {ref: bids[ref] for ref in kept})
 
     def first_bid(self, job_state: JobState, now: int) -> float:
-        """The bid of a job that has none yet: the one that an earlier shard leader stored, or what
-        buys a new job the wanted slots at the current price."""
+        """The bid of a job that has none yet: the one that an earlier shard leader stored, else
+        the price of all its remaining slots, up to its maximum bid. A stored bid is used once."""
         known = self._stored_bids.pop(job_state.job.ref, None)
         if known is not None:
             return known
@@ -84,8 +84,9 @@
         budget = self.budgets.get(job_state.job.team)
         if budget is None:
             return self.parameters.reserve_price
-        # A job that can't meet any objective bids like one that has none. If its budget were spread
-        # over the time left, which is none, it would outbid all jobs that can still be on time.
+        # A job that can't meet any objective bids like one that has none. With no time left its
+        # maximum bid would be the whole budget, and it would outbid all jobs that can still be on
+        # time.
         due = self.objectives.due(job_state, now).at
         span_us = (
             self.parameters.refill_us if due is None else max(self.parameters.round_us, due - now)
@@ -128,11 +129,11 @@
         )
 
     def _update_progress(self, job_state: JobState, span_us: int, now: int) -> tuple[float, float]:
-        """The measured and the wanted progress of a job in a round.
+        """Update the job's rate for a round. Returns its measured and its wanted progress.
 
         For a service these are running and wanted replicas. For a job with a due time they are the
         rate at which its tasks finish and the rate that meets the due time, in tasks per second.
-        For any other job they are the slots it holds and its remaining tasks.
+        For any other job they are the number of tasks on machines and that of remaining tasks.
         """
         if job_state.job.service:
             job_state.rate = _smoothed(job_state.rate, job_state.running)
@@ -146,8 +147,8 @@
         return job_state.rate, job_state.remaining / left_s
 
     def allocate_slots(self, shard: Shard, now: int) -> None:
-        """Run the auction over the present capacity. It also runs between rounds, so that new work
-        does not wait for the next one."""
+        """Run the auction over the present capacity. Also called between rounds, so that new work
+        does not wait for the next round."""
         arrays = [
             job_state
             for job_state in shard.job_states.values()
