--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -1,4 +1,4 @@
-"""Rebalancing of several shards: which tasks this shard starts, and which it hands to another."""
+"""Tracks which tasks are assigned to this shard, and hands waiting tasks to other shards."""
 
 import asyncio
 
@@ -71,11 +71,13 @@
             self.context.wake.set()
 
     async def _hand_over(self, job_state: JobState, target: int) -> None:
-        """Hand the later half of a job's unstarted tasks to another shard.
+        """Hand the later half of the last range's untaken tasks of a job to another shard (see
+        `JobState.unstarted_tail`).
 
         This shard stops starting them before the request is sent, and until the record of the
         assignment has changed. An unanswered request may still be executed later, so it is repeated
-        until it was executed, or can't be executed any more because the record has changed.
+        until it was executed, or until the record has changed, so that it can't be executed any
+        more.
         """
         ref = job_state.job.ref
         tail = job_state.unstarted_tail()
@@ -83,12 +85,13 @@
         if tail is None or known is None or ref in self._handing_over:
             return
         if self.shard.unsynced or self._has_orphaned_attempts(ref):
-            return  # some of the tasks may have been started
+            return  # an earlier shard leader may have started some of the tasks
         changed = self._split(known.value, tail, target)
         self._handing_over.add(ref)
         job_state.assign(changed.ranges_of(self.context.number))
         preconditions = [
-            *self.context.lease.preconditions(),  # once: a retry in a new session must fail
+            # Read once, since a retry in a new session must fail.
+            *self.context.lease.preconditions(),
             Precondition(OPEN + ref, job_state.version),
             Precondition(ASSIGNMENT + ref, known.version),
         ]
@@ -138,7 +141,7 @@
                     return  # the record has changed: the watch reports it
                 await backoff.wait()
             except TransactionTooLarge:
-                return  # it can never be written: the tasks stay here
+                return  # it can never be written: `_hand_over` takes the tasks back
             except ServiceError:
                 await backoff.wait()
             else:
@@ -147,8 +150,8 @@
                 return
 
     async def balance(self) -> None:
-        """Publish the load of this shard, and hand waiting tasks to the shard with the most free
-        capacity, twice a market round."""
+        """Twice a market round, publish the load of this shard, and hand waiting tasks to the shard
+        with the most free capacity."""
         while True:
             await asyncio.sleep(self._interval_s)
             if self.context.lease.holds_valid_lease:
