--- a/basaltlead/core/array_placement.py
+++ b/basaltlead/core/array_placement.py
@@ -63,6 +63,6 @@
 
 
 def _can_wait(job_state: JobState) -> bool:
-    """Whether the tasks that run already keep the job on time, so that it may wait for machines
-    that the fleet needs and does not use one that is left to empty."""
+    """Whether the tasks that run already keep the job on time. Others then wait for machines that
+    the fleet needs, and are not started on one that is left to empty."""
     return len(job_state.live) >= (job_state.need or 0)
