--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -46,7 +46,7 @@
         return attempt
 
     def resend_start(self, attempt: Attempt) -> None:
-        """Have the start command sent again, after it has provably not been executed."""
+        """Send the start command again, since it has provably not been executed."""
         attempt.stage = PLANNED
         self._signals.push_queue[attempt.machine.name] = None
 
