--- a/basaltlead/core/bidding.py
+++ b/basaltlead/core/bidding.py
@@ -2,7 +2,9 @@
 
 from msgspec import Struct
 
-DOUBLING_STEP = 3  # the paper's `limit`: the step in one direction from which bids double or halve
+# The paper's `limit`: the step in one direction from which bids double or halve. The first round in
+# a direction is step 2.
+DOUBLING_STEP = 3
 DOUBLING_GAP = 2  # the relative gap from which they do so at any step
 
 
