--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -107,7 +107,7 @@
         return bool(self._reserved)
 
     def _open_to(self, job_state: JobState, machines: list[Machine]) -> list[Machine]:
-        """Leave out reserved machines, and machines that the job avoids since it failed there."""
+        """Leave out reserved machines, and machines that the job avoids for a while."""
         avoided_until = job_state.failure_history.avoided_until
         if not self._reserved and not avoided_until:
             return machines
