--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -29,7 +29,7 @@
 
 
 def member_key(name: str) -> str:
-    """The key that exists for as long as a controller's session lease is valid."""
+    """The key of a controller's member record, which exists while its session lease is valid."""
     return f"{MEMBER_PREFIX}{name}"
 
 
@@ -87,7 +87,7 @@
 
 
 class Load(Struct):
-    """The load of a shard in CPUs, published by its leader each round."""
+    """The load of a shard in CPUs, published by its leader twice a market round."""
 
     waiting: float  # requested by waiting tasks
     free: float
@@ -139,8 +139,8 @@
                 del self.members[name]
 
     def put(self, key: str, raw: msgspec.Raw, version: int) -> None:
-        """Store the value of a key. Of members and grants, a value older than the known one is
-        ignored.
+        """Store the value of a key. Values of members and grants that are older than the known ones
+        are ignored.
 
         Raises `msgspec.DecodeError` or `ValueError` for a key or a value that can't be read.
         """
@@ -248,12 +248,12 @@
         """The members in the order in which they should replace the last shard leader: first those
         after it in the workers' lists of controllers.
 
-        A worker whose controller stops answering tries the next one in its list. If that one is the
-        new shard leader, no time is lost; if it is one that failed earlier, the worker waits for
-        another 4 s, and a short lease expires before it has tried a third. With this order, failed
-        controllers come after the new shard leader in the list, not before it. The order of the
-        workers' lists is not specified; names with numbers are assumed to be listed by number. Only
-        the duration of a failover depends on it.
+        Only the duration of a failover depends on this order. A worker whose controller stops
+        answering tries the next one in its list. If that one is the new shard leader, no time is
+        lost. If it is one that failed earlier, the worker waits for another 4 s, and a short lease
+        expires before the worker has tried a third. With this order, failed controllers come after
+        the new shard leader in the list, not before it. The order of the workers' lists is not
+        specified; names with numbers are assumed to be listed by number.
         """
         names = sorted(self.members, key=list_order)
         last = list_order(self.previous_shard_leader)
