--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -18,7 +18,7 @@
     CommandVerb,
 )
 
-MAX_COMMANDS = 250  # in one message, which keeps a line well below 64 KiB
+MAX_COMMANDS = 250  # per message, which keeps it well below 64 KiB
 
 
 class TaskCommand(Struct):
