--- a/basaltlead/core/draining.py
+++ b/basaltlead/core/draining.py
@@ -1,4 +1,4 @@
-"""Moves tasks off machines that are faulty, slow or about to be preempted."""
+"""Moves tasks off machines that are faulty (failing or slow) or about to be preempted."""
 
 from basaltlead.core.attempt_table import AttemptTable
 from basaltlead.core.entities import Attempt, Machine
