--- a/basaltlead/core/failure_history.py
+++ b/basaltlead/core/failure_history.py
@@ -15,7 +15,7 @@
         self.trials = 0
         self.replica_ran_long = False  # so the job is known to be able to run
         self.stragglers_stopped = 0  # how often a task was stopped for being slow
-        self.avoided_until: dict[str, int] = {}  # machines that the job avoids, and until when
+        self.avoided_until: dict[str, int] = {}  # by machine on which it failed or was slow
 
     def record_failure(self) -> None:
         """Record that an attempt failed."""
