--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -8,7 +8,8 @@
 from basaltlead.core.signals import Log
 from basaltlead.core.task_states import ExitReason
 
-# A job that failed in this many trials and never succeeded is itself considered faulty.
+# A job that failed in this many trials (see `FailureHistory`) and never succeeded is itself
+# considered faulty.
 TRIALS_UNTIL_JOB_IS_FAULTY = 2
 TRIALS_BEFORE_PAUSE = 3  # from then on a job that never succeeded waits between trials
 MAX_RETRY_PAUSE_S = 60
