--- a/basaltlead/core/message_order.py
+++ b/basaltlead/core/message_order.py
@@ -15,7 +15,7 @@
         self.min_epoch = 0
         self.sequence = 0  # of the newest message whose list of tasks was applied
         self.heartbeat_sequence = 0  # of the newest heartbeat
-        # Since when we have answered heartbeats that do not carry our fencing token; 0: they do.
+        # Since when we have answered heartbeats without our fencing token; 0: the last one had it.
         self.token_missing_since = 0
 
     def begin_epoch(self, epoch: int, now: int) -> None:
