--- a/basaltlead/core/objectives.py
+++ b/basaltlead/core/objectives.py
@@ -31,8 +31,8 @@
 
 
 class ServiceLevelObjectives(Struct, frozen=True):
-    """When jobs of each class should start or be done; the tightest objective of a class comes
-    first."""
+    """When jobs of each class should start or be done. The lists start with the tightest
+    objective."""
 
     start_limits_us: dict[str, list[int]] = {}  # time for tasks to start
     finish_limits_us: dict[str, list[int]] = {}  # time for a job to be done
