--- a/basaltlead/core/plan_context.py
+++ b/basaltlead/core/plan_context.py
@@ -29,8 +29,8 @@
 
 
 def requirements(job_state: JobState) -> Requirements | None:
-    """The job's requirements; None if its chances also depend on its own state, as for a job that
-    failed on some machines, or one whose running tasks decide where the others may be placed."""
+    """The job's requirements; None if its placement also depends on its own state: the job avoids
+    some machines, or its running tasks decide where the others may be placed."""
     job = job_state.job
     if job_state.failure_history.avoided_until or (job.single_shard and job_state.live):
         return None
