--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -13,9 +13,8 @@
 from basaltlead.core.team_limits import exceeds_guarantee, fits_guarantee
 
 REPLICA_PREEMPTION_COST_S = 30.0  # the assumed cost of stopping a replica, in seconds of its CPUs
-HIGH_RANK = RANKS[
-    "high"
-]  # from this rank on, arrays and services preempt any lower rank; gangs always do
+# From this rank on, arrays and services preempt any lower rank, as gangs of every rank do.
+HIGH_RANK = RANKS["high"]
 
 # Tells whether tasks of a job may be stopped.
 MayStop = Callable[[JobState], bool]
