--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -9,11 +9,11 @@
 # Spot machines are cheap enough to be rented early and to wait for work; on-demand machines are for
 # backlogs that last.
 MIN_USE_BOOT_TIMES, MIN_USE_BOOT_TIMES_SPOT = 2.4, 0.6
-# The time of use over which the price of booting is spread: the time to boot is paid for as well.
+# The time of use over which the price of the time to boot is spread.
 AMORTIZATION_US = 90 * US
 SERVICE_AMORTIZATION_US = 600 * US  # the same for replicas, which stay longer
 # The surcharge on spot machines for tasks without checkpoints, which start over when the machine
-# ends: a part of the price for each hour that the task runs, up to a limit.
+# ends: a multiple of the price for each hour that the task runs, up to a limit.
 SPOT_RISK_PER_HOUR, MAX_SPOT_RISK = 4, 0.5
 
 
