--- a/basaltlead/core/run_times.py
+++ b/basaltlead/core/run_times.py
@@ -4,7 +4,7 @@
 from basaltlead.core.jobs import SERVICE_RUN_TIME_US, US
 
 MIN_SAMPLES = 3  # after this many completed tasks of a job their mean replaces the user's estimate
-MIN_RATIO, MAX_RATIO = 0.1, 8.0  # bounds of one task's ratio, as its job may be far off
+MIN_RATIO, MAX_RATIO = 0.1, 8.0  # bounds of one task's ratio, as the user's estimate may be far off
 NEW_WEIGHT = 0.05  # weight of the newest task in the ratio of its class
 
 
