--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -25,7 +25,7 @@
 
 
 class Shard:
-    """The facade of a shard, over the classes that keep its jobs, attempts and machines.
+    """The state of a shard as its leader uses it: its jobs, attempts and machines.
 
     It does no input or output, and each method is passed the time in microseconds. Its state thus
     depends on the calls alone.
