--- a/basaltlead/core/signals.py
+++ b/basaltlead/core/signals.py
@@ -6,7 +6,7 @@
 
 
 class ShardSignals:
-    """Set when the shard changes, read and cleared by the planning loop and the dispatcher."""
+    """What has changed in a shard, read and cleared by the planning loop and the dispatcher."""
 
     def __init__(self) -> None:
         self.plan_needed = True  # a plan may bind tasks that the last one could not
