--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -1,4 +1,4 @@
-"""Zones from which no machine reports: machines rented there could not reach us either.
+"""Zones from which no machine reports: machines rented there would probably not reach us either.
 
 Renting in such a zone is paused, and then limited to one machine at a time until one from there
 reports. If renting resumed as usual after the pause, a network partition of two minutes would cost
