--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -9,8 +9,8 @@
 from basaltlead.core.jobs import Shape
 from basaltlead.core.shard import Shard
 
-# The part of the capacity that jobs without an objective may always bid for, however much jobs with
-# one need. Otherwise they get only what those leave, and starve if that is nothing for long.
+# The part of the capacity that is reserved for jobs without an objective. Otherwise they would get
+# only what jobs with an objective leave, and starve if that is nothing for long.
 SHARE_WITHOUT_OBJECTIVE = 0.25
 
 
@@ -25,8 +25,8 @@
     """One auction among the arrays of a shard.
 
     Jobs with an objective first get the slots that keep them on time; all others share what is
-    left. With one auction for all, a team drained its budget on much work that had to be on time,
-    and was outbid by long tasks without an objective.
+    left. In a single auction for all, a team with much work that has to be on time would drain its
+    budget and be outbid by long tasks without an objective.
     """
 
     def __init__(self, shard: Shard, reserve_price: float) -> None:
@@ -89,8 +89,8 @@
     def _capacity(self) -> float:
         """CPUs that the auction allocates.
 
-        Gangs and services are placed by rank and take no part. When the CPUs they use were
-        allocated as well, jobs that come last in start order could not use their shares.
+        Gangs and services are placed by rank and take no part. If the CPUs they use were allocated
+        as well, jobs that come last in start order could not use their shares.
         """
         up = [
             machine
