--- a/basaltlead/core/task_states.py
+++ b/basaltlead/core/task_states.py
@@ -61,13 +61,13 @@
 HALT = CommandVerb.HALT
 FORGET = CommandVerb.FORGET
 
-# No heartbeat has listed the attempt yet.
+# States in which no heartbeat has listed the attempt yet.
 BEFORE_FIRST_REPORT = (PLANNED, SENT)
-# Stopping the attempt loses no work.
+# States in which stopping the attempt loses no work.
 BEFORE_FIRST_RUN = (PLANNED, SENT, FETCHING, GATHERING)
-# The image is on the machine.
+# States in which the image is on the machine.
 IMAGE_PRESENT = (RUNNING, SAVING, GATHERING)
-# The task is running, or saving its progress after it ran.
+# States in which the task is running, or saving its progress after it ran.
 EXECUTING = (RUNNING, SAVING)
 # If one task of a gang ends for one of these reasons, the other tasks are stopped.
 GANG_ENDING_REASONS = frozenset(
