--- a/basaltlead/core/team_limits.py
+++ b/basaltlead/core/team_limits.py
@@ -11,8 +11,8 @@
 
 
 def fits_guarantee(shard: Shard, job_state: JobState) -> bool:
-    """Whether the job fits into its team's guarantee on top of what the team uses: an array if one
-    more of its tasks does, a gang or a service only as a whole."""
+    """Whether the job fits into its team's guarantee on top of what the team uses. Of an array one
+    more task must fit, a gang or a service as a whole."""
     job = job_state.job
     team = shard.teams.get(job.team, NO_QUOTA)
     if not team.cpus and not team.gpus:
