--- a/basaltlead/core/worker_lease.py
+++ b/basaltlead/core/worker_lease.py
@@ -16,8 +16,8 @@
 resolution of timers. The following epoch cannot contain tasks of ours: commands name the epoch that
 they are for, and no command is sent for an epoch that is not known.
 
-A time from an earlier epoch says nothing about the current one. Counting from the grant alone
-started tasks a second time while they were still running, on machines that had begun another epoch
+A time from an earlier epoch says nothing about the current one. Counting from the grant alone would
+start tasks a second time while they are still running on machines that have begun another epoch
 since (test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch).
 """
 
