--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -24,8 +24,9 @@
 from basaltlead.wire.workers import DirectCommand, WorkerCommand
 
 MIN_WORKER_SOCKETS = 8  # always available for connections to workers
-WORKER_SOCKETS_DIVISOR = 5  # at most one socket in so many is used for workers
-PUSH_BACKOFF_US = 2 * US  # no pushes to a machine after it did not answer
+WORKER_SOCKETS_DIVISOR = 5  # a fifth of the limit on file descriptors, if that is more
+PUSH_BACKOFF_US = 2 * US  # how long nothing is pushed to a machine that did not answer
+# A machine that is not synced is probed up to this often, with pauses, until it answers.
 MAX_PROBES = 6
 PROBE_PAUSE_S = 0.5
 
@@ -33,8 +34,8 @@
 class PushedCommands(NamedTuple):
     """Commands for a machine, and the agent epoch for which they were decided.
 
-    By the time they are sent the machine may be known to be in the next epoch, in which the tasks
-    that they would start are not accounted for
+    When they are sent, the machine may already be known to be in its next epoch. The attempts that
+    they would start have then been dropped
     (test_push_decided_in_one_epoch_is_not_executed_in_the_next).
     """
 
@@ -52,13 +53,13 @@
 def worker_sockets(settings: Settings) -> int:
     """The maximum number of sockets for connections to workers.
 
-    They share the limit with incoming connections, which take precedence.
+    They share the limit on file descriptors with incoming connections, which take precedence.
     """
     return max(MIN_WORKER_SOCKETS, settings.facts.quota.fd_limit // WORKER_SOCKETS_DIVISOR)
 
 
 class WorkerDispatcher:
-    """Pushes commands to machines, probes them, and records them."""
+    """Pushes commands to machines, probes them, and writes the records of new ones."""
 
     def __init__(self, context: ShardContext) -> None:
         self.context = context
@@ -86,7 +87,8 @@
         self.last_token_shown_at = now
 
     def push_all(self, now: int) -> None:
-        """Push the commands that can't wait for the next heartbeat."""
+        """Push the commands that can't wait for the next heartbeat, except to machines with a push
+        in flight or in backoff."""
         shard = self.shard
         for name in list(shard.push_queue):
             machine = shard.machines.get(name)
@@ -119,14 +121,15 @@
         finally:
             self._pushing.discard(machine.name)
             self.shard.acknowledge_starts(starts, executed)
-            if executed is not True:  # if it is alive, its heartbeats still arrive
+            if executed is not True:  # if it is alive, the answers to its heartbeats carry commands
                 machine.push_backoff_until = now_us() + PUSH_BACKOFF_US
             if executed is None:
                 self.shard.mark_unreachable(machine, now_us())
             self.context.wake.set()
 
     async def _send(self, machine: Machine, push: PushedCommands) -> CommandResponse:
-        """Send commands. Returns whether they were executed, and the machine's next report."""
+        """Send commands. Returns whether they were executed, and the report in the machine's
+        response."""
         worker_commands = [to_worker_command(command) for command in push.commands]
         request = DirectCommand(self.lease.fencing_token, push.epoch, worker_commands)
         return await self.workers.command(machine.address, request, self._holds_valid_lease)
@@ -155,7 +158,7 @@
         )
         store = self.context.store
         try:
-            # Fails if there is such a record: a machine belongs to the first shard that records it.
+            # Fails if a record exists: a machine belongs to the first shard that records it.
             changes, unrecorded = [Put(key, stored)], [Precondition(key, 0)]
             store.versions[key] = await store.commit(changes, unrecorded, low_priority=True)
         except PreconditionFailed as conflict:
@@ -193,8 +196,8 @@
         return False
 
     def probe(self, machine: Machine) -> None:
-        """Push an empty list of commands to a machine, so that it shows our fencing token, and that
-        commands reach it, before its next heartbeat."""
+        """Push an empty list of commands to a machine. Its response shows our fencing token, and
+        that commands reach it, before its next heartbeat."""
         if machine.name not in self._probing and now_us() >= machine.push_backoff_until:
             self._probing.add(machine.name)
             self.context.spawn(self._probe(machine), f"probe {machine.name}")
