--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -43,11 +43,12 @@
         return self._handle_unknown(heartbeat, now)
 
     def _handle_unknown(self, heartbeat: Heartbeat, now: int) -> Response | None:
-        """Answer a heartbeat from a machine without a record: one of a scale-out request that was
-        executed late or, if it is a delayed copy, one that an earlier shard leader returned.
+        """Answer a heartbeat from a machine without a record.
 
-        Tasks are started on recorded machines only, so it has none that is still wanted. It exists
-        for certain only once it shows our fencing token.
+        The machine belongs to a scale-out request that was executed late or, if the heartbeat is a
+        delayed copy, was returned by an earlier shard leader. Tasks are started on recorded
+        machines only, so it has none that is still wanted. Only a heartbeat with our fencing token
+        proves that the machine still exists.
         """
         if heartbeat.machine in self.shard.deleted_machines:
             return None
