--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -27,7 +27,7 @@
 
 MACHINE_TYPES_POLL_INTERVAL_S = 0.05  # between two checks for the machine types
 MIN_SILENCE_TIMEOUT_US = 3 * US
-FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within that
+FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within this time
 
 
 class ShardLeader:
