--- a/basaltlead/shard/lease.py
+++ b/basaltlead/shard/lease.py
@@ -25,8 +25,9 @@
         self.staleness_us = staleness_us
         self.stepped_down = False  # permanent: a new grant has a new lease
         # The time up to which all confirmed cancellations are known. None until the open jobs have
-        # been listed once: tasks of jobs that were cancelled since the previous leader's last read
-        # may still be running, for an unknown time already, so no worker's lease may be renewed yet
+        # been listed once, and no worker's lease may be renewed until then: since the previous
+        # leader's last read, which is an unknown time ago, jobs may have been cancelled whose tasks
+        # are still running
         # (test_shard_leader_that_could_not_load_its_shard_renews_no_worker_lease).
         self.cancellations_as_of: int | None = None
 
