--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -75,7 +75,7 @@
     def _add_job(self, ref: str, raw: msgspec.Raw, version: int, now: int) -> None:
         stored = msgspec.json.decode(raw, type=StoredJob)
         if self.is_cancelled(ref):
-            return  # already confirmed to its user; the watch will report it too
+            return  # the cancellation is confirmed to the user; the watch will report it too
         age = age_us(stored.at)
         job = job_of(stored.submission)
         job_state = self.shard.add_job(job, version, now, age)
