--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -75,7 +75,7 @@
 
     def _shown_count_is_stale(self, job_state: JobState) -> bool:
         """Whether users see a wrong number of running tasks. Tasks of arrays start and end all the
-        time, so of an array it is enough to show that some run."""
+        time, so for an array it is enough to show that some run."""
         stored = self._stored_running.get(job_state.job.ref)
         if not job_state.job.service:
             return bool(job_state.running) and not stored
