--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -203,7 +203,7 @@
             self.context.spawn(self._probe(machine), f"probe {machine.name}")
 
     async def _probe(self, machine: Machine) -> None:
-        epoch = machine.epoch or 1
+        epoch = machine.epoch or 1  # if it is wrong, the response tells the right one
         try:
             for _ in range(MAX_PROBES):
                 known = self.shard.machines.get(machine.name) is machine
