--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -97,6 +97,7 @@
         ]
         try:
             await self._record(ref, changed, preconditions)
+            # Read again, since changes are not applied to the job while its tasks are handed over.
             row = await self.context.store.get(ASSIGNMENT + ref)
         except ServiceError:
             row = None
@@ -158,6 +159,7 @@
                 await self._balance_once()
 
     async def _balance_once(self) -> None:
+        # Tasks of a team with a quota stay on one shard, where they are counted together.
         movable = [
             job_state
             for job_state in self.shard.job_states.values()
