--- a/basaltlead/core/entities.py
+++ b/basaltlead/core/entities.py
@@ -111,9 +111,7 @@
         self.terminating = False  # to be returned to the cloud
         self.preemption_at: int | None = None  # when the cloud takes it back
         self.cordoned_until = 0  # nothing is started on it until then
-        self.unreachable_since = (
-            0  # since when our commands may not reach it; 0: nothing suggests that
-        )
+        self.unreachable_since = 0  # since when commands may not reach it; 0: no sign of that
 
         # Messages.
         self.messages = MessageOrder()
