--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -70,9 +70,8 @@
             messages.token_missing_since = messages.token_missing_since or now
             if now - messages.token_missing_since > self._timing.lease_us:
                 return REFUSED
-            if (
-                machine.lost
-            ):  # only a report with our fencing token proves that the machine is alive
+            if machine.lost:
+                # Only a report with our fencing token proves that the machine is alive.
                 return UNPROVEN
         if heartbeat.epoch > messages.epoch:
             self._fleet.begin_epoch(machine, heartbeat.epoch, now)
