--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -27,7 +27,7 @@
 class Shard:
     """The state of a shard as its leader uses it: its jobs, attempts and machines.
 
-    It does no input or output, and each method is passed the time in microseconds. Its state thus
+    It does no input or output, and each method is passed the time in microseconds, so the state
     depends on the calls alone.
     """
 
