--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -25,9 +25,9 @@
 
 
 class Shard:
-    """The facade of a shard, over the classes that keep its jobs, attempts and machines.
+    """The state of a shard as its leader uses it: its jobs, attempts and machines.
 
-    It does no input or output, and each method is passed the time in microseconds. Its state thus
+    It does no input or output, and each method is passed the time in microseconds, so the state
     depends on the calls alone.
     """
 
@@ -92,7 +92,7 @@
         if job_state is None:
             return
         job_state.closed = True
-        if not (job_state.history.replica_ran_long or job_state.complete):
+        if not (job_state.failure_history.replica_ran_long or job_state.complete):
             self._failures.clear(job_state)  # the job itself may have been faulty
         self._attempts.stop_all(job_state)
         self._jobs.discard_if_over(job_state)
@@ -205,14 +205,14 @@
         """Whether some commands for the machine have not been sent."""
         return has_pending_commands(machine)
 
-    def answer(
+    def receive_push_response(
         self, heartbeat: WorkerReport, now: int, pushed_starts: Iterable[Attempt] = ()
     ) -> None:
         """Apply the answer to pushed commands. `pushed_starts` are the starts that it proves to be
         executed."""
         machine = self.machines.get(heartbeat.machine)
         if machine is not None:
-            self._reconciler.receive_answer(machine, heartbeat, now, pushed_starts)
+            self._reconciler.receive_push_response(machine, heartbeat, now, pushed_starts)
 
     def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
         """Record whether pushed starts were executed; None if that is unknown."""
@@ -228,7 +228,7 @@
         due = [
             m
             for m in self.machines.values()
-            if m.lease.counted_from < silent_before or m.preemption_at is not None or m.draining
+            if m.lease.counted_from < silent_before or m.preemption_at is not None or m.faulty
         ]
         for machine in due:
             if machine.lost or not machine.lease.has_expired(now, self.timing):
--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -9,8 +9,8 @@
 from basaltlead.core.jobs import Shape
 from basaltlead.core.shard import Shard
 
-# The part of the capacity that jobs without an objective may always bid for, however much jobs with
-# one need. Otherwise they get only what those leave, and starve if that is nothing for long.
+# The part of the capacity that is reserved for jobs without an objective. Otherwise they would get
+# only what jobs with an objective leave, and starve if that is nothing for long.
 SHARE_WITHOUT_OBJECTIVE = 0.25
 
 
@@ -25,8 +25,8 @@
     """One auction among the arrays of a shard.
 
     Jobs with an objective first get the slots that keep them on time; all others share what is
-    left. With one auction for all, a team drained its budget on much work that had to be on time,
-    and was outbid by long tasks without an objective.
+    left. In a single auction for all, a team with much work that has to be on time would drain its
+    budget and be outbid by long tasks without an objective.
     """
 
     def __init__(self, shard: Shard, reserve_price: float) -> None:
@@ -40,10 +40,10 @@
         with_objective = [self._bid(job_state) for job_state in arrays if job_state.has_objective]
         others = [job_state for job_state in arrays if not job_state.has_objective]
         capacity = self._capacity()
-        kept_back = capacity * SHARE_WITHOUT_OBJECTIVE if others else 0.0
-        slots = allocate(with_objective, capacity - kept_back)
-        given = sum(slots[bid.key] * bid.size for bid in with_objective)
-        slots |= self._share_remainder(others, capacity - given)
+        reserved_cpus = capacity * SHARE_WITHOUT_OBJECTIVE if others else 0.0
+        slots = allocate(with_objective, capacity - reserved_cpus)
+        allocated_cpus = sum(slots[bid.key] * bid.size for bid in with_objective)
+        slots |= self._share_remainder(others, capacity - allocated_cpus)
         all_bids = [*with_objective, *map(self._bid, others)]
         return AuctionResult(slots, price(all_bids, capacity))
 
@@ -69,14 +69,14 @@
             for bid in (bids[member.job.ref] for member in members):
                 slots[bid.key] = min(1, bid.max_slots)
                 left -= slots[bid.key] * bid.size
-            for job_state in sorted(members, key=self._cpu_us_left):
+            for job_state in sorted(members, key=self._remaining_cpu_us):
                 bid = bids[job_state.job.ref]
                 more = min(bid.max_slots - slots[bid.key], max(0, int(left / bid.size)))
                 slots[bid.key] += more
                 left -= more * bid.size
         return slots
 
-    def _cpu_us_left(self, job_state: JobState) -> float:
+    def _remaining_cpu_us(self, job_state: JobState) -> float:
         return job_state.remaining * job_state.job.size * self._shard.estimated_run_us(job_state)
 
     def _bid(self, job_state: JobState) -> Bid[str]:
@@ -89,8 +89,8 @@
     def _capacity(self) -> float:
         """CPUs that the auction allocates.
 
-        Gangs and services are placed by rank and take no part. When the CPUs they use were
-        allocated as well, jobs that come last in start order could not use their shares.
+        Gangs and services are placed by rank and take no part. If the CPUs they use were allocated
+        as well, jobs that come last in start order could not use their shares.
         """
         up = [
             machine
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -9,7 +9,7 @@
 from basaltlead.core.machine_state import MachineState
 from tests.builders import MACHINE_TYPE, TIMING, Story, task_status
 
-FACTS = ("up", "synced", "recorded", "lost", "draining", "terminating")
+FACTS = ("up", "synced", "recorded", "lost", "faulty", "terminating")
 
 
 def _state(story: Story, name: str = "m-0") -> MachineState:
@@ -84,7 +84,7 @@
 
     assert not job_state.live
     assert job_state.waiting == 1
-    assert not job_state.history.failures
+    assert not job_state.failure_history.failures
     assert not job_state.retry_at
     assert _state(story) is MachineState.READY
 
@@ -94,7 +94,7 @@
 
     story.shard.mark_unreachable(story.shard.machines["m-0"], story.now)
     assert _state(story) is MachineState.CORDONED
-    story.shard.answer(story.make_heartbeat("m-0"), story.now)
+    story.shard.receive_push_response(story.make_heartbeat("m-0"), story.now)
 
     assert _state(story) is MachineState.READY
 
@@ -120,7 +120,7 @@
     story.heartbeat("m-0", epoch=2, tick=1, fencing_token=7)
     assert not story.shard.machines["m-0"].lost
     assert _state(story) is MachineState.CORDONED
-    story.shard.answer(story.make_heartbeat("m-0", epoch=2, tick=2), story.now)
+    story.shard.receive_push_response(story.make_heartbeat("m-0", epoch=2, tick=2), story.now)
 
     assert _state(story) is MachineState.READY
 
@@ -130,7 +130,7 @@
     machine = story.shard.machines["m-0"]
 
     machine.terminating = True
-    machine.draining = True
+    machine.faulty = True
     assert _state(story) is MachineState.TERMINATING
     story.now += TIMING.lease_expiry_us + 1
     story.shard.advance(story.now)
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -198,7 +198,7 @@
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
     attempt = story.attempt(job_state)
     answer = story.make_heartbeat("m-0", task_status(attempt, "fetching"))
-    story.shard.answer(answer, story.now, pushed_starts)
+    story.shard.receive_push_response(answer, story.now, pushed_starts)
     story.shard.acknowledge_starts(pushed_starts, True)
     assert attempt.stage == "fetching"
     story.shard.heartbeat(before, story.now)
@@ -415,7 +415,9 @@
     plan(story.shard, story.now)
     assert job_state.live[0].machine is not unreachable
     assert not unreachable.usable(story.now)
-    story.shard.answer(story.make_heartbeat(unreachable.name, epoch=2, tick=2), story.now)
+    story.shard.receive_push_response(
+        story.make_heartbeat(unreachable.name, epoch=2, tick=2), story.now
+    )
 
     assert unreachable.usable(story.now)
 
@@ -538,13 +540,13 @@
             break
         story.shard._attempts.remove(attempt, story.now)
         for machine in story.shard.machines.values():
-            machine.draining = False
+            machine.faulty = False
         story.now += 301 * US
         for name in story.shard.machines:
             story.heartbeat(name)
         plan(story.shard, story.now)
 
-    assert everywhere.history.stragglers_stopped == 4
+    assert everywhere.failure_history.stragglers_stopped == 4
     assert attempt.stop_grace_s is None
 
 
@@ -683,5 +685,5 @@
         assert not job_state.live  # both are avoided for a while
     machines = story.shard.machines.values()
 
-    assert not any(machine.draining for machine in machines)
+    assert not any(machine.faulty for machine in machines)
     assert all(not machine.failed_jobs for machine in machines)
