--- a/basaltlead/api/routing.py
+++ b/basaltlead/api/routing.py
@@ -38,9 +38,9 @@
         leader's controller, or 503 if the leader is not known."""
         try:
             heartbeat = heartbeat_decoder.decode(body)
-        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             if self._log_limiter.allow(now_us()):
-                log.info("rejected a malformed heartbeat: %s", fault)
+                log.info("rejected a malformed heartbeat: %s", error)
             return error_response(400, "malformed report")
         number = self.assigner.shard_of(heartbeat.machine) or 0
         leader = self.registry.leaders.get(number)
--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -69,8 +69,8 @@
         if request.path == JOBS_PATH and request.method == POST:
             try:  # malformed submissions get 400 even while no job can be accepted
                 submission = msgspec.json.decode(request.body, type=Submission)
-            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-                return error_response(400, str(fault)[:200])
+            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+                return error_response(400, str(error)[:200])
         if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUE_DELAY_S:
             return error_response(503, "busy", RETRY_LATER)
         if not self.limiter.acquire():
@@ -81,9 +81,9 @@
                 return await (self.submit(submission) if submission else self._route(request))
         except TimeoutError:
             return error_response(503, "no answer in time", RETRY_SOON)
-        except ServiceError as fault:
+        except ServiceError as error:
             if self._log_limiter.allow(started):
-                log.info("%s %s failed with status 503: %s", request.method, request.path, fault)
+                log.info("%s %s failed with status 503: %s", request.method, request.path, error)
             return error_response(503, "not sure right now", RETRY_SOON)
         finally:
             self.limiter.release(now_us() - started)
@@ -131,8 +131,8 @@
         was not accepted earlier. Raises ServiceError if the outcome is not known."""
         try:
             await self._store(submission)
-        except TransactionTooLarge as fault:
-            return error_response(422, str(fault))
+        except TransactionTooLarge as error:
+            return error_response(422, str(error))
         except PreconditionFailed as conflict:
             if not _names_job(conflict, submission.ref):
                 raise
--- a/basaltlead/cli.py
+++ b/basaltlead/cli.py
@@ -43,8 +43,8 @@
 
     try:
         settings = load(config, operator)
-    except SettingsError as fault:
-        print(f"basaltlead: {fault}", file=sys.stderr)
+    except SettingsError as error:
+        print(f"basaltlead: {error}", file=sys.stderr)
         return BAD_SETTINGS
     # Objects allocated by imports are never freed, so garbage collection would only slow the start.
     gc.disable()
--- a/basaltlead/clients/codec.py
+++ b/basaltlead/clients/codec.py
@@ -17,9 +17,9 @@
     """
     try:
         return msgspec.json.decode(body, type=message_type)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
         # The command `duties` prints this text, so the wording must not change.
-        raise RequestFailed(f"malformed answer: {fault}", sent=True) from None
+        raise RequestFailed(f"malformed answer: {error}", sent=True) from None
 
 
 def encode(value: Any) -> bytes:
--- a/basaltlead/cluster/cluster_watch.py
+++ b/basaltlead/cluster/cluster_watch.py
@@ -85,5 +85,5 @@
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         try:
             self.view.put(key, raw, version)
-        except (msgspec.DecodeError, ValueError) as fault:
-            log.error("record %s can't be read: %s", key, fault)
+        except (msgspec.DecodeError, ValueError) as error:
+            log.error("record %s can't be read: %s", key, error)
--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -58,8 +58,8 @@
             except PreconditionFailed as conflict:
                 log.debug("claim or grant failed: %s changed concurrently", conflict)
                 await asyncio.sleep(self.membership.rng.uniform(*CONFLICT_PAUSE_S))
-            except ServiceError as fault:
-                log.debug("claim or grant failed: %s", fault)
+            except ServiceError as error:
+                log.debug("claim or grant failed: %s", error)
                 await asyncio.sleep(self.membership.rng.uniform(*FAILURE_PAUSE_S))
 
     async def _claim_in_turn(self) -> float:
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -154,8 +154,8 @@
             apply.append(Drop(LEADER))
         try:
             version = await self.store.compare_and_swap(preconditions, apply)
-        except ServiceError as fault:
-            log.info("%s not released: %s", grant_label(key), fault)
+        except ServiceError as error:
+            log.info("%s not released: %s", grant_label(key), error)
             return False
         self.cluster.note_grant(key, free, version)
         log.info("%s released", grant_label(key))
--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -29,9 +29,9 @@
         """The message, or None if it is malformed."""
         try:
             return decoder.decode(body)
-        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             if self.log_limiter.allow(now_us()):
-                log.info("malformed message from a peer: %s", fault)
+                log.info("malformed message from a peer: %s", error)
             return None
 
 
@@ -122,8 +122,8 @@
                 _, self.protocol = await loop.create_connection(
                     lambda: FrameProtocol(self._on_frame, self._on_connection_lost), host, int(port)
                 )
-        except (OSError, TimeoutError) as fault:
-            log.debug("connecting to peer %s failed: %s", self.peer.member, fault or "no answer")
+        except (OSError, TimeoutError) as error:
+            log.debug("connecting to peer %s failed: %s", self.peer.member, error or "no answer")
         finally:
             self.connecting = False
 
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -107,8 +107,8 @@
             except SessionLeaseExpired:
                 log.info("session lease expired, rejoining")
                 self.leave()
-            except ServiceError as fault:
-                log.debug("session lease not renewed: %s", fault)
+            except ServiceError as error:
+                log.debug("session lease not renewed: %s", error)
                 await backoff.wait()
 
     def leave(self) -> None:
--- a/basaltlead/config/loader.py
+++ b/basaltlead/config/loader.py
@@ -23,8 +23,8 @@
     """
     try:
         return msgspec.convert(data, target, strict=target is not Operator)
-    except msgspec.ValidationError as fault:
-        text = str(fault)
+    except msgspec.ValidationError as error:
+        text = str(error)
         reason, _, path = text.partition(" - at `$")
         field = path.rstrip("`").lstrip(".")
         raise SettingsError(f"{where}: {field + ': ' if field else ''}{reason}") from None
@@ -36,10 +36,10 @@
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
-    except OSError as fault:
-        raise SettingsError(f"{path}: {fault.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as fault:
-        raise SettingsError(f"{path}: not TOML: {fault}") from None
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise SettingsError(f"{path}: not TOML: {error}") from None
     data.pop("operator", None)
     settings: Settings = convert(data, Settings, path)
     if operator_path is not None:
@@ -55,10 +55,10 @@
     try:
         with open(path, encoding="utf-8") as file:
             data = yaml.safe_load(file)
-    except OSError as fault:
-        raise SettingsError(f"{path}: {fault.strerror}") from None
-    except (yaml.YAMLError, UnicodeDecodeError) as fault:
-        raise SettingsError(f"{path}: not YAML: {' '.join(str(fault).split())}") from None
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    except (yaml.YAMLError, UnicodeDecodeError) as error:
+        raise SettingsError(f"{path}: not YAML: {' '.join(str(error).split())}") from None
     operator: Operator = convert({} if data is None else data, Operator, path)
     if operator.quiet is not None:
         _check_calendar(operator.quiet.calendar, path)
@@ -69,6 +69,6 @@
     """Raise `SettingsError` if the calendar is invalid or its libraries are not installed."""
     try:
         from basaltlead.scaling import quiet_calendar
-    except ImportError as fault:
-        raise SettingsError(f"{path}: quiet: {fault}: install basaltlead[operators]") from None
+    except ImportError as error:
+        raise SettingsError(f"{path}: quiet: {error}: install basaltlead[operators]") from None
     quiet_calendar.read_calendar(calendar)
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -256,7 +256,7 @@
         asyncio.run(Controller(settings).run())
     except KeyboardInterrupt:
         return 130
-    except OSError as fault:
-        log.error("failed to listen on %s: %s", settings.front, fault)
+    except OSError as error:
+        log.error("failed to listen on %s: %s", settings.front, error)
         return 1
     return 0
--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -71,8 +71,8 @@
             try:
                 await self._drop_spent_requests()
                 await self._drop_orphaned_results()
-            except ServiceError as fault:
-                log.info("clean-up pass failed, will be retried: %s", fault)
+            except ServiceError as error:
+                log.info("clean-up pass failed, will be retried: %s", error)
 
     def _is_quiet_time(self) -> bool:
         return self.quiet_times is not None and self.quiet_times.current() is not None
--- a/basaltlead/duties/history.py
+++ b/basaltlead/duties/history.py
@@ -146,8 +146,8 @@
             if conflict.failed != [key]:
                 raise
             return False
-        except RequestFailed as fault:
-            if fault.sent:  # it may have been executed, which changes the page's version
+        except RequestFailed as error:
+            if error.sent:  # it may have been executed, which changes the page's version
                 await self.load()
             raise
         self.page, self.versions[key] = page, version
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -95,11 +95,11 @@
             try:
                 await self.history.load()
                 await self.history.commit([], [], Event.of(Action.ACQUIRED))
-            except ServiceError as fault:
+            except ServiceError as error:
                 log.info(
                     "duty %s: acquisition not recorded, will be retried: %s",
                     self.duty,
-                    fault,
+                    error,
                 )
                 await backoff.wait()
             else:
--- a/basaltlead/duties/machine_deletion.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -45,9 +45,9 @@
         """
         try:
             await self.cloud.delete(names, self._holds_valid_lease)
-        except RequestRejected as fault:
+        except RequestRejected as error:
             if len(names) < 2:
-                self._note_rejection(names[0], str(fault), now)
+                self._note_rejection(names[0], str(error), now)
                 return []
             middle = len(names) // 2
             deleted = await self.delete(names[:middle], now)
--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -76,10 +76,10 @@
                     spot,
                 )
                 return None
-            except RequestRejected as fault:
-                await self._wait_after_rejection(name, str(fault), on_rejected)
-            except (RequestFailed, Unavailable) as fault:
-                log.info("scale-out request %s: no result, will be retried: %s", name, fault)
+            except RequestRejected as error:
+                await self._wait_after_rejection(name, str(error), on_rejected)
+            except (RequestFailed, Unavailable) as error:
+                log.info("scale-out request %s: no result, will be retried: %s", name, error)
                 await backoff.wait()
             else:
                 log.info("scale-out request %s: rented %s", name, ", ".join(names))
--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -98,8 +98,8 @@
                 continue
             try:
                 await self._reconcile()
-            except ServiceError as fault:
-                log.info("reclaim pass failed, will be retried: %s", fault)
+            except ServiceError as error:
+                log.info("reclaim pass failed, will be retried: %s", error)
 
     async def _reconcile(self) -> None:
         listed_at = now_us()
@@ -203,7 +203,7 @@
             await self.history.commit(preconditions, [put], event, low_priority=True)
         except PreconditionFailed as conflict:
             log.debug("reclaim: %s not recorded, conflict: %s", put.key, conflict)
-        except (RequestFailed, Unavailable) as fault:
-            log.info("reclaim: %s not recorded: %s", put.key, fault)
+        except (RequestFailed, Unavailable) as error:
+            log.info("reclaim: %s not recorded: %s", put.key, error)
         else:
             log.info("%s %s: %s", event.action, put.key, ", ".join(event.names))
--- a/basaltlead/duties/rent_duty.py
+++ b/basaltlead/duties/rent_duty.py
@@ -92,11 +92,11 @@
             try:
                 names = await self.machine_rental.rent(name, stored, on_rejected)
                 await self._record_outcome(name, stored, names)
-            except ServiceError as fault:
+            except ServiceError as error:
                 log.info(
                     "scale-out request %s: outcome not recorded, will be retried: %s",
                     name,
-                    fault,
+                    error,
                 )
                 # The record is unchanged, so the request is sent again, here or by the holder of
                 # the next grant.
@@ -140,6 +140,6 @@
         event = Event.of(Action.REFUSED, name, stored.at)
         try:
             await self.history.commit(preconditions, changes, event)
-        except ServiceError as fault:
+        except ServiceError as error:
             stored.refused = msgspec.UNSET
-            log.info("scale-out request %s: rejection not recorded: %s", name, fault)
+            log.info("scale-out request %s: rejection not recorded: %s", name, error)
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -45,8 +45,8 @@
             if isinstance(question, DutiesRequest):
                 return await self._duties()
             return await self._history_page(question.after)
-        except ServiceError as fault:
-            return answer_type(str(fault))
+        except ServiceError as error:
+            return answer_type(str(error))
 
     async def _duties(self) -> DutiesResponse:
         cluster = ClusterView()
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -70,8 +70,8 @@
                 continue
             try:
                 await self._delete_batch()
-            except ServiceError as fault:
-                log.info("machine deletion failed, will be retried: %s", fault)
+            except ServiceError as error:
+                log.info("machine deletion failed, will be retried: %s", error)
                 await backoff.wait()
                 continue
             backoff.reset()
@@ -124,8 +124,8 @@
                 Event.of(Action.RETURNED, key[len(SCALE_IN) :], stored.at, stored.names),
                 low_priority=True,
             )
-        except ServiceError as fault:
-            log.info("scale-in record %s: outcome not recorded, will be retried: %s", key, fault)
+        except ServiceError as error:
+            log.info("scale-in record %s: outcome not recorded, will be retried: %s", key, error)
             await asyncio.sleep(RETRY_PAUSE_S)
             return
         self.open_scale_ins.pop(key, None)
@@ -152,7 +152,7 @@
                     ),
                     low_priority=True,
                 )
-            except ServiceError as fault:
-                log.info("scale-in record %s: rejection not recorded: %s", key, fault)
+            except ServiceError as error:
+                log.info("scale-in record %s: rejection not recorded: %s", key, error)
                 continue
             scale_in.stored = changed
--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -150,8 +150,8 @@
             if connection is not None:
                 connection.close()
             raise RequestFailed("no answer in time", sent=sent) from None
-        except OSError as fault:
-            raise RequestFailed(f"no connection: {fault}", sent=False) from None
+        except OSError as error:
+            raise RequestFailed(f"no connection: {error}", sent=False) from None
         except BaseException:  # includes the cancellation of the caller
             if connection is not None:
                 connection.close()
--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -184,8 +184,8 @@
     while True:
         try:
             return await loop.create_server(factory, host, int(port), backlog=backlog)
-        except OSError as fault:
-            if fault.errno != errno.EADDRINUSE:
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE:
                 raise
         log.error("address %s is in use, retrying", address)
         await asyncio.sleep(RETRY_LISTEN_S)
--- a/basaltlead/operators/client.py
+++ b/basaltlead/operators/client.py
@@ -84,10 +84,10 @@
         response = asyncio.run(_send_request(address, request))
     except TimeoutError:
         raise Unreachable(f"{address}: no answer within {TIMEOUT_S:.0f} s") from None
-    except OSError as fault:
-        raise Unreachable(f"{address}: {fault.strerror or fault}") from None
-    except Unreachable as fault:
-        raise Unreachable(f"{address}: {fault}") from None
+    except OSError as error:
+        raise Unreachable(f"{address}: {error.strerror or error}") from None
+    except Unreachable as error:
+        raise Unreachable(f"{address}: {error}") from None
     if response.unknown:
         raise StateUnavailable(f"{address}: not known: {response.unknown}")
     return response
--- a/basaltlead/operators/commands.py
+++ b/basaltlead/operators/commands.py
@@ -35,12 +35,12 @@
         if options.verb == Verb.DUTIES:
             return _show_duties(client.duties(address), options.json)
         return _export_history(address, options.out)
-    except SettingsError as fault:
-        return _fail(str(fault), ExitStatus.BAD_SETTINGS)
-    except client.Unreachable as fault:
-        return _fail(str(fault), ExitStatus.UNREACHABLE)
-    except client.StateUnavailable as fault:
-        return _fail(str(fault), ExitStatus.STATE_UNAVAILABLE)
+    except SettingsError as error:
+        return _fail(str(error), ExitStatus.BAD_SETTINGS)
+    except client.Unreachable as error:
+        return _fail(str(error), ExitStatus.UNREACHABLE)
+    except client.StateUnavailable as error:
+        return _fail(str(error), ExitStatus.STATE_UNAVAILABLE)
 
 
 def _fail(text: str, status: ExitStatus) -> ExitStatus:
@@ -80,12 +80,12 @@
     try:
         # Requires pyarrow, an optional dependency for this command only.
         from basaltlead.operators.audit_export import export
-    except ImportError as fault:
-        return _fail(f"{fault}: install basaltlead[operators]", ExitStatus.LIBRARY_MISSING)
+    except ImportError as error:
+        return _fail(f"{error}: install basaltlead[operators]", ExitStatus.LIBRARY_MISSING)
     try:
         summary = export(client.history(address), out)
-    except OSError as fault:
-        return _fail(f"{out}: {fault.strerror or fault}", ExitStatus.NOT_WRITTEN)
+    except OSError as error:
+        return _fail(f"{out}: {error.strerror or error}", ExitStatus.NOT_WRITTEN)
     print(f"{summary.events} events written to {out}")
     for duty, count in summary.overwritten.items():
         print(f"{duty}: the first {count} events are no longer kept")
--- a/basaltlead/scaling/idle_retention.py
+++ b/basaltlead/scaling/idle_retention.py
@@ -45,8 +45,8 @@
         while not self.loaded:
             try:
                 row = await self.context.store.get(self.key)
-            except (RequestFailed, Unavailable) as fault:
-                log.info("quiet time reservation not read: %s", fault)
+            except (RequestFailed, Unavailable) as error:
+                log.info("quiet time reservation not read: %s", error)
                 await backoff.wait()
                 continue
             if row is not None:
@@ -80,7 +80,7 @@
         """Record a reservation. False if the store has not confirmed it."""
         try:
             await self.context.store.put({self.key: stored})
-        except (PreconditionFailed, RequestFailed, Unavailable, SessionLeaseExpired) as fault:
-            log.info("quiet time reservation not recorded: %s", fault)
+        except (PreconditionFailed, RequestFailed, Unavailable, SessionLeaseExpired) as error:
+            log.info("quiet time reservation not recorded: %s", error)
             return False
         return True
--- a/basaltlead/scaling/machine_list.py
+++ b/basaltlead/scaling/machine_list.py
@@ -52,8 +52,8 @@
                 continue
             try:
                 rented = await self.cloud.machines()
-            except ServiceError as fault:
-                log.info("machine list not read from the cloud: %s", fault)
+            except ServiceError as error:
+                log.info("machine list not read from the cloud: %s", error)
                 continue
             self._reconcile(rented, now_us())
             await self.scale_out.drop_completed()
--- a/basaltlead/scaling/machine_type_catalog.py
+++ b/basaltlead/scaling/machine_type_catalog.py
@@ -82,8 +82,8 @@
                 backoff.reset()
                 await self._store(types)
                 await asyncio.sleep(LEADER_PAUSE_S if self.leads_shard() else STANDBY_PAUSE_S)
-            except ServiceError as fault:
-                log.info("machine types not read from the cloud: %s", fault)
+            except ServiceError as error:
+                log.info("machine types not read from the cloud: %s", error)
                 await self._load()
                 await backoff.wait()
 
@@ -103,8 +103,8 @@
             else:
                 for number, page in enumerate(pages):
                     await self._put(f"{PAGE_PREFIX}{number}", MachineTypePage(page, len(pages)))
-        except ServiceError as fault:
-            log.debug("machine types not stored: %s", fault)
+        except ServiceError as error:
+            log.debug("machine types not stored: %s", error)
         else:
             self.stored = names
 
@@ -117,8 +117,8 @@
             return
         try:
             types = await self._stored_types()
-        except (RequestFailed, Unavailable) as fault:
-            log.debug("stored machine types not read: %s", fault)
+        except (RequestFailed, Unavailable) as error:
+            log.debug("stored machine types not read: %s", error)
             return
         for machine_type in map(machine_type_of, types):
             self.machine_types.setdefault(machine_type.name, machine_type)
--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -66,8 +66,8 @@
                 else:
                     await self._delete(names)
                 backoff.reset()
-            except ServiceError as fault:
-                log.info("scale-in failed, will be retried: %s", fault)
+            except ServiceError as error:
+                log.info("scale-in failed, will be retried: %s", error)
                 await backoff.wait()
 
     # While the duties have grants of their own
--- a/basaltlead/scaling/scale_out.py
+++ b/basaltlead/scaling/scale_out.py
@@ -86,8 +86,8 @@
             version = await self.context.store.commit(
                 [Put(SCALE_OUT + name, stored)], preconditions
             )
-        except ServiceError as fault:
-            log.info("scale-out request %s not recorded: %s", name, fault)
+        except ServiceError as error:
+            log.info("scale-out request %s not recorded: %s", name, error)
             self.requests.remove_pending(name)
             return
         self.requests.note_version(name, version)
--- a/basaltlead/scaling/scale_out_executor.py
+++ b/basaltlead/scaling/scale_out_executor.py
@@ -53,8 +53,8 @@
                 stored.names, stored.refused = names, msgspec.UNSET
                 self.requests.on_rented(name, stored)
                 await self.machine_rental.record_outcome(name, stored, version)
-        except ServiceError as fault:
-            log.info("scale-out request %s: outcome not recorded: %s", name, fault)
+        except ServiceError as error:
+            log.info("scale-out request %s: outcome not recorded: %s", name, error)
         finally:
             self.requests.remove_pending(name)
             self.running.pop(name, None)
--- a/basaltlead/shard/assignment.py
+++ b/basaltlead/shard/assignment.py
@@ -165,8 +165,8 @@
         ]
         try:
             await self.store.compare_and_swap(preconditions, [Put(ASSIGNMENT + ref, assignment)])
-        except ServiceError as fault:
-            log.debug("job %s not assigned, will retry: %s", ref, fault)
+        except ServiceError as error:
+            log.debug("job %s not assigned, will retry: %s", ref, error)
         else:
             self._assignments[ref] = assignment
 
--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -113,9 +113,9 @@
                 executed = None
             else:
                 self.shard.answer(heartbeat, now_us(), starts if executed else ())
-        except RequestFailed as fault:
-            log.debug("pushing commands to %s failed: %s", machine.name, fault)
-            executed = None if fault.sent else False
+        except RequestFailed as error:
+            log.debug("pushing commands to %s failed: %s", machine.name, error)
+            executed = None if error.sent else False
         finally:
             self._pushing.discard(machine.name)
             self.shard.acknowledge_starts(starts, executed)
@@ -161,9 +161,9 @@
         except PreconditionFailed as conflict:
             if key not in conflict.failed or not await self._recorded_by_us(machine):
                 return
-        except ServiceError as fault:
+        except ServiceError as error:
             log.info(
-                "machine %s not recorded, retrying on its next heartbeat: %s", machine.name, fault
+                "machine %s not recorded, retrying on its next heartbeat: %s", machine.name, error
             )
             return
         finally:
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -100,8 +100,8 @@
                 continue
             try:
                 return await self.loader.load(self.heartbeats.answered_at)
-            except ServiceError as fault:
-                log.info("loading shard %d failed, retrying: %s", self.context.number, fault)
+            except ServiceError as error:
+                log.info("loading shard %d failed, retrying: %s", self.context.number, error)
                 await backoff.wait()
 
     def heartbeat(self, heartbeat: Heartbeat) -> Response | None:
--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -30,8 +30,8 @@
         # Usually the job was cancelled concurrently, which the watch reports.
         log.debug("write to the key-value store failed: %s changed concurrently", conflict)
         await asyncio.sleep(CONFLICT_PAUSE_S)
-    except ServiceError as fault:
-        log.debug("write to the key-value store failed: %s", fault)
+    except ServiceError as error:
+        log.debug("write to the key-value store failed: %s", error)
         await asyncio.sleep(FAILURE_PAUSE_S)
 
 
--- a/basaltlead/storage/watch.py
+++ b/basaltlead/storage/watch.py
@@ -65,8 +65,8 @@
                 backoff.reset()
             except RevisionCompacted:
                 self.revision = None
-            except ServiceError as fault:
-                log.debug("watch of %s failed: %s", self.prefix, fault)
+            except ServiceError as error:
+                log.debug("watch of %s failed: %s", self.prefix, error)
                 await backoff.wait()
 
 
