--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -53,11 +53,11 @@
     service: Submission | None = None
 
     @staticmethod
-    def of(sent: Submission, at: int) -> "StoredJob":
+    def of(submission: Submission, at: int) -> "StoredJob":
         """Create the record of a submission that was accepted at the wall-clock time `at`."""
-        if SHAPES[sent.shape] is Shape.SERVICE:
-            return StoredJob(at=at, service=sent)
-        return StoredJob(job=sent, at=at)
+        if SHAPES[submission.shape] is Shape.SERVICE:
+            return StoredJob(at=at, service=submission)
+        return StoredJob(job=submission, at=at)
 
     @property
     def submission(self) -> Submission:
@@ -130,43 +130,43 @@
     shard: int = 0
 
 
-def job_of(sent: Submission) -> Job:
+def job_of(submission: Submission) -> Job:
     """Convert a submission to the core's type."""
     return Job(
-        ref=sent.ref,
-        job_class=sent.job_class,
-        team=sent.team,
-        shape=SHAPES[sent.shape],
-        rank=RANKS[sent.rank],
-        tasks=sent.tasks,
-        cpus=sent.cpus,
-        gpus=sent.gpus,
-        memory_gb=sent.memory_gb,
-        image=sent.image,
-        image_gb=sent.image_gb,
-        types=None if sent.types is None else frozenset(sent.types),
-        zone=sent.zone,
-        one_zone=sent.one_zone,
-        spread_zones=sent.spread_zones,
-        spot=sent.spot,
-        estimated_run_us=int(sent.estimated_run_s * US),
-        checkpoint_interval_us=int(sent.checkpoint_interval_s * US),
-        checkpoint_duration_s=sent.checkpoint_duration_s,
-        due_us=None if sent.due_s is None else int(sent.due_s * US),
+        ref=submission.ref,
+        job_class=submission.job_class,
+        team=submission.team,
+        shape=SHAPES[submission.shape],
+        rank=RANKS[submission.rank],
+        tasks=submission.tasks,
+        cpus=submission.cpus,
+        gpus=submission.gpus,
+        memory_gb=submission.memory_gb,
+        image=submission.image,
+        image_gb=submission.image_gb,
+        types=None if submission.types is None else frozenset(submission.types),
+        zone=submission.zone,
+        one_zone=submission.one_zone,
+        spread_zones=submission.spread_zones,
+        spot=submission.spot,
+        estimated_run_us=int(submission.estimated_run_s * US),
+        checkpoint_interval_us=int(submission.checkpoint_interval_s * US),
+        checkpoint_duration_s=submission.checkpoint_duration_s,
+        due_us=None if submission.due_s is None else int(submission.due_s * US),
     )
 
 
-def machine_type_of(sent: MachineTypeInfo) -> MachineType:
+def machine_type_of(info: MachineTypeInfo) -> MachineType:
     """Convert a machine type of the cloud to the core's type."""
     return MachineType(
-        name=sent.name,
-        cpus=sent.cpus,
-        gpus=sent.gpus,
-        memory_gb=sent.memory_gb,
-        price=sent.price,
-        spot_price=sent.spot_price,
-        boot_us=int(sent.boot_s * US),
-        cache_gb=sent.cache_gb,
-        pull_gb_per_s=sent.pull_gb_per_s,
-        zones=tuple(sent.zones),
+        name=info.name,
+        cpus=info.cpus,
+        gpus=info.gpus,
+        memory_gb=info.memory_gb,
+        price=info.price,
+        spot_price=info.spot_price,
+        boot_us=int(info.boot_s * US),
+        cache_gb=info.cache_gb,
+        pull_gb_per_s=info.pull_gb_per_s,
+        zones=tuple(info.zones),
     )
