--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -155,7 +155,7 @@
     # Grants
 
     def _cluster_changed(self) -> None:
-        self.duties.changed()
+        self.duties.reconcile()
         self.registry.apply_grants()
 
     async def _supervise(self) -> None:
--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -31,7 +31,7 @@
         self.cloud_rate = 0.0  # this controller's current share, in calls per second
         self.holders: dict[Duty, DutyHolder] = {}
 
-    def changed(self) -> None:
+    def reconcile(self) -> None:
         """Stop and create holders to match the current grants; called when the cluster changes."""
         if not self.membership.duty_keys:
             return
