--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -21,7 +21,7 @@
 )
 
 MAX_CONNECTIONS = 16
-MAX_CONCURRENT_QUESTIONS = 4  # of operators; further ones get no answer
+MAX_CONCURRENT_OPERATOR_REQUESTS = 4  # of operators; further ones get no answer
 
 
 class PeerServer:
@@ -78,7 +78,7 @@
         )
 
     def _start_reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
-        if len(self.reply_tasks) < MAX_CONCURRENT_QUESTIONS:
+        if len(self.reply_tasks) < MAX_CONCURRENT_OPERATOR_REQUESTS:
             task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
             self.reply_tasks.add(task)
             task.add_done_callback(self.reply_tasks.discard)
