--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -33,14 +33,14 @@
         membership: Membership,
         reader: MessageReader,
         exchange: CancellationExchange,
-        answer_question: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
+        respond_to_operator: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
         self.address = settings.internal_addr
         self.peer_names = {peer.member for peer in settings.known}
         self.membership = membership
         self.reader = reader
         self.exchange = exchange
-        self.answer_question = answer_question
+        self.respond_to_operator = respond_to_operator
         self.connections: set[FrameProtocol] = set()
         self.reply_tasks: set[asyncio.Task[None]] = set()
 
@@ -84,4 +84,4 @@
             task.add_done_callback(self.reply_tasks.discard)
 
     async def _reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
-        protocol.send(encode(await self.answer_question(question)))
+        protocol.send(encode(await self.respond_to_operator(question)))
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -19,11 +19,11 @@
         settings: Settings,
         membership: Membership,
         exchange: CancellationExchange,
-        answer_question: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
+        respond_to_operator: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
-        """`answer_question` answers the questions of operators."""
+        """`respond_to_operator` answers the questions of operators."""
         reader = MessageReader()
-        self.server = PeerServer(settings, membership, reader, exchange, answer_question)
+        self.server = PeerServer(settings, membership, reader, exchange, respond_to_operator)
         self.extension = LeaseExtension(settings.known, reader, membership.session, exchange)
 
     async def serve(self) -> None:
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -100,8 +100,8 @@
             self.registry.close_job,
             self.registry.confirm_cancellations,
         )
-        answer = DutyReports(self.store, self.membership).answer
-        return Peers(self.settings, self.membership, exchange, answer)
+        respond_to_operator = DutyReports(self.store, self.membership).respond
+        return Peers(self.settings, self.membership, exchange, respond_to_operator)
 
     def _new_user_api(self) -> UserApi:
         return UserApi(
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -36,7 +36,7 @@
         self.store = store
         self.membership = membership
 
-    async def answer(self, question: OperatorRequest) -> OperatorResponse:
+    async def respond(self, question: OperatorRequest) -> OperatorResponse:
         """The response to a request; it contains an error text if the store can't be read."""
         answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryResponse
         if self.membership.store_unreachable:
