--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -61,8 +61,8 @@
                 protocol.send(encode(self._deferral(request)))
             case CancellationNotice(refs):
                 self.exchange.add_reported(refs)
-            case (DutiesRequest() | HistoryRequest()) as question:
-                self._start_reply(protocol, question)
+            case (DutiesRequest() | HistoryRequest()) as request:
+                self._start_reply(protocol, request)
 
     def _deferral(self, request: DeferralRequest) -> FailoverDeferral:
         span_us = self.membership.deferrals.defer_failover(
@@ -77,11 +77,11 @@
             cancelled=self.exchange.confirmed_since(request.unconfirmed_us),
         )
 
-    def _start_reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
+    def _start_reply(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
         if len(self.reply_tasks) < MAX_CONCURRENT_OPERATOR_REQUESTS:
-            task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
+            task = asyncio.get_running_loop().create_task(self._reply(protocol, request))
             self.reply_tasks.add(task)
             task.add_done_callback(self.reply_tasks.discard)
 
-    async def _reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
-        protocol.send(encode(await self.respond_to_operator(question)))
+    async def _reply(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
+        protocol.send(encode(await self.respond_to_operator(request)))
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -36,17 +36,17 @@
         self.store = store
         self.membership = membership
 
-    async def respond(self, question: OperatorRequest) -> OperatorResponse:
+    async def respond(self, request: OperatorRequest) -> OperatorResponse:
         """The response to a request; it contains an error text if the store can't be read."""
-        answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryResponse
+        response_type = DutiesResponse if isinstance(request, DutiesRequest) else HistoryResponse
         if self.membership.store_unreachable:
-            return answer_type("the state service does not answer")
+            return response_type("the state service does not answer")
         try:
-            if isinstance(question, DutiesRequest):
+            if isinstance(request, DutiesRequest):
                 return await self._duties()
-            return await self._history_page(question.after)
+            return await self._history_page(request.after)
         except ServiceError as error:
-            return answer_type(str(error))
+            return response_type(str(error))
 
     async def _duties(self) -> DutiesResponse:
         cluster = ClusterView()
