--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -42,7 +42,7 @@
         self.exchange = exchange
         self.respond_to_operator = respond_to_operator
         self.connections: set[FrameProtocol] = set()
-        self.reply_tasks: set[asyncio.Task[None]] = set()
+        self.response_tasks: set[asyncio.Task[None]] = set()
 
     async def serve(self) -> None:
         """Start listening. Raises OSError if the address can't be used."""
@@ -62,7 +62,7 @@
             case CancellationNotice(refs):
                 self.exchange.add_reported(refs)
             case (DutiesRequest() | HistoryRequest()) as request:
-                self._start_reply(protocol, request)
+                self._start_response(protocol, request)
 
     def _deferral(self, request: DeferralRequest) -> FailoverDeferral:
         span_us = self.membership.deferrals.defer_failover(
@@ -77,11 +77,11 @@
             cancelled=self.exchange.confirmed_since(request.unconfirmed_us),
         )
 
-    def _start_reply(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
-        if len(self.reply_tasks) < MAX_CONCURRENT_OPERATOR_REQUESTS:
-            task = asyncio.get_running_loop().create_task(self._reply(protocol, request))
-            self.reply_tasks.add(task)
-            task.add_done_callback(self.reply_tasks.discard)
+    def _start_response(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
+        if len(self.response_tasks) < MAX_CONCURRENT_OPERATOR_REQUESTS:
+            task = asyncio.get_running_loop().create_task(self._respond(protocol, request))
+            self.response_tasks.add(task)
+            task.add_done_callback(self.response_tasks.discard)
 
-    async def _reply(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
+    async def _respond(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
         protocol.send(encode(await self.respond_to_operator(request)))
