--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -70,7 +70,7 @@
         self._log(
             f"machine {machine.name} ({machine.machine_type.name}{spot}) returned: "
             f"{age_s:.0f} s old, {up_s:.0f} s up, {usage.useful_s:.0f} s useful, "
-            f"{usage.wasted_s:.0f} s wasted, {usage.fetching_s:.0f} s fetching images"
+            f"{usage.wasted_s:.0f} s wasted, {usage.starting_s:.0f} s fetching images"
         )
 
     def _remove_attempts(self, machine: Machine, now: int) -> None:
--- a/basaltlead/core/machine_usage.py
+++ b/basaltlead/core/machine_usage.py
@@ -4,13 +4,13 @@
 class MachineUsage:
     """Totals since the machine was rented, in seconds times the fraction of the machine used."""
 
-    __slots__ = ("fetching_s", "up_at", "useful_s", "wasted_s")
+    __slots__ = ("starting_s", "up_at", "useful_s", "wasted_s")
 
     def __init__(self) -> None:
         self.up_at = 0  # when it was first synced, in microseconds; 0: not yet
         self.useful_s = 0.0  # by tasks that completed, or whose progress is saved
         self.wasted_s = 0.0  # by tasks that must start again from the beginning
-        self.fetching_s = 0.0  # by tasks from the decision to start them until they run
+        self.starting_s = 0.0  # by tasks from the decision to start them until they run
 
     def mark_up(self, now: int) -> None:
         """Record that the machine is synced, so that it can take tasks."""
@@ -23,6 +23,6 @@
         else:
             self.wasted_s += seconds
 
-    def add_fetch(self, seconds: float) -> None:
+    def add_start(self, seconds: float) -> None:
         """Add the time that a task took to start running."""
-        self.fetching_s += seconds
+        self.starting_s += seconds
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -57,8 +57,8 @@
     def _begin_run(self, attempt: Attempt, now: int) -> None:
         attempt.running_since = now
         job_state, machine = attempt.job_state, attempt.machine
-        fetched_us = now - attempt.created_at
-        machine.usage.add_fetch(machine.share(job_state.job) * fetched_us / US)
+        starting_us = now - attempt.created_at
+        machine.usage.add_start(machine.share(job_state.job) * starting_us / US)
         if not job_state.started_at:
             job_state.started_at = now
             job = job_state.job
