--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -59,7 +59,7 @@
                 log.debug("claim or grant failed: %s changed concurrently", conflict)
                 await asyncio.sleep(self.membership.rng.uniform(*CONFLICT_PAUSE_S))
             except ServiceError as error:
-                log.debug("claim or grant failed: %s", error)
+                log.debug("claim or grant not confirmed: %s", error)
                 await asyncio.sleep(self.membership.rng.uniform(*FAILURE_PAUSE_S))
 
     async def _claim_in_turn(self) -> float:
