--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -21,11 +21,11 @@
 )
 
 MAX_CONNECTIONS = 16
-MAX_CONCURRENT_OPERATOR_REQUESTS = 4  # of operators; further ones get no answer
+MAX_CONCURRENT_OPERATOR_REQUESTS = 4  # further ones get no response
 
 
 class PeerServer:
-    """Answers deferral requests and operators' questions, and adds announced cancellations."""
+    """Responds to deferral requests and operators' requests, and adds announced cancellations."""
 
     def __init__(
         self,
