--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -21,7 +21,7 @@
         exchange: CancellationExchange,
         respond_to_operator: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
-        """`respond_to_operator` answers the questions of operators."""
+        """`respond_to_operator` returns the response to a request of an operator."""
         reader = MessageReader()
         self.server = PeerServer(settings, membership, reader, exchange, respond_to_operator)
         self.extension = LeaseExtension(settings.known, reader, membership.session, exchange)
