--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -2,20 +2,21 @@
 
 A controller stores the version of its records in its member key. Versions without services store
 none, which reads as 0. Whatever a controller does for the cluster depends on its session lease, and
-so on that key: one whose key is gone leads nothing and holds nothing, whatever its version.
+so on that key: a controller whose key is gone leads nothing and holds nothing, whatever its
+version.
 
 A service is accepted only while no member key has an older version, in a transaction with the
 member keys of all controllers as preconditions. Its record can't be decoded by a version that would
-take it for an array. If such a controller joins later and is granted the shard, it fails to load it
-and releases it to one that can.
+take it for an array. If a controller of such a version joins later and is granted the shard, it
+fails to load the shard, and releases it to a controller that can load it.
 
 Duties are granted separately only while no member key has a version without them. While there is an
-older member the shard leaders carry them out, as older versions do. Intents that the holders of
-duties had recorded and not carried out stay recorded, and are carried out by whichever controller
-may do so then.
+older member the shard leaders perform them, as older versions do. Open intents of the duty holders
+stay recorded, and are executed by whichever controller may do so then.
 
-Once no controller of version 0 is left anywhere, `services_allowed` and `member_preconditions` can
-be removed, and so can the empty field of chunk rows in `result_rows`.
+Once no controller of version 0 is left anywhere, `services_allowed`, the preconditions on member
+keys in `api/users`, and the empty field of chunk rows in `result_rows` can be removed.
+`member_preconditions` stays, since the leader's grants need it.
 """
 
 from collections.abc import Iterable
