--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -24,7 +24,7 @@
         # Machines that may hold tasks of an earlier shard leader, and have not sent our fencing
         # token.
         self.unsynced: set[str] = set()
-        # Names of deleted machines, the oldest first.
+        # Names of deleted machines, in the order of their deletion.
         self.deleted_machines: dict[str, None] = {}
         self._fencing_token = fencing_token
         self._attempts = attempts
@@ -70,7 +70,7 @@
         self._log(
             f"machine {machine.name} ({machine.machine_type.name}{spot}) returned: "
             f"{age_s:.0f} s old, {up_s:.0f} s up, {usage.useful_s:.0f} s useful, "
-            f"{usage.wasted_s:.0f} s wasted, {usage.starting_s:.0f} s fetching images"
+            f"{usage.wasted_s:.0f} s wasted, {usage.starting_s:.0f} s starting"
         )
 
     def _remove_attempts(self, machine: Machine, now: int) -> None:
