--- a/basaltlead/core/machine_usage.py
+++ b/basaltlead/core/machine_usage.py
@@ -24,5 +24,5 @@
             self.wasted_s += seconds
 
     def add_start(self, seconds: float) -> None:
-        """Add the time that a task took to start running."""
+        """Add the time from the decision to start a task until it ran."""
         self.starting_s += seconds
