--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -102,9 +102,8 @@
             await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
 
     async def _drop(self, action: str, keys: list[str], preconditions: list[Precondition]) -> None:
-        for batch in self.store.limits.delete_batches(
-            keys, extra_operations=1
-        ):  # 1 for the history page
+        # One extra operation in each transaction writes the history page.
+        for batch in self.store.limits.delete_batches(keys, extra_operations=1):
             event = Event.of_rows(action, len(batch))
             await self.history.commit(
                 preconditions, list(map(Drop, batch)), event, low_priority=True
