--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -30,7 +30,7 @@
 
 
 class DutyReports:
-    """Answers the requests of operators."""
+    """Responds to the requests of operators."""
 
     def __init__(self, store: KeyValueStore, membership: Membership) -> None:
         self.store = store
