--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -71,7 +71,7 @@
             try:
                 await self._delete_batch()
             except ServiceError as error:
-                log.info("machine deletion failed, will be retried: %s", error)
+                log.info("machine deletion not confirmed, will be retried: %s", error)
                 await backoff.wait()
                 continue
             backoff.reset()
