--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -67,7 +67,7 @@
                     await self._delete(names)
                 backoff.reset()
             except ServiceError as error:
-                log.info("scale-in failed, will be retried: %s", error)
+                log.info("scale-in not confirmed, will be retried: %s", error)
                 await backoff.wait()
 
     # While the duties have grants of their own
