--- a/basaltlead/shard/arrivals.py
+++ b/basaltlead/shard/arrivals.py
@@ -5,7 +5,7 @@
 
 from basaltlead.core.jobs import Job
 
-MAX_ARRIVALS_PER_CLASS = 200  # of each class
+MAX_ARRIVALS_PER_CLASS = 200
 
 
 class Arrival(NamedTuple):
