--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -114,7 +114,7 @@
             else:
                 self.shard.answer(heartbeat, now_us(), starts if executed else ())
         except RequestFailed as error:
-            log.debug("pushing commands to %s failed: %s", machine.name, error)
+            log.debug("commands pushed to %s not confirmed: %s", machine.name, error)
             executed = None if error.sent else False
         finally:
             self._pushing.discard(machine.name)
