--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -51,7 +51,9 @@
         store, intents = self.context.store, self.context.intents
         requested_at = now_us()
         # Scale-ins are read concurrently with the jobs, so that they don't prolong a failover, and
-        # before the machines: one that is returned meanwhile is in neither listing or in both.
+        # before the machines, since a machine's record is deleted before or with its scale-in. In
+        # the other order, a machine that is deleted between the two reads would be loaded without
+        # its scale-in, as one that may get tasks.
         (jobs, revision), (scale_ins, _) = await asyncio.gather(
             store.rows(OPEN), store.rows(SCALE_IN)
         )
