--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -1,4 +1,4 @@
-"""The open jobs of a shard: loaded from the key-value store, and closed when they are over."""
+"""The open jobs of a shard: loaded from the key-value store, and closed when they end."""
 
 from collections.abc import Callable
 
@@ -37,7 +37,7 @@
         self.is_cancelled = is_cancelled
         self.arrivals = ArrivalHistory()
         self._loaded = False
-        self.orphaned_rows: list[str] = []  # results of jobs that are over, found while loading
+        self.orphaned_rows: list[str] = []  # results of jobs that have ended, found while loading
 
     def load(self, rows: list[Row], requested_at: int) -> None:
         """Apply the first listing, which was requested at `requested_at`."""
@@ -106,7 +106,7 @@
         self.context.lease.cancellations_read(sent_at)
 
     def close(self, ref: str) -> None:
-        """Close a job that is over or cancelled: stop its tasks, and drop its remaining rows."""
+        """Close a completed or cancelled job: stop its tasks, and drop its remaining rows."""
         job_state = self.shard.job_states.get(ref)
         if job_state is not None:
             self.results.close(job_state)
