--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -23,7 +23,7 @@
 
 
 async def attempt_write(write: Coroutine[Any, Any, None]) -> None:
-    """Await a write that the caller repeats anyway; after a failure, log it and pause."""
+    """Await a write that the caller repeats anyway; log an error and pause after it."""
     try:
         await write
     except PreconditionFailed as conflict:
@@ -31,7 +31,7 @@
         log.debug("write to the key-value store failed: %s changed concurrently", conflict)
         await asyncio.sleep(CONFLICT_PAUSE_S)
     except ServiceError as error:
-        log.debug("write to the key-value store failed: %s", error)
+        log.debug("write to the key-value store not confirmed: %s", error)
         await asyncio.sleep(FAILURE_PAUSE_S)
 
 
@@ -44,7 +44,7 @@
         self._flushed_at: dict[str, int] = {}
 
     def forget(self, ref: str) -> None:
-        """Forget a job that is over, of which nothing is stored any more."""
+        """Forget a closed job, of which nothing is stored any more."""
         self._stored_running.pop(ref, None)
         self._flushed_at.pop(ref, None)
 
@@ -75,7 +75,7 @@
 
     def _shown_count_is_stale(self, job_state: JobState) -> bool:
         """Whether users see a wrong number of running tasks. Tasks of arrays start and end all the
-        time, so of an array it is enough to show that some run."""
+        time, so for an array it is enough to show that some run."""
         stored = self._stored_running.get(job_state.job.ref)
         if not job_state.job.service:
             return bool(job_state.running) and not stored
@@ -122,7 +122,7 @@
             await self._sweep(ref, rows[max_drops:])
 
     def close(self, job_state: JobState) -> None:
-        """Close a job that is over or cancelled: stop its tasks, and drop its remaining rows."""
+        """Close a completed or cancelled job: stop its tasks, and drop its remaining rows."""
         ref = job_state.job.ref
         if ref not in self.context.shard.job_states:
             return  # closed while its final state was being stored
@@ -137,7 +137,7 @@
         self.context.wake.set()
 
     async def _sweep(self, ref: str, keys: list[str]) -> None:
-        """Drop rows of a job that is over. The write fails if the job is open: in a listing that
+        """Drop rows of a job that has ended. The write fails if the job is open: in a listing that
         was read page by page, rows of an open job may look orphaned."""
         if self.context.membership.duties_granted:
             return  # the holder of the clean-up duty does it
