--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -96,7 +96,7 @@
         team.gpus -= job_state.job.gpus
         if not job_state.closed and not job_state.is_done(attempt.index):
             job_state.queue.put_back(attempt.index)
-        self._jobs.discard_if_over(job_state)
+        self._jobs.discard_if_closed(job_state)
         self._signals.plan_needed = True
 
     def acknowledge_starts(self, pushed_starts: Iterable[Attempt], executed: bool | None) -> None:
--- a/basaltlead/core/open_jobs.py
+++ b/basaltlead/core/open_jobs.py
@@ -22,7 +22,7 @@
             self._signals.plan_needed = True
         return job_state
 
-    def discard_if_over(self, job_state: JobState) -> None:
+    def discard_if_closed(self, job_state: JobState) -> None:
         """Forget a job that is closed and has no attempts left."""
         if job_state.closed and not job_state.live:
             self.by_ref.pop(job_state.job.ref, None)
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -95,7 +95,7 @@
         if not (job_state.history.replica_ran_long or job_state.complete):
             self._failures.clear(job_state)  # the job itself may have been faulty
         self._attempts.stop_all(job_state)
-        self._jobs.discard_if_over(job_state)
+        self._jobs.discard_if_closed(job_state)
         self._signals.plan_needed = True
 
     def confirm_stored(self, job_state: JobState, indices: Iterable[int]) -> None:
