--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -46,7 +46,7 @@
     return not machine.up and not machine.recorded and now - machine.created_at > limit_us
 
 
-def replacement_cost_us(machine: Machine) -> float:
+def break_even_idle_us(machine: Machine) -> float:
     """The idle time in microseconds that costs as much as replacing the machine.
 
     A replacement costs the boot time at the on-demand price, since spot capacity may be gone by
@@ -121,6 +121,6 @@
         return (
             machine.up
             and machine.synced
-            and now - machine.idle_since > idle_share * replacement_cost_us(machine)
+            and now - machine.idle_since > idle_share * break_even_idle_us(machine)
             and now - machine.created_at > MIN_BILLED_US - BILLING_MARGIN_US
         )
