--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self._known: dict[Offer, KnownCapacity] = {}
 
-    def record_refusal(self, offer: Offer, held: int, now: int) -> None:
+    def record_shortage(self, offer: Offer, held: int, now: int) -> None:
         """Record that the cloud refused another machine while this many were held."""
         self._known[offer] = KnownCapacity(held, now + self.REFUSAL_VALID_US)
 
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -105,4 +105,4 @@
     def _note_shortage(self, stored: StoredScaleOut) -> None:
         """Record that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
-        self.offer_availability.record_refusal(offer, self.held_counts().get(offer, 0), now_us())
+        self.offer_availability.record_shortage(offer, self.held_counts().get(offer, 0), now_us())
