--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -43,14 +43,14 @@
     for more are pointless until some time has passed or fewer are held.
     """
 
-    REFUSAL_VALID_US = 60 * US  # how long a refusal is relied on
+    SHORTAGE_VALID_US = 60 * US  # how long a refusal is relied on
 
     def __init__(self) -> None:
         self._known: dict[Offer, KnownCapacity] = {}
 
     def record_shortage(self, offer: Offer, held: int, now: int) -> None:
         """Record that the cloud refused another machine while this many were held."""
-        self._known[offer] = KnownCapacity(held, now + self.REFUSAL_VALID_US)
+        self._known[offer] = KnownCapacity(held, now + self.SHORTAGE_VALID_US)
 
     def _left(self, offer: Offer, held: int, now: int) -> int | None:
         """How many more machines are available; None if that is not known."""
