--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -166,7 +166,9 @@
             return {}
         machine_types = self.context.machine_types
         requests = self.scale_out.requests
-        offers = self.offer_availability.offers(machine_types.values(), requests.held_counts(), now)
+        offers = self.offer_availability.offers(
+            machine_types.values(), requests.machine_counts(), now
+        )
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
         awaited_zones = {
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -40,7 +40,7 @@
             if stored.names is None and stored.refused is not msgspec.UNSET
         }
 
-    def held_counts(self) -> dict[Offer, int]:
+    def machine_counts(self) -> dict[Offer, int]:
         """The number of machines of each offer that the shard holds."""
         counts: dict[Offer, int] = {}
         for machine in self.context.shard.machines.values():
@@ -105,4 +105,6 @@
     def _note_shortage(self, stored: StoredScaleOut) -> None:
         """Record that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
-        self.offer_availability.record_shortage(offer, self.held_counts().get(offer, 0), now_us())
+        self.offer_availability.record_shortage(
+            offer, self.machine_counts().get(offer, 0), now_us()
+        )
