--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -110,7 +110,7 @@
             self.membership,
             self.machine_types,
             self.cancellations,
-            self._cancellation_confirmed,
+            self._before_cancellation_confirmed,
         )
 
     @property
@@ -205,7 +205,7 @@
 
     # Users
 
-    def _cancellation_confirmed(self, ref: str) -> None:
+    def _before_cancellation_confirmed(self, ref: str) -> None:
         """Handle a cancellation that this controller is about to confirm to a user."""
         self.registry.close_job(ref)
         self.peers.announce_cancellation(ref)
