--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -69,7 +69,7 @@
             if self._is_quiet_time() or not self.holds_valid_lease:
                 continue
             try:
-                await self._drop_spent_requests()
+                await self._drop_obsolete_requests()
                 await self._drop_orphaned_results()
             except ServiceError as error:
                 log.info("clean-up pass failed, will be retried: %s", error)
@@ -77,7 +77,7 @@
     def _is_quiet_time(self) -> bool:
         return self.quiet_times is not None and self.quiet_times.current() is not None
 
-    async def _drop_spent_requests(self) -> None:
+    async def _drop_obsolete_requests(self) -> None:
         rows, _ = await self.store.rows(SCALE_OUT)
         if not rows:
             return
