--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -61,15 +61,17 @@
         if not link.connected:
             return
         self.sequence += 1
-        now, known_until = now_us(), self.exchange.cancellations_as_of()
-        link.state.note_request(self.sequence, SentRequest(now, known_until))
+        now, cancellations_as_of = now_us(), self.exchange.cancellations_as_of()
+        link.state.note_request(self.sequence, SentRequest(now, cancellations_as_of))
         link.send(
             DeferralRequest(
                 self.sequence,
                 self.session.name,
                 self.session.incarnation,
                 span_us=self.session.ttl_us,
-                unconfirmed_us=None if known_until is None else max(0, now - known_until),
+                unconfirmed_us=None
+                if cancellations_as_of is None
+                else max(0, now - cancellations_as_of),
             )
         )
 
