--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -100,7 +100,7 @@
                 )
         member_record = self.membership.session.member_record()
         version = await self.membership.store.compare_and_swap(
-            preconditions, [Put(LEADER, member_record, self.membership.session.lease)]
+            preconditions, [Put(LEADER, member_record, self.membership.session.lease_id)]
         )
         self.membership.watch.note_leader(member_record, version)
         log.info("elected leader as %s/%s", self.membership.name, self.membership.incarnation)
--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -43,7 +43,7 @@
         self.on_joined = on_joined
         self.on_left = on_left
         self.incarnation = ""
-        self.lease = 0  # the key-value store's number of the lease
+        self.lease_id = 0  # the key-value store's number of the lease
         self.version = 0  # of our member key; 0 without a session
         self.renewed_until = 0  # until when the last renewal provably keeps it valid
         self.deferred_until = 0  # until when all peers have deferred our replacement
@@ -98,7 +98,7 @@
                     backoff.reset()
                 sent = now_us()
                 await self.store.renew_lease(
-                    self.lease, min(MAX_RENEWAL_TIMEOUT_US, self.ttl_us // 4)
+                    self.lease_id, min(MAX_RENEWAL_TIMEOUT_US, self.ttl_us // 4)
                 )
                 self.renewed_until = session_validity_end(sent, self.ttl_us)
                 self.note_contact()
@@ -121,7 +121,7 @@
     async def _join(self) -> None:
         """Create a lease and write our member key with it."""
         sent = now_us()
-        lease = await self.store.create_lease(self.ttl_us)
+        lease_id = await self.store.create_lease(self.ttl_us)
         old = await self.store.get(member_key(self.name))
         incarnation = f"{rng.getrandbits(INCARNATION_BITS):012x}"
         member_record = MemberRecord(self.name, incarnation, self.record_version)
@@ -129,9 +129,9 @@
         # earlier incarnation can't overwrite the record of a later one.
         version = await self.store.compare_and_swap(
             [Precondition(member_key(self.name), old.version if old else 0)],
-            [Put(member_key(self.name), member_record, lease)],
+            [Put(member_key(self.name), member_record, lease_id)],
         )
-        self.lease, self.incarnation, self.version = lease, incarnation, version
+        self.lease_id, self.incarnation, self.version = lease_id, incarnation, version
         self.renewed_until = session_validity_end(sent, self.ttl_us)
         self.note_contact()
         log.info("joined as %s/%s, version %d", self.name, incarnation, self.record_version)
