--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -110,10 +110,10 @@
             return _status_response(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
             return error_response(503, "starting", RETRY_SOON)
-        refused = self._rejection_of(submission) or await self._try_to_store(submission)
-        if refused is None:
+        rejection = self._rejection_of(submission) or await self._try_to_store(submission)
+        if rejection is None:
             return job_response(201, submission.ref, PENDING)
-        return await self._existing_job_or(submission.ref, refused)
+        return await self._existing_job_or(submission.ref, rejection)
 
     def _rejection_of(self, submission: Submission) -> Response | None:
         """Return the response that rejects a submission, permanently (422) or for now (503); None
