--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -32,7 +32,7 @@
     ) -> None:
         self.session = session
         self.exchange = exchange
-        self.links = [PeerLink(peer, reader, self._on_answer) for peer in peers]
+        self.links = [PeerLink(peer, reader, self._on_response) for peer in peers]
         self.sequence = 0  # of the last request
 
     async def request_deferrals(self) -> None:
@@ -75,7 +75,7 @@
             )
         )
 
-    def _on_answer(self, link: PeerLink, deferral: FailoverDeferral) -> None:
+    def _on_response(self, link: PeerLink, deferral: FailoverDeferral) -> None:
         state = link.state
         state.note_answer(deferral.partitioned)
         if deferral.incarnation != self.session.incarnation or not self.session.version:
