--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -91,11 +91,11 @@
         self,
         peer: Peer,
         reader: MessageReader,
-        on_answer: Callable[["PeerLink", FailoverDeferral], None],
+        on_response: Callable[["PeerLink", FailoverDeferral], None],
     ) -> None:
         self.peer = peer
         self.reader = reader
-        self.on_answer = on_answer
+        self.on_response = on_response
         self.state = PeerState()
         self.protocol: FrameProtocol | None = None
         self.connecting = False
@@ -134,4 +134,4 @@
     def _on_frame(self, _protocol: FrameProtocol, body: bytes) -> None:
         message = self.reader.read(body)
         if isinstance(message, FailoverDeferral) and message.name == self.peer.member:
-            self.on_answer(self, message)
+            self.on_response(self, message)
