--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -77,7 +77,7 @@
 
     def _on_response(self, link: PeerLink, deferral: FailoverDeferral) -> None:
         state = link.state
-        state.note_answer(deferral.partitioned)
+        state.note_response(deferral.partitioned)
         if deferral.incarnation != self.session.incarnation or not self.session.version:
             return  # the answer to a request of an earlier incarnation
         request = state.requests.pop(deferral.sequence, None)
--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -68,7 +68,7 @@
         while len(self.requests) > MAX_PENDING_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
-    def note_answer(self, partitioned: bool) -> None:
+    def note_response(self, partitioned: bool) -> None:
         """Record an answer, and whether the peer has lost the key-value store."""
         self.answered_at, self.partitioned = now_us(), partitioned
 
