--- a/basaltlead/cluster/cancellation_exchange.py
+++ b/basaltlead/cluster/cancellation_exchange.py
@@ -1,10 +1,10 @@
 """The exchange of confirmed cancellations among controllers.
 
 A shard leader must know every cancellation that was confirmed to a user. While it can't read the
-key-value store, each answer to its deferral requests lists all cancellations that the peer has
-confirmed to any user since the shard leader's last read. Answers from *every* other controller,
+key-value store, each response to its deferral requests lists all cancellations that the peer has
+confirmed to any user since the shard leader's last read. Responses of *every* other controller,
 none of which was silent or has restarted since that read, are equivalent to a read at the time the
-requests were sent: a cancellation that a peer confirms after its answer is confirmed after that
+requests were sent: a cancellation that a peer confirms after its response is confirmed after that
 time, and one that no controller has confirmed need not be known.
 """
 
@@ -13,8 +13,8 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.runtime.clock import now_us
 
-# The longest time that a request and its answer may take together. The peer counts back from when
-# it reads the request, so it includes cancellations that are older by that much.
+# The longest time that a request and its response may take together. The peer counts back from when
+# it reads the request, which is later than when it was sent, so it goes back further by this much.
 MAX_ROUND_TRIP_US = 2_000_000
 
 
