--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -19,8 +19,9 @@
 from basaltlead.runtime.logs import log
 from basaltlead.wire.store import Precondition, Put
 
-# Delay of a candidate's claim for each candidate before it in the failover order: well above the
-# time by which the watches of controllers differ, well below the time that a failover may take.
+# A candidate delays its claim by this for each candidate before it in the failover order. It is
+# well above the time by which the watches of controllers differ, and well below the time that a
+# failover may take.
 CLAIM_STAGGER_US = 150_000
 POLL_INTERVAL_S = 0.5  # between two passes if nothing has changed
 # Ranges of the random pause after a failed transaction: candidates must not collide again.
@@ -94,7 +95,7 @@
             previous = cluster.leader.value
             preconditions.append(Precondition(LEADER, cluster.leader.version))
             if previous.name != self.membership.name:
-                # Proves that the previous leader's lease has ended: the key is gone or changed.
+                # Proves that the previous leader's lease has expired: the key is gone or changed.
                 preconditions.append(
                     Precondition(member_key(previous.name), cluster.member_version(previous.name))
                 )
@@ -129,7 +130,7 @@
             Precondition(FENCING_TOKEN, last_token.version),
             Precondition(key, held.version if held else 0),
         ]
-        # They fail unless the previous holder's lease has ended and the new holder is alive.
+        # They fail unless the previous holder's lease has expired and the new holder is alive.
         named = {held.value.name if held is not None else "", target} - {"", self.membership.name}
         preconditions += versions.member_preconditions(cluster, sorted(named))
         grant = Grant(target, cluster.members[target].value.incarnation, last_token.value.last + 1)
