--- a/basaltlead/cluster/failover_deferrals.py
+++ b/basaltlead/cluster/failover_deferrals.py
@@ -2,7 +2,7 @@
 
 A shard leader that can't renew its session lease asks every other controller not to replace it for
 a short time (see lease_extension for the requesting side). That is safe only if this side honours
-the deferrals that it granted: until one is over, `may_replace` returns False.
+the deferrals that it granted: until one has ended, `may_replace` returns False.
 """
 
 from typing import NamedTuple
@@ -14,14 +14,14 @@
 
 
 class MemberIncarnation(NamedTuple):
-    """One session of one controller."""
+    """One session of one controller (see session_lease)."""
 
     name: str
     incarnation: str
 
 
 class FailoverDeferrals:
-    """Grants deferrals, and tracks when all that a holder may have been granted are over."""
+    """Grants deferrals, and tracks when all that a holder may have been granted have ended."""
 
     def __init__(self, session: SessionLeaseKeeper, watch: ClusterWatch) -> None:
         self.session = session
@@ -49,7 +49,7 @@
         return span_us
 
     def may_replace(self, held: Grant) -> bool:
-        """Whether all deferrals granted to this holder are over.
+        """Whether all deferrals granted to this holder have ended.
 
         That includes those that an earlier run of this process may have granted. They last a
         session lease at most, so a process waits that long after its start, plus a hundredth for
