--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -1,12 +1,12 @@
 """Extension of the session lease by failover deferrals during an outage of the key-value store.
 
-A shard leader that can't renew its session lease requests every other controller not to replace it
-for a short time. Only a controller that has lost the key-value store too grants that, so a shard
+A shard leader that can't renew its session lease asks every other controller not to replace it for
+a short time. Only a controller that has lost the key-value store too grants that, so a shard
 leader that alone is partitioned from the store is replaced as usual. A deferral counts from when it
-was requested, on the requester's clock, and extends only a lease that is still valid: after its
-end, another controller may lead the shard. A controller that has just started may have forgotten a
-deferral, so it waits for the longest possible one before it replaces a shard leader whose lease has
-ended (see failover_deferrals).
+was requested, on the requester's clock, and extends only a lease that is still valid: after the
+lease has expired, another controller may lead the shard. A controller that has just started may
+have forgotten a deferral, so it waits as long as the longest deferral lasts before it replaces a
+shard leader whose lease has expired (see failover_deferrals).
 """
 
 import asyncio
@@ -46,12 +46,13 @@
             await asyncio.sleep(self.session.ttl_us / 10e6)
             if self.session.partitioned:
                 calls = [self._request(link) for link in self.links]
-            else:  # keep the connections open for announcing cancellations
+            else:  # keep connections open, so that cancellations can be announced
                 calls = [link.connect() for link in self.links]
             await asyncio.gather(*calls, return_exceptions=True)
 
     def all_peers_partitioned(self) -> bool:
-        """Whether peers have answered recently, and all of these lost the key-value store."""
+        """Whether some peers have responded recently, and all of them have lost the key-value
+        store."""
         recent = now_us() - self.session.ttl_us
         states = [link.state for link in self.links if link.state.answered_at > recent]
         return bool(states) and all(state.partitioned for state in states)
@@ -79,7 +80,7 @@
         state = link.state
         state.note_response(deferral.partitioned)
         if deferral.incarnation != self.session.incarnation or not self.session.version:
-            return  # the answer to a request of an earlier incarnation
+            return  # the response to a request of an earlier incarnation
         request = state.requests.pop(deferral.sequence, None)
         if request is None:
             return
@@ -88,14 +89,15 @@
             if now_us() - request.sent_at <= MAX_ROUND_TRIP_US:
                 state.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
-        # Deferrals extend a valid lease; after its end another controller may lead the shard
+        # Deferrals extend a valid lease; after it has expired another controller may lead the shard
         # (test_deferrals_do_not_revive_an_ended_session_lease).
         if now_us() < self.session.valid_until and deferral.span_us > 0:
             state.note_deferral(request.sent_at, deferral)
             self._extend_lease()
 
     def _merge_confirmations(self) -> None:
-        """Pass on the period for which *all* peers have reported cancellations, if there is one."""
+        """Pass on the period for which *all* peers have reported cancellations, once each of them
+        has reported for some period."""
         spans = [span for link in self.links if (span := link.state.confirmed_span) is not None]
         if spans and len(spans) == len(self.links):
             self.exchange.on_confirmed(
@@ -103,8 +105,8 @@
             )
 
     def _extend_lease(self) -> None:
-        """Extend the lease to the earliest end of the deferrals of all peers. If any peer has
-        granted none, it may replace us, and the lease is not extended."""
+        """Extend the lease to the earliest end of the deferrals of all peers. A peer that has
+        granted none may replace us, so then the lease is not extended."""
         incarnation = self.session.incarnation
         states = [link.state for link in self.links]
         if states and all(state.deferred_incarnation == incarnation for state in states):
