--- a/basaltlead/cluster/peer_link.py
+++ b/basaltlead/cluster/peer_link.py
@@ -16,7 +16,7 @@
 
 decoder = msgspec.json.Decoder(Message)
 CONNECT_TIMEOUT_S = 1.0
-MAX_PENDING_REQUESTS = 20  # an answer to an older request is of no use
+MAX_PENDING_REQUESTS = 20  # responses to older requests are of no use
 
 
 class MessageReader:
@@ -36,7 +36,7 @@
 
 
 class SentRequest(NamedTuple):
-    """A deferral request that has not been answered yet."""
+    """A deferral request without a response so far."""
 
     sent_at: int
     # All cancellations up to then were known; None if the request needs none.
@@ -51,25 +51,25 @@
 
 
 class PeerState:
-    """Pending requests to a peer, and what it has answered."""
+    """Pending requests to a peer, and what it has responded."""
 
     def __init__(self) -> None:
         self.requests: dict[int, SentRequest] = {}  # by sequence number
         self.deferred_until = 0
         # A deferral that was granted to an earlier incarnation of this controller is void.
         self.deferred_incarnation = ""
-        self.answered_at = 0  # time of the last answer
+        self.answered_at = 0  # time of the last response
         self.partitioned = False  # whether the peer had lost the key-value store then
         self.confirmed_span: ConfirmedSpan | None = None
 
     def note_request(self, sequence: int, request: SentRequest) -> None:
-        """Keep a request until it is answered, or too many newer ones are pending."""
+        """Keep a request until its response arrives, or too many newer ones are pending."""
         self.requests[sequence] = request
         while len(self.requests) > MAX_PENDING_REQUESTS:
             del self.requests[next(iter(self.requests))]
 
     def note_response(self, partitioned: bool) -> None:
-        """Record an answer, and whether the peer has lost the key-value store."""
+        """Record a response, and whether the peer has lost the key-value store."""
         self.answered_at, self.partitioned = now_us(), partitioned
 
     def note_confirmed(self, span: ConfirmedSpan) -> None:
