--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -35,7 +35,8 @@
         await self.extension.request_deferrals()
 
     def all_peers_partitioned(self) -> bool:
-        """Whether peers have answered recently, and all of these lost the key-value store."""
+        """Whether some peers have responded recently, and all of them have lost the key-value
+        store."""
         return self.extension.all_peers_partitioned()
 
     def announce_cancellation(self, ref: str) -> None:
