--- a/basaltlead/cluster/session_lease.py
+++ b/basaltlead/cluster/session_lease.py
@@ -1,4 +1,8 @@
-"""The session lease of this process: its creation, its renewal, and its provable validity."""
+"""The session lease of this process: its creation and renewal, and until when it is provably valid.
+
+A session is the time from joining the cluster with a new lease until that lease is given up. Each
+session has an incarnation of its own.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -20,7 +24,7 @@
 class SessionLeaseKeeper:
     """Keeps the session lease alive, and tracks until when it is provably valid.
 
-    Every action that depends on the lease must check `holds_valid_lease` at the moment it is done
+    Every action that depends on the lease must check `holds_valid_lease` immediately before it
     (test_session_validity_ends_before_the_session_lease_on_any_clock,
     test_queued_command_is_not_sent_after_the_session_lease_has_ended).
     """
@@ -43,11 +47,11 @@
         self.on_joined = on_joined
         self.on_left = on_left
         self.incarnation = ""
-        self.lease_id = 0  # the key-value store's number of the lease
+        self.lease_id = 0  # of the lease in the key-value store
         self.version = 0  # of our member key; 0 without a session
-        self.renewed_until = 0  # until when the last renewal provably keeps it valid
+        self.renewed_until = 0  # until when the lease is provably valid by its last renewal
         self.deferred_until = 0  # until when all peers have deferred our replacement
-        self.last_contact_at = 0  # time of the last successful response of the store
+        self.last_contact_at = 0  # when the store last responded, see `note_contact`
 
     @property
     def holds_valid_lease(self) -> bool:
@@ -62,22 +66,23 @@
 
     @property
     def partitioned(self) -> bool:
-        """Whether the key-value store has not answered for a third of a session lease."""
+        """Whether the key-value store has not responded for a third of a session lease. Deferrals
+        are requested from then on."""
         return now_us() - self.last_contact_at > self.ttl_us // 3
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the key-value store has not answered for a session lease: requests of users that
-        need it are then refused without asking it."""
+        """Whether the key-value store has not responded for a session lease: requests of users that
+        need it are then rejected without asking it."""
         return now_us() - self.last_contact_at > self.ttl_us
 
     def member_record(self) -> MemberRecord:
-        """The value of our member key and, while we are the leader, of the leader's key."""
+        """The value of our member key and, while we are the leader, of the key `c/leader`."""
         return MemberRecord(self.name, self.incarnation, self.record_version)
 
     def precondition(self) -> Precondition:
-        """The precondition of every write of this process: our member key has not changed since we
-        joined."""
+        """The precondition of every write that depends on the lease: our member key has not changed
+        since we joined."""
         return Precondition(member_key(self.name), self.version)
 
     def note_contact(self) -> None:
