--- a/basaltlead/core/offers.py
+++ b/basaltlead/core/offers.py
@@ -37,19 +37,19 @@
 
 
 class OfferAvailability:
-    """The capacity of offers, as far as the cloud's refusals have shown it.
+    """The capacity of offers, as far as shortages of the cloud have shown it.
 
-    A refusal shows how many machines of an offer can be held: those that are held already. Requests
-    for more are pointless until some time has passed or fewer are held.
+    A shortage shows how many machines of an offer can be held: those that are held already.
+    Requests for more are pointless until some time has passed or fewer are held.
     """
 
-    SHORTAGE_VALID_US = 60 * US  # how long a refusal is relied on
+    SHORTAGE_VALID_US = 60 * US  # how long a shortage is relied on
 
     def __init__(self) -> None:
         self._known: dict[Offer, KnownCapacity] = {}
 
     def record_shortage(self, offer: Offer, held: int, now: int) -> None:
-        """Record that the cloud refused another machine while this many were held."""
+        """Record that the cloud had no further machine while this many were held."""
         self._known[offer] = KnownCapacity(held, now + self.SHORTAGE_VALID_US)
 
     def _left(self, offer: Offer, held: int, now: int) -> int | None:
