--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -53,7 +53,7 @@
         """Whether the holder may act now. Check it immediately before sending.
 
         It requires that the session lease and the grant are provably valid, and that every member
-        of the cluster knows that duties are granted.
+        of the cluster supports duties with grants of their own.
         """
         return (
             self.membership.holds_valid_lease
