--- a/basaltlead/duties/machine_deletion.py
+++ b/basaltlead/duties/machine_deletion.py
@@ -1,4 +1,4 @@
-"""Deletes machines in the cloud, so that a rejected deletion does not block others."""
+"""Deletes machines in the cloud; a rejected deletion does not block others."""
 
 from typing import NamedTuple
 
