--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -35,7 +35,7 @@
 class MachineRental:
     """Sends recorded requests to the cloud and records their outcome.
 
-    Its recorded name makes a request idempotent, as the cloud rents only once under a name. So a
+    A request is idempotent by its recorded name, as the cloud rents only once under a name. So a
     request that is sent twice, late, or by a replaced holder rents nothing more than was recorded.
     """
 
