--- a/basaltlead/duties/model.py
+++ b/basaltlead/duties/model.py
@@ -9,7 +9,7 @@
 
 
 class Duty(StrEnum):
-    """A task that one controller at a time performs for the whole deployment.
+    """Work that one controller at a time performs for the whole deployment.
 
     The values are stored.
     """
