--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -33,7 +33,9 @@
 
 MIN_PAUSE_S = 4.0  # between two reads of the cloud's list
 ADOPTED_PREFIX = "a-"  # of the names of scale-out records for adopted machines
-RECORDS_VALID_US = 60 * US  # for how long names from the last read of the records count as known
+# While all listed machines are in the records that were read last, these are read again only after
+# this time.
+RECORDS_VALID_US = 60 * US
 MAX_ADOPTIONS_PER_PASS = 20
 FIRST_SHARD = 0  # the shard that adopted machines are assigned to
 
@@ -46,7 +48,8 @@
 
 
 class FleetRecords:
-    """The records of machines, read after the cloud's list that they are compared with."""
+    """The records that name machines. They must be read after the cloud's list with which they are
+    compared, see `_reconcile`."""
 
     def __init__(self, machines: list[Row], scale_outs: list[Row], scale_ins: list[Row]) -> None:
         self.machines = {row.key[len(MACHINE) :]: row for row in machines}
@@ -109,8 +112,8 @@
         )
         if all_known and listed_at - self.records_read_at < RECORDS_VALID_US:
             return
-        # A request is recorded before its machines are rented. So the records are read after the
-        # list, and contain every request that a listed machine may come from.
+        # A request is recorded before its machines are rented. So records that are read after the
+        # list contain every request that a listed machine may come from.
         records = await self._read_records()
         self.records_read_at = listed_at
         self.known = records.known
@@ -130,8 +133,8 @@
     async def _adopt(self, machine: RentedMachine) -> None:
         """Record the machine as if the first shard had requested it.
 
-        The preconditions resolve the race with the machine's own shard: if that shard has received
-        a heartbeat and recorded the machine in the meantime, this write fails.
+        The preconditions resolve the race with the shard that the machine reports to: if that shard
+        has received a heartbeat and recorded the machine in the meantime, this write fails.
         """
         name = ADOPTED_PREFIX + machine.name
         rented_at = wall_us() - int(machine.age_s * US)
@@ -145,7 +148,7 @@
         )
 
     async def _return_failed(self, records: FleetRecords, rented: list[RentedMachine]) -> None:
-        """Record machines in the failed stage for return."""
+        """Record the return of machines that the cloud lists as failed."""
         failed = [
             machine.name
             for machine in rented
@@ -157,7 +160,7 @@
             await self._record_scale_in(batch, ReturnReason.FAILED, records.preconditions(batch))
 
     async def _return_ownerless(self, records: FleetRecords) -> None:
-        """Record machines of shards that no longer exist for return.
+        """Record the return of machines whose shard no longer exists.
 
         Shards cease to exist when the operators lower their number.
         """
@@ -195,9 +198,10 @@
     async def _commit_if_unchanged(
         self, preconditions: list[Precondition], put: Put, event: Event
     ) -> None:
-        """Record one of several independent decisions.
+        """Record one decision.
 
-        A failure does not affect the others. The next pass decides again from the current state.
+        A failure is logged, not raised, so that it does not affect the other decisions. The next
+        pass decides again from the current state.
         """
         try:
             await self.history.commit(preconditions, [put], event, low_priority=True)
