--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -1,4 +1,4 @@
-"""The return duty: deletes the machines of the recorded scale-ins in the cloud."""
+"""The return duty: has the cloud delete the machines of the recorded scale-ins."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
 
 
 class ReturnDuty(DutyHolder):
-    """Watches the scale-in records and executes them. It deletes only machines in such records."""
+    """Watches the scale-in records, and deletes their machines in the cloud, but no others."""
 
     duty = Duty.RETURN
 
@@ -44,7 +44,7 @@
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
-        """Watch the scale-in records and execute them until cancelled."""
+        """Watch the scale-in records and delete their machines until cancelled."""
         self.background.spawn(self._execute(), "loop return machines")
         await follow_rows(
             self.store, SCALE_IN, self.membership.watch_timeout_ms, self._put, self._drop
@@ -101,8 +101,8 @@
     async def _record_outcome(self, key: str) -> None:
         """Delete the records of the machines, then the scale-in record.
 
-        If this is interrupted, the next holder finds the scale-in record. It deletes the machines
-        again, which has no effect, and then the remaining records.
+        If this is interrupted, the next holder finds the scale-in record. The holder deletes the
+        machines again, which has no effect, and then the remaining records.
         """
         scale_in = self.open_scale_ins.get(key)
         if scale_in is None:
@@ -131,7 +131,8 @@
         self.open_scale_ins.pop(key, None)
 
     async def _record_rejections(self) -> None:
-        """Record for operators why the cloud has rejected deletions of a scale-in."""
+        """Record for operators why the cloud has rejected the deletion of a machine: the first
+        reason for each scale-in."""
         rejected = self.machine_deletion.rejected
         for key, scale_in in list(self.open_scale_ins.items()):
             reasons = [rejected[name].reason for name in scale_in.undeleted if name in rejected]
