--- a/basaltlead/duties/unknown_machines.py
+++ b/basaltlead/duties/unknown_machines.py
@@ -43,7 +43,7 @@
     def abandoned(
         self, machines: Iterable[RentedMachine], pending_offers: Collection[Offer], listed_at: int
     ) -> list[RentedMachine]:
-        """The machines of the list that no shard will ever record.
+        """The machines of the list that count as abandoned: presumably no shard will record them.
 
         `pending_offers` are the offers of open requests. Any machine of such an offer may have been
         rented by one of those requests.
