--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -29,7 +29,7 @@
 
     @property
     def rejected_offers(self) -> set[Offer]:
-        """Offers with an open request that the cloud has rejected.
+        """Offers whose open request was rejected by the cloud.
 
         The request itself is retried at intervals. A second request for the same offer would be
         rejected as well.
@@ -58,7 +58,8 @@
         ]
 
     def remove_pending(self, name: str) -> None:
-        """Remove the placeholders of a request that has an outcome, is rejected or unrecorded."""
+        """Remove the placeholders of a request that has an outcome, was rejected, or could not be
+        recorded."""
         self.pending.pop(name, None)
 
     def on_rented(self, name: str, stored: StoredScaleOut) -> None:
@@ -84,7 +85,7 @@
         self.remove_pending(name)
 
     def add_machines(self, stored: StoredScaleOut, names: list[str]) -> None:
-        """Add the machines of a request to the shard, except those that were deleted already."""
+        """Add the machines of a request to the shard, except those that it knows to be deleted."""
         now = now_us()
         returning = self.context.intents.returning
         machine_type = self.context.machine_type(stored.type_name)
@@ -97,7 +98,7 @@
             self.context.shard.add_machine(machine)
 
     def note_version(self, name: str, version: int) -> None:
-        """Store the version of a request's record, unless a newer one is known."""
+        """Note the version of a request's record, unless a newer one is known."""
         key = SCALE_OUT + name
         versions = self.context.store.versions
         versions[key] = max(versions.get(key, 0), version)
