--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -11,12 +11,12 @@
 from basaltlead.shard.context import ShardContext
 
 MIN_BILLED_US = 60 * US  # the cloud's minimum billing period for a machine
-BILLING_MARGIN_US = 5 * US  # idle machines may be returned this long before that period ends
+BILLING_MARGIN_US = 5 * US  # idle machines may be returned this long before its end
 # A machine is overdue if it is not up after this multiple of its boot time plus the margin.
 PROVISIONING_BOOT_FACTOR = 2.5
 PROVISIONING_MARGIN_US = 5 * US
 UNREACHABLE_AFTER_LEASES = 2  # lease durations after which an unreachable machine is returned
-MIN_UNIT_PRICE = 1e-6  # keeps the replacement cost finite for a machine that costs nothing
+MIN_UNIT_PRICE = 1e-6  # keeps the break-even time finite for a machine that costs nothing
 
 
 class TerminationReason(StrEnum):
@@ -39,8 +39,8 @@
 def provisioning_overdue(machine: Machine, now: int) -> bool:
     """Whether the machine has failed to come up in time.
 
-    A recorded machine did come up, under an earlier shard leader. A new leader must not return it
-    although the machine may not have reported to it yet.
+    A recorded machine did come up, under an earlier shard leader. A new leader keeps it, even if it
+    has not reported to this leader yet.
     """
     limit_us = int(machine.machine_type.boot_us * PROVISIONING_BOOT_FACTOR) + PROVISIONING_MARGIN_US
     return not machine.up and not machine.recorded and now - machine.created_at > limit_us
@@ -49,8 +49,8 @@
 def break_even_idle_us(machine: Machine) -> float:
     """The idle time in microseconds that costs as much as replacing the machine.
 
-    A replacement costs the boot time at the on-demand price, since spot capacity may be gone by
-    then.
+    A replacement costs the boot time at the on-demand price, since spot machines may be unavailable
+    when it is rented.
     """
     machine_type = machine.machine_type
     return (
@@ -61,7 +61,7 @@
 
 
 class TerminationPolicy:
-    """Marks machines without attempts that should be returned as terminating."""
+    """Marks as terminating those machines without attempts that should be returned."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.idle_retention = idle_retention
 
     def apply(self, needed: set[str], now: int) -> None:
-        """Mark the machines to be returned; `needed` has the names of those that have a use."""
+        """Mark the machines to be returned; `needed` names the machines that the demand needs."""
         may_return_lost = self.reachability.losses_confirmed(now)
         if self.idle_retention is not None:
             self.idle_retention.begin_pass(now)
