--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -48,7 +48,7 @@
 # Fractions of the store's rate limits that all controllers together use.
 REQUESTS_SHARE = 0.8
 WRITES_SHARE = 0.85
-# Fraction of these writes that is available to a sole shard leader.
+# Fraction of these writes that each controller may use if only one of them leads a shard.
 SINGLE_WRITER_SHARE = 0.6
 CALL_TIMEOUT_US = 1_500_000
 PAGE_TIMEOUT_US = 2_500_000
@@ -147,8 +147,8 @@
         `PreconditionFailed`, `SessionLeaseExpired` or `TransactionTooLarge` if nothing was changed,
         and `RequestFailed` with `sent` set if the changes may have been applied.
 
-        With `low_priority`, the call waits until half of the write burst is free. Bookkeeping uses
-        it: with hundreds of machines it would fill the write limit by itself, and users'
+        With `low_priority`, the call waits until half of the write burst is free. This is meant for
+        bookkeeping, which with hundreds of machines would fill the write limit by itself: users'
         submissions and cancellations go first.
         """
         raw = self._encoded(preconditions, apply)
@@ -202,8 +202,8 @@
         return decode(body, Changes)
 
     async def create_lease(self, ttl_us: int) -> int:
-        """Create a lease and return its number. It is valid for `ttl_us` from some time after the
-        request was sent."""
+        """Create a lease and return its number. The store counts `ttl_us` from when it handles the
+        request."""
         status, body = self._checked(
             await self.renewal_pool.request("POST", "/holds", encode({"TtlMs": ttl_us // 1000}))
         )
@@ -225,7 +225,7 @@
 
 
 class _Missing(msgspec.Struct, rename={"revision": "Ledger"}):
-    """The body of the store's own 404, which proves that the key does not exist; a 404 from
-    elsewhere does not."""
+    """The body of the store's own 404, which proves that the key does not exist. A 404 from
+    elsewhere has no such body."""
 
     revision: int
