--- a/basaltlead/storage/result_rows.py
+++ b/basaltlead/storage/result_rows.py
@@ -2,11 +2,11 @@
 
 There are two layouts. A *segment* row, ``open/<job>/<shard>.<n>``, holds the results of 24,576
 tasks, starting at task ``n * 24,576``. If such a value could exceed the store's limit, the job has
-*chunk* rows instead, ``open/<job>/<1000 + shard>.<n>``, which hold fewer tasks and name the first
-one. A controller of a version without chunk rows reads from a chunk row the number of results and
-an empty bitmap: it starts these tasks again, and the workers, which keep results, report them as
-done at once. Segment rows that were stored under a higher limit remain readable and are never
-rewritten; chunk rows hold only results that are not in segment rows.
+*chunk* rows instead, ``open/<job>/<1000 + shard>.<n>``, which hold fewer tasks and state the first
+of them. A controller of a version without chunk rows reads the number of results and an empty
+bitmap from a chunk row. It starts the tasks of that row again, and the workers, which keep results,
+report them as done at once. Segment rows that were stored under a higher limit remain readable and
+are never rewritten; chunk rows hold only results that are not in segment rows.
 """
 
 from collections.abc import Iterable
@@ -26,7 +26,8 @@
 
 
 class Progress(Struct):
-    """A segment row; `done` is a bitmap. Also reads the counts that users see from a chunk row."""
+    """A segment row; `done` is a bitmap. Chunk rows are decoded as this type too, where only the
+    counts that users see are needed."""
 
     done: bytes
     count: int
@@ -34,7 +35,8 @@
 
 
 class ProgressChunk(Struct):
-    """A chunk row; `bits` is the bitmap of the tasks from `first` on; `done` is always empty."""
+    """A chunk row; `bits` is the bitmap of the tasks from `first` on. `done` is always empty, and
+    kept for controllers without chunk rows."""
 
     done: bytes
     count: int
@@ -88,7 +90,7 @@
         return out
 
     def max_rows(self, tasks: int, shards: int) -> int:
-        """Return the maximum number of rows of a job of `tasks` tasks."""
+        """Return the maximum number of rows of a job of `tasks` tasks, of both layouts."""
         return shards * (row_count(tasks, SEGMENT_TASKS) + row_count(tasks, self.chunk_tasks))
 
     def unstored(self, job_state: JobState, shard: int) -> list[ResultRow]:
@@ -144,10 +146,12 @@
     raw: msgspec.Raw,
     layout: ResultLayout,
 ) -> None:
-    """Apply a stored result row to the state of a job; `row_shard` is the shard number in its key.
+    """Apply a stored result row to the state of a job; `row_shard` is the shard number in its key,
+    which includes `CHUNK_SHARD_OFFSET` for a chunk row.
 
-    Results of services are ignored, whichever controller wrote them. Segment rows of a job that now
-    has chunk rows are never rewritten, so their results don't count as this shard's own.
+    Results of services are ignored, whichever controller wrote them. A shard's own results are
+    those that it writes again. So the results in segment rows of a job that now has chunk rows are
+    not its own, since these rows are never rewritten.
     """
     if job_state.job.shape is Shape.SERVICE:
         return
@@ -172,7 +176,8 @@
 
 
 class ResultRowId(NamedTuple):
-    """Identifies a result row of a job: the shard number in its key, and the row number."""
+    """Identifies a result row of a job: the shard number in its key, which includes
+    `CHUNK_SHARD_OFFSET` for a chunk row, and the row number."""
 
     shard: int
     number: int
