--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -32,9 +32,9 @@
 JOBS_PATH = "/api/jobs"
 REF_PATTERN = re.compile(REF)
 MAX_QUEUE_DELAY_S = 0.5  # a request that would wait longer for the store is rejected immediately
-# Users wait 2 s for a poll and 5 s for a change; they get a 503 before that.
+# Users wait 2 s for a poll and 5 s for a change; a 503 is sent before they give up.
 RESPONSE_TIMEOUT_S = {GET: 1.7, POST: 4.0}
-DEFAULT_TIMEOUT_S = 1.0
+DEFAULT_TIMEOUT_S = 1.0  # for other methods, which are not allowed
 CANCEL_ATTEMPTS = 4
 SERVICE = "service"
 
@@ -63,8 +63,8 @@
         self._log_limiter = LogRateLimiter()
 
     async def handle(self, request: Request) -> Response:
-        """Respond to a request in time: with 503 if the key-value store is overloaded or does not
-        respond."""
+        """Respond to a request in time: with 503 if too many requests are in progress, or the
+        key-value store is overloaded or does not respond."""
         submission: Submission | None = None
         if request.path == JOBS_PATH and request.method == POST:
             try:  # malformed submissions get 400 even while no job can be accepted
@@ -127,8 +127,8 @@
         return None
 
     async def _try_to_store(self, submission: Submission) -> Response | None:
-        """Store a submission. Returns None once it is stored, else the response to send if the job
-        was not accepted earlier. Raises ServiceError if the outcome is not known."""
+        """Store a submission. Returns None if it was stored, else an error response, which applies
+        unless the job was accepted earlier. Raises ServiceError if the outcome is not known."""
         try:
             await self._store(submission)
         except TransactionTooLarge as error:
@@ -218,5 +218,5 @@
 
 
 def _names_job(conflict: PreconditionFailed, ref: str) -> bool:
-    """Return whether one of the job's own rows changed, rather than this controller's lease."""
+    """Return whether a precondition on the job failed, not only that on this controller's lease."""
     return any(key.endswith("/" + ref) for key in conflict.failed)
