--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings: fields, allowed values, and values derived from them.
+"""The settings: fields, their ranges, and values derived from them.
 
 They are read from the platform's TOML file and the operators' optional YAML file (see loader), and
 keep the names of those files, except where `rename` maps an attribute to one. Suffixes name the
@@ -37,7 +37,8 @@
 
 
 class Team(Struct):
-    """A team with its guarantee (`cpus`, `gpus`) and limit (`cpus_max`, `gpus_max`); 0 is none."""
+    """A team with its guarantee (`cpus`, `gpus`) and limit (`cpus_max`, `gpus_max`). 0 means no
+    guarantee or no limit."""
 
     name: str
     cpus: Amount = 0.0
@@ -47,7 +48,8 @@
 
 
 class Objective(Struct, rename={"job_class": "class"}):
-    """When jobs of a class should start or finish; `kind` decides which other fields apply."""
+    """When jobs of a class should start or finish. `kind` decides which other fields apply, see
+    `core.objectives.ObjectiveType`."""
 
     kind: str
     job_class: str = ""
@@ -71,8 +73,8 @@
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Announced limits of the key-value store, which take effect at some time without notice;
-    absent ones don't change."""
+    """Announced limits of the key-value store, which may take effect at any time; absent ones don't
+    change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -163,7 +165,7 @@
     def store_limits(self) -> StoreLimits:
         """The limits of the key-value store that every request respects.
 
-        Announced limits (`next`) take effect without notice, so the lower of the current and the
+        Announced limits (`next`) may take effect at any time, so the lower of the current and the
         announced limit applies from the start.
         """
         now, later = self.facts.state, self.facts.state.next
@@ -179,17 +181,18 @@
         """How long a shard leader may act without reading the cancellations, in microseconds.
 
         Let L be the time at which the shard leader sent its last successful read of the
-        cancellations, or the request to which every other controller responded with those it had
-        confirmed (see cancellation_exchange). It knows all cancellations confirmed before L, so one
-        that it does not know was confirmed to the user after L.
+        cancellations, or the deferral request to which every other controller responded with its
+        confirmed cancellations (see cancellation_exchange). The shard leader knows all
+        cancellations confirmed before L, so one that it does not know was confirmed to the user
+        after L.
 
         A heartbeat gets status 200 only while the clock is below L + staleness. `holds_valid_lease`
-        is evaluated in the same iteration of the event loop that writes the response: a process
-        suspended before that iteration sends nothing, and one suspended after it has responded to a
-        heartbeat that was sent earlier. The worker's lease counts from when it *sent* that
-        heartbeat, so it expires at L + staleness + lease at the latest, however long the response
-        was in transit. Pushed commands don't renew the lease, and a command that is executed late
-        starts nothing that outlives it.
+        is evaluated in the same iteration of the event loop that writes the response. A process
+        that is suspended before that iteration sends nothing, and one that is suspended later has
+        already responded, to a heartbeat that was sent even earlier. The worker's lease counts from
+        when it *sent* that heartbeat, so it expires at L + staleness + lease at the latest, however
+        long the response was in transit. Pushed commands don't renew the lease, and a command that
+        is executed late starts nothing that outlives the lease.
 
         Clocks drift by 0.05%, and a worker checks its lease only periodically. The margin for both
         is one percent of the lease, a tenth of the remaining time, and one second. So the task has
