--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -159,7 +159,7 @@
         self.registry.apply_grants()
 
     async def _supervise(self) -> None:
-        """Release grants after a step-down, and hand over those that another controller should
+        """Release grants after a step-down, and hand over grants that another controller should
         hold."""
         while True:
             await asyncio.sleep(SUPERVISION_INTERVAL_S)
@@ -182,7 +182,8 @@
             new_shard(settings, lease),
             self.result_layout(),
             self.machine_types,
-            BackgroundTasks(lease.step_down),  # the next grant starts from the stored state
+            # A failed loop ends this grant; the next grant starts from the stored state.
+            BackgroundTasks(lease.step_down),
             WorkerClient(worker_sockets(settings), self._worker_sockets_left),
         )
         market = new_market(settings)
@@ -196,8 +197,8 @@
         return ResultLayout(self.settings.store_limits.value_bytes)
 
     def _worker_sockets_left(self) -> int:
-        """Return how many sockets the workers of one shard may use now; they share a limit with
-        incoming connections."""
+        """Return how many sockets the workers of one shard may use now: the part of the limit that
+        incoming connections leave, divided among the shards that are led here."""
         if self.server is None:
             return MIN_WORKER_SOCKETS
         left: int = self.server.limit - len(self.server.connections)
@@ -211,10 +212,10 @@
         self.peers.announce_cancellation(ref)
 
     def _is_healthy(self) -> bool:
-        """Return whether this node can take requests.
+        """Return whether this controller can take requests.
 
-        While no controller can reach the key-value store, all stay healthy: another node would
-        serve no better, and the load balancer would be slow to use this one again.
+        While no controller can reach the key-value store, all stay healthy: another controller
+        would serve no better, and the load balancer would be slow to use this one again.
         """
         serves = self.membership.holds_valid_lease or self.peers.all_peers_partitioned()
         return serves and bool(self.machine_types)
