--- a/basaltlead/net/concurrency_limiter.py
+++ b/basaltlead/net/concurrency_limiter.py
@@ -7,9 +7,10 @@
 
 INITIAL_LIMIT = 32
 SMOOTHING = 0.1  # weight of the newest time in the moving average
-BEST_GROWTH = 1.01  # growth of the best time with each request
-TOLERATED_FACTOR = 4  # an average above this multiple of the best time is too slow,
-TOLERATED_US = 50_000.0  # unless it is below this
+BEST_GROWTH = 1.01  # growth of the best (shortest) time with each request
+# An average above this multiple of the best time is too slow, unless it is below TOLERATED_US.
+TOLERATED_FACTOR = 4
+TOLERATED_US = 50_000.0
 DECREASE = 0.95
 
 
