--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -204,8 +204,8 @@
         """Create a server; `limit` applies to its connections and `other_sockets` together.
 
         At the limit, `close_other_idle` is called first to close an idle socket among the others;
-        it returns whether it did. So idle connections elsewhere never cause this server to refuse a
-        client.
+        it returns whether it did. So the others' idle connections never cause this server to refuse
+        a client.
         """
         self.handler = handler
         self.limit = limit
