--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -1,4 +1,7 @@
-"""Distinguishes failed machines from a failure of this controller's own network by heartbeats."""
+"""Distinguishes failed machines from a failure of this controller's own network.
+
+The distinction is made from the heartbeats of all machines.
+"""
 
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
@@ -6,10 +9,11 @@
 from basaltlead.runtime.clock import now_us
 from basaltlead.shard.context import ShardContext
 
-LOST_AFTER_LEASES = 4  # lease durations of silence after which a machine counts as lost regardless
+# Lease durations of silence after which a machine counts as lost even if all machines are silent.
+LOST_AFTER_LEASES = 4
 WORKER_REQUEST_TIMEOUT_US = 4 * US  # how long a worker waits for a controller's response
 CONTROLLER_RETRY_INTERVAL_US = US  # between a worker's attempts to reach the next controller
-UNREACHABLE_US = 4 * US  # a machine that commands don't reach for this long is not capacity
+UNREACHABLE_US = 4 * US  # a machine that commands don't reach for this long counts as no capacity
 # A heartbeat is recent for this many heartbeat intervals, and for at least the time below.
 RECENT_HEARTBEATS = 3
 MIN_RECENT_US = 4 * US
