--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -178,7 +178,7 @@
             if not rows:
                 if await self.jobs.read_final(ref) is None:
                     return error_response(404, "no such job")
-                continue
+                continue  # the final state is cached now
             if not self.membership.holds_valid_lease:
                 return error_response(503, "starting", RETRY_SOON)
             await self._store_cancellation(ref, rows)
