--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -86,6 +86,7 @@
             return
         if deferral.cancelled is not None and request.cancellations_as_of is not None:
             self.exchange.add_reported(deferral.cancelled)
+            # A slower peer may not have counted back far enough, see cancellation_exchange.
             if now_us() - request.sent_at <= MAX_ROUND_TRIP_US:
                 state.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
