--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -138,9 +138,9 @@
         self.notify()
 
     async def release(self, key: str, release_leadership: bool) -> bool:
-        """Release a shard or duty, and with `release_leadership` also the leadership, for other
-        controllers. The caller must have stopped acting under the grant. Returns False if the
-        release could not be recorded."""
+        """Release a shard or duty, and with `release_leadership` also the leadership, so that
+        others can acquire them. The caller must have stopped acting under the grant. Returns False
+        if the release could not be recorded."""
         held = self.held_grant(key)
         if held is None:
             return True
