--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -53,7 +53,7 @@
 class Controller:
     """One controller process."""
 
-    shard_leader_class = ShardLeader
+    shard_leader_class = ShardLeader  # tests replace it by that of an older version
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
