--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -90,6 +90,7 @@
         self.pause_s = max(MIN_PAUSE_S, list_lag_s)
         self.unknown_machines = UnknownMachines(compute_grace_period_us(list_lag_s))
         self.known: set[str] = set()  # machines in the records that were read last
+        # When the list was requested with which the records were last compared.
         self.records_read_at = -RECORDS_VALID_US
         self.sequence = 0  # of the scale-ins that are recorded under this grant
 
@@ -178,7 +179,7 @@
                     continue  # the last leader of the shard may still act
                 version = self.membership.cluster.member_version(held.value.name)
                 preconditions.append(Precondition(member_key(held.value.name), version))
-            batch = names[: self.store.limits.preconditions // 2]
+            batch = names[: self.store.limits.preconditions // 2]  # the others in the next pass
             preconditions += records.preconditions(batch)
             await self._record_scale_in(batch, ReturnReason.NO_OWNER, preconditions)
 
