--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -52,7 +52,7 @@
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         known = self.open_scale_ins.get(key)
-        if known is not None:
+        if known is not None:  # the record changes only in the reason of a rejection
             known.version = max(known.version, version)
             return
         stored = msgspec.json.decode(raw, type=StoredScaleIn)
