--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -31,8 +31,8 @@
 MIN_RENTALS_PER_PASS = 12
 RENTALS_FLEET_DIVISOR = 16
 # Above that minimum, a pass requests at most as many machines as can be recorded while they boot
-# and within this time after it. An unrecorded machine gets no tasks, and a longer backlog of
-# machine records would delay other writes.
+# and within this time after they have booted. An unrecorded machine gets no tasks, and a longer
+# backlog of machine records would delay other writes.
 RECORDING_WINDOW_S = 4.0
 MAX_OPEN_REQUESTS = 6  # scale-out requests without an outcome
 MIN_PAUSE_S = 0.5  # between two passes
