--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -21,7 +21,7 @@
         self.arrivals = arrivals
 
     def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[Demand]:
-        """The number of tasks of each open job that should have room now, highest rank first.
+        """The number of tasks of each open job that should be on machines now, highest rank first.
 
         `expected_machines` are the machines that are up or should be up soon. Also sets `need` of
         each job state, which the placement of tasks reads.
@@ -77,7 +77,7 @@
     def _boot_too_slow_us(self, job: Job, within_us: int) -> int | None:
         """The shortest boot time for a job, if booting and fetching its image exceed `within_us`.
 
-        None if they don't, or if no machine type has room for a task of the job.
+        None if they don't, or if a task of the job fits on no machine type.
         """
         fitting = [t for t in self.context.machine_types.values() if t.capacity_for(job)]
         if not fitting:
