--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -77,7 +77,8 @@
             self._note_shortage(stored)
 
     async def on_rejected(self, name: str, reason: str) -> None:
-        """Handle a request that the cloud has rejected.
+        """Handle a request that the cloud has rejected; a coroutine function, as `MachineRental`
+        requires.
 
         Its placeholders are removed, so that fleet sizing requests another offer instead.
         """
