--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -1,4 +1,8 @@
-"""Decides which machines of a shard are returned to the cloud, and for which reason."""
+"""Decides which machines of a shard are returned to the cloud, and for which reason.
+
+Here they are only marked as terminating. `ScaleIn` records their return or deletes them in the
+cloud, and drops them from the shard once they are deleted.
+"""
 
 from enum import StrEnum
 
@@ -117,6 +121,8 @@
         return bool(machine.unreachable_since) and now - since > limit_us
 
     def _idle_for_long(self, machine: Machine, now: int) -> bool:
+        """Whether it has been idle for `idle_share` times its break-even time, and its minimum
+        billing period is about to end or has ended."""
         idle_share = self.context.settings.operator.idle_share
         return (
             machine.up
