--- a/basaltlead/storage/records.py
+++ b/basaltlead/storage/records.py
@@ -4,7 +4,7 @@
 open/<job>          an accepted job that has not ended; the key is never rewritten
 open/<job>/...      results of some of its tasks (see result_rows)
 over/<job>          the final state of a job
-lease/<job>         the shard that starts each range of a job's tasks
+lease/<job>         the shard that starts each range of a job's tasks (not a lease)
 hire/<id>           a scale-out: written before the cloud is called; machine names are added after
 mach/<name>         a machine on which tasks may have been started
 team/<name>         budget and bids of a team
@@ -103,8 +103,8 @@
     at: int
     names: list[str] | None = None
     shard: int = 0
-    # Set only if the holder of the rent duty executes the request: the holder's fencing token at
-    # that time, and the reason if the cloud rejects the request permanently.
+    # Set only if the holder of the rent duty executes the request: the holder's fencing token when
+    # the request was recorded, and the reason if the cloud rejects the request permanently.
     duty_token: int | UnsetType = UNSET
     refused: str | UnsetType = UNSET
 
