--- a/basaltlead/api/users.py
+++ b/basaltlead/api/users.py
@@ -32,9 +32,9 @@
 JOBS_PATH = "/api/jobs"
 REF_PATTERN = re.compile(REF)
 MAX_QUEUE_DELAY_S = 0.5  # a request that would wait longer for the store is rejected immediately
-# Users wait 2 s for a poll and 5 s for a change; they get a 503 before that.
+# Users wait 2 s for a poll and 5 s for a change; a 503 is sent before they give up.
 RESPONSE_TIMEOUT_S = {GET: 1.7, POST: 4.0}
-DEFAULT_TIMEOUT_S = 1.0
+DEFAULT_TIMEOUT_S = 1.0  # for other methods, which are not allowed
 CANCEL_ATTEMPTS = 4
 SERVICE = "service"
 
@@ -63,14 +63,14 @@
         self._log_limiter = LogRateLimiter()
 
     async def handle(self, request: Request) -> Response:
-        """Respond to a request in time: with 503 if the key-value store is overloaded or does not
-        respond."""
+        """Respond to a request in time: with 503 if too many requests are in progress, or the
+        key-value store is overloaded or does not respond."""
         submission: Submission | None = None
         if request.path == JOBS_PATH and request.method == POST:
             try:  # malformed submissions get 400 even while no job can be accepted
                 submission = msgspec.json.decode(request.body, type=Submission)
-            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-                return error_response(400, str(fault)[:200])
+            except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+                return error_response(400, str(error)[:200])
         if self.store.queue_delay_s(writing=request.method == POST) > MAX_QUEUE_DELAY_S:
             return error_response(503, "busy", RETRY_LATER)
         if not self.limiter.acquire():
@@ -81,9 +81,9 @@
                 return await (self.submit(submission) if submission else self._route(request))
         except TimeoutError:
             return error_response(503, "no answer in time", RETRY_SOON)
-        except ServiceError as fault:
+        except ServiceError as error:
             if self._log_limiter.allow(started):
-                log.info("%s %s failed with status 503: %s", request.method, request.path, fault)
+                log.info("%s %s failed with status 503: %s", request.method, request.path, error)
             return error_response(503, "not sure right now", RETRY_SOON)
         finally:
             self.limiter.release(now_us() - started)
@@ -110,10 +110,10 @@
             return _status_response(submission.ref, final)
         if not self.machine_types or not self.membership.holds_valid_lease:
             return error_response(503, "starting", RETRY_SOON)
-        refused = self._rejection_of(submission) or await self._try_to_store(submission)
-        if refused is None:
+        rejection = self._rejection_of(submission) or await self._try_to_store(submission)
+        if rejection is None:
             return job_response(201, submission.ref, PENDING)
-        return await self._existing_job_or(submission.ref, refused)
+        return await self._existing_job_or(submission.ref, rejection)
 
     def _rejection_of(self, submission: Submission) -> Response | None:
         """Return the response that rejects a submission, permanently (422) or for now (503); None
@@ -127,12 +127,12 @@
         return None
 
     async def _try_to_store(self, submission: Submission) -> Response | None:
-        """Store a submission. Returns None once it is stored, else the response to send if the job
-        was not accepted earlier. Raises ServiceError if the outcome is not known."""
+        """Store a submission. Returns None if it was stored, else an error response, which applies
+        unless the job was accepted earlier. Raises ServiceError if the outcome is not known."""
         try:
             await self._store(submission)
-        except TransactionTooLarge as fault:
-            return error_response(422, str(fault))
+        except TransactionTooLarge as error:
+            return error_response(422, str(error))
         except PreconditionFailed as conflict:
             if not _names_job(conflict, submission.ref):
                 raise
@@ -178,7 +178,7 @@
             if not rows:
                 if await self.jobs.read_final(ref) is None:
                     return error_response(404, "no such job")
-                continue
+                continue  # the final state is cached now
             if not self.membership.holds_valid_lease:
                 return error_response(503, "starting", RETRY_SOON)
             await self._store_cancellation(ref, rows)
@@ -218,5 +218,5 @@
 
 
 def _names_job(conflict: PreconditionFailed, ref: str) -> bool:
-    """Return whether one of the job's own rows changed, rather than this controller's lease."""
+    """Return whether a precondition on the job failed, not only that on this controller's lease."""
     return any(key.endswith("/" + ref) for key in conflict.failed)
--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -138,9 +138,9 @@
         self.notify()
 
     async def release(self, key: str, release_leadership: bool) -> bool:
-        """Release a shard or duty, and with `release_leadership` also the leadership, for other
-        controllers. The caller must have stopped acting under the grant. Returns False if the
-        release could not be recorded."""
+        """Release a shard or duty, and with `release_leadership` also the leadership, so that
+        others can acquire them. The caller must have stopped acting under the grant. Returns False
+        if the release could not be recorded."""
         held = self.held_grant(key)
         if held is None:
             return True
@@ -154,8 +154,8 @@
             apply.append(Drop(LEADER))
         try:
             version = await self.store.compare_and_swap(preconditions, apply)
-        except ServiceError as fault:
-            log.info("%s not released: %s", grant_label(key), fault)
+        except ServiceError as error:
+            log.info("%s not released: %s", grant_label(key), error)
             return False
         self.cluster.note_grant(key, free, version)
         log.info("%s released", grant_label(key))
--- a/basaltlead/cluster/peer_server.py
+++ b/basaltlead/cluster/peer_server.py
@@ -21,11 +21,11 @@
 )
 
 MAX_CONNECTIONS = 16
-MAX_CONCURRENT_QUESTIONS = 4  # of operators; further ones get no answer
+MAX_CONCURRENT_OPERATOR_REQUESTS = 4  # further ones get no response
 
 
 class PeerServer:
-    """Answers deferral requests and operators' questions, and adds announced cancellations."""
+    """Responds to deferral requests and operators' requests, and adds announced cancellations."""
 
     def __init__(
         self,
@@ -33,16 +33,16 @@
         membership: Membership,
         reader: MessageReader,
         exchange: CancellationExchange,
-        answer_question: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
+        respond_to_operator: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
         self.address = settings.internal_addr
         self.peer_names = {peer.member for peer in settings.known}
         self.membership = membership
         self.reader = reader
         self.exchange = exchange
-        self.answer_question = answer_question
+        self.respond_to_operator = respond_to_operator
         self.connections: set[FrameProtocol] = set()
-        self.reply_tasks: set[asyncio.Task[None]] = set()
+        self.response_tasks: set[asyncio.Task[None]] = set()
 
     async def serve(self) -> None:
         """Start listening. Raises OSError if the address can't be used."""
@@ -61,8 +61,8 @@
                 protocol.send(encode(self._deferral(request)))
             case CancellationNotice(refs):
                 self.exchange.add_reported(refs)
-            case (DutiesRequest() | HistoryRequest()) as question:
-                self._start_reply(protocol, question)
+            case (DutiesRequest() | HistoryRequest()) as request:
+                self._start_response(protocol, request)
 
     def _deferral(self, request: DeferralRequest) -> FailoverDeferral:
         span_us = self.membership.deferrals.defer_failover(
@@ -77,11 +77,11 @@
             cancelled=self.exchange.confirmed_since(request.unconfirmed_us),
         )
 
-    def _start_reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
-        if len(self.reply_tasks) < MAX_CONCURRENT_QUESTIONS:
-            task = asyncio.get_running_loop().create_task(self._reply(protocol, question))
-            self.reply_tasks.add(task)
-            task.add_done_callback(self.reply_tasks.discard)
+    def _start_response(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
+        if len(self.response_tasks) < MAX_CONCURRENT_OPERATOR_REQUESTS:
+            task = asyncio.get_running_loop().create_task(self._respond(protocol, request))
+            self.response_tasks.add(task)
+            task.add_done_callback(self.response_tasks.discard)
 
-    async def _reply(self, protocol: FrameProtocol, question: OperatorRequest) -> None:
-        protocol.send(encode(await self.answer_question(question)))
+    async def _respond(self, protocol: FrameProtocol, request: OperatorRequest) -> None:
+        protocol.send(encode(await self.respond_to_operator(request)))
--- a/basaltlead/cluster/peers.py
+++ b/basaltlead/cluster/peers.py
@@ -19,11 +19,11 @@
         settings: Settings,
         membership: Membership,
         exchange: CancellationExchange,
-        answer_question: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
+        respond_to_operator: Callable[[OperatorRequest], Awaitable[OperatorResponse]],
     ) -> None:
-        """`answer_question` answers the questions of operators."""
+        """`respond_to_operator` returns the response to a request of an operator."""
         reader = MessageReader()
-        self.server = PeerServer(settings, membership, reader, exchange, answer_question)
+        self.server = PeerServer(settings, membership, reader, exchange, respond_to_operator)
         self.extension = LeaseExtension(settings.known, reader, membership.session, exchange)
 
     async def serve(self) -> None:
@@ -35,7 +35,8 @@
         await self.extension.request_deferrals()
 
     def all_peers_partitioned(self) -> bool:
-        """Whether peers have answered recently, and all of these lost the key-value store."""
+        """Whether some peers have responded recently, and all of them have lost the key-value
+        store."""
         return self.extension.all_peers_partitioned()
 
     def announce_cancellation(self, ref: str) -> None:
--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -53,7 +53,7 @@
 class Controller:
     """One controller process."""
 
-    shard_leader_class = ShardLeader
+    shard_leader_class = ShardLeader  # tests replace it by that of an older version
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -100,8 +100,8 @@
             self.registry.close_job,
             self.registry.confirm_cancellations,
         )
-        answer = DutyReports(self.store, self.membership).answer
-        return Peers(self.settings, self.membership, exchange, answer)
+        respond_to_operator = DutyReports(self.store, self.membership).respond
+        return Peers(self.settings, self.membership, exchange, respond_to_operator)
 
     def _new_user_api(self) -> UserApi:
         return UserApi(
@@ -110,7 +110,7 @@
             self.membership,
             self.machine_types,
             self.cancellations,
-            self._cancellation_confirmed,
+            self._before_cancellation_confirmed,
         )
 
     @property
@@ -155,11 +155,11 @@
     # Grants
 
     def _cluster_changed(self) -> None:
-        self.duties.changed()
+        self.duties.reconcile()
         self.registry.apply_grants()
 
     async def _supervise(self) -> None:
-        """Release grants after a step-down, and hand over those that another controller should
+        """Release grants after a step-down, and hand over grants that another controller should
         hold."""
         while True:
             await asyncio.sleep(SUPERVISION_INTERVAL_S)
@@ -182,7 +182,8 @@
             new_shard(settings, lease),
             self.result_layout(),
             self.machine_types,
-            BackgroundTasks(lease.step_down),  # the next grant starts from the stored state
+            # A failed loop ends this grant; the next grant starts from the stored state.
+            BackgroundTasks(lease.step_down),
             WorkerClient(worker_sockets(settings), self._worker_sockets_left),
         )
         market = new_market(settings)
@@ -196,8 +197,8 @@
         return ResultLayout(self.settings.store_limits.value_bytes)
 
     def _worker_sockets_left(self) -> int:
-        """Return how many sockets the workers of one shard may use now; they share a limit with
-        incoming connections."""
+        """Return how many sockets the workers of one shard may use now: the part of the limit that
+        incoming connections leave, divided among the shards that are led here."""
         if self.server is None:
             return MIN_WORKER_SOCKETS
         left: int = self.server.limit - len(self.server.connections)
@@ -205,16 +206,16 @@
 
     # Users
 
-    def _cancellation_confirmed(self, ref: str) -> None:
+    def _before_cancellation_confirmed(self, ref: str) -> None:
         """Handle a cancellation that this controller is about to confirm to a user."""
         self.registry.close_job(ref)
         self.peers.announce_cancellation(ref)
 
     def _is_healthy(self) -> bool:
-        """Return whether this node can take requests.
+        """Return whether this controller can take requests.
 
-        While no controller can reach the key-value store, all stay healthy: another node would
-        serve no better, and the load balancer would be slow to use this one again.
+        While no controller can reach the key-value store, all stay healthy: another controller
+        would serve no better, and the load balancer would be slow to use this one again.
         """
         serves = self.membership.holds_valid_lease or self.peers.all_peers_partitioned()
         return serves and bool(self.machine_types)
@@ -256,7 +257,7 @@
         asyncio.run(Controller(settings).run())
     except KeyboardInterrupt:
         return 130
-    except OSError as fault:
-        log.error("failed to listen on %s: %s", settings.front, fault)
+    except OSError as error:
+        log.error("failed to listen on %s: %s", settings.front, error)
         return 1
     return 0
--- a/basaltlead/duties/clean_up_duty.py
+++ b/basaltlead/duties/clean_up_duty.py
@@ -69,15 +69,15 @@
             if self._is_quiet_time() or not self.holds_valid_lease:
                 continue
             try:
-                await self._drop_spent_requests()
+                await self._drop_obsolete_requests()
                 await self._drop_orphaned_results()
-            except ServiceError as fault:
-                log.info("clean-up pass failed, will be retried: %s", fault)
+            except ServiceError as error:
+                log.info("clean-up pass failed, will be retried: %s", error)
 
     def _is_quiet_time(self) -> bool:
         return self.quiet_times is not None and self.quiet_times.current() is not None
 
-    async def _drop_spent_requests(self) -> None:
+    async def _drop_obsolete_requests(self) -> None:
         rows, _ = await self.store.rows(SCALE_OUT)
         if not rows:
             return
@@ -102,9 +102,8 @@
             await self._drop(f"results of {ref}", keys, [Precondition(OPEN + ref, 0)])
 
     async def _drop(self, action: str, keys: list[str], preconditions: list[Precondition]) -> None:
-        for batch in self.store.limits.delete_batches(
-            keys, extra_operations=1
-        ):  # 1 for the history page
+        # One extra operation in each transaction writes the history page.
+        for batch in self.store.limits.delete_batches(keys, extra_operations=1):
             event = Event.of_rows(action, len(batch))
             await self.history.commit(
                 preconditions, list(map(Drop, batch)), event, low_priority=True
--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -53,7 +53,7 @@
         """Whether the holder may act now. Check it immediately before sending.
 
         It requires that the session lease and the grant are provably valid, and that every member
-        of the cluster knows that duties are granted.
+        of the cluster supports duties with grants of their own.
         """
         return (
             self.membership.holds_valid_lease
@@ -95,11 +95,11 @@
             try:
                 await self.history.load()
                 await self.history.commit([], [], Event.of(Action.ACQUIRED))
-            except ServiceError as fault:
+            except ServiceError as error:
                 log.info(
                     "duty %s: acquisition not recorded, will be retried: %s",
                     self.duty,
-                    fault,
+                    error,
                 )
                 await backoff.wait()
             else:
--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -35,7 +35,7 @@
 class MachineRental:
     """Sends recorded requests to the cloud and records their outcome.
 
-    Its recorded name makes a request idempotent, as the cloud rents only once under a name. So a
+    A request is idempotent by its recorded name, as the cloud rents only once under a name. So a
     request that is sent twice, late, or by a replaced holder rents nothing more than was recorded.
     """
 
@@ -76,10 +76,10 @@
                     spot,
                 )
                 return None
-            except RequestRejected as fault:
-                await self._wait_after_rejection(name, str(fault), on_rejected)
-            except (RequestFailed, Unavailable) as fault:
-                log.info("scale-out request %s: no result, will be retried: %s", name, fault)
+            except RequestRejected as error:
+                await self._wait_after_rejection(name, str(error), on_rejected)
+            except (RequestFailed, Unavailable) as error:
+                log.info("scale-out request %s: no result, will be retried: %s", name, error)
                 await backoff.wait()
             else:
                 log.info("scale-out request %s: rented %s", name, ", ".join(names))
--- a/basaltlead/duties/reports.py
+++ b/basaltlead/duties/reports.py
@@ -30,23 +30,23 @@
 
 
 class DutyReports:
-    """Answers the requests of operators."""
+    """Responds to the requests of operators."""
 
     def __init__(self, store: KeyValueStore, membership: Membership) -> None:
         self.store = store
         self.membership = membership
 
-    async def answer(self, question: OperatorRequest) -> OperatorResponse:
+    async def respond(self, request: OperatorRequest) -> OperatorResponse:
         """The response to a request; it contains an error text if the store can't be read."""
-        answer_type = DutiesResponse if isinstance(question, DutiesRequest) else HistoryResponse
+        response_type = DutiesResponse if isinstance(request, DutiesRequest) else HistoryResponse
         if self.membership.store_unreachable:
-            return answer_type("the state service does not answer")
+            return response_type("the state service does not answer")
         try:
-            if isinstance(question, DutiesRequest):
+            if isinstance(request, DutiesRequest):
                 return await self._duties()
-            return await self._history_page(question.after)
-        except ServiceError as fault:
-            return answer_type(str(fault))
+            return await self._history_page(request.after)
+        except ServiceError as error:
+            return response_type(str(error))
 
     async def _duties(self) -> DutiesResponse:
         cluster = ClusterView()
--- a/basaltlead/duties/return_duty.py
+++ b/basaltlead/duties/return_duty.py
@@ -1,4 +1,4 @@
-"""The return duty: deletes the machines of the recorded scale-ins in the cloud."""
+"""The return duty: has the cloud delete the machines of the recorded scale-ins."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
 
 
 class ReturnDuty(DutyHolder):
-    """Watches the scale-in records and executes them. It deletes only machines in such records."""
+    """Watches the scale-in records, and deletes their machines in the cloud, but no others."""
 
     duty = Duty.RETURN
 
@@ -44,7 +44,7 @@
         self.wake = asyncio.Event()
 
     async def run(self) -> None:
-        """Watch the scale-in records and execute them until cancelled."""
+        """Watch the scale-in records and delete their machines until cancelled."""
         self.background.spawn(self._execute(), "loop return machines")
         await follow_rows(
             self.store, SCALE_IN, self.membership.watch_timeout_ms, self._put, self._drop
@@ -52,7 +52,7 @@
 
     def _put(self, key: str, raw: msgspec.Raw, version: int) -> None:
         known = self.open_scale_ins.get(key)
-        if known is not None:
+        if known is not None:  # the record changes only in the reason of a rejection
             known.version = max(known.version, version)
             return
         stored = msgspec.json.decode(raw, type=StoredScaleIn)
@@ -70,8 +70,8 @@
                 continue
             try:
                 await self._delete_batch()
-            except ServiceError as fault:
-                log.info("machine deletion failed, will be retried: %s", fault)
+            except ServiceError as error:
+                log.info("machine deletion not confirmed, will be retried: %s", error)
                 await backoff.wait()
                 continue
             backoff.reset()
@@ -101,8 +101,8 @@
     async def _record_outcome(self, key: str) -> None:
         """Delete the records of the machines, then the scale-in record.
 
-        If this is interrupted, the next holder finds the scale-in record. It deletes the machines
-        again, which has no effect, and then the remaining records.
+        If this is interrupted, the next holder finds the scale-in record. The holder deletes the
+        machines again, which has no effect, and then the remaining records.
         """
         scale_in = self.open_scale_ins.get(key)
         if scale_in is None:
@@ -124,14 +124,15 @@
                 Event.of(Action.RETURNED, key[len(SCALE_IN) :], stored.at, stored.names),
                 low_priority=True,
             )
-        except ServiceError as fault:
-            log.info("scale-in record %s: outcome not recorded, will be retried: %s", key, fault)
+        except ServiceError as error:
+            log.info("scale-in record %s: outcome not recorded, will be retried: %s", key, error)
             await asyncio.sleep(RETRY_PAUSE_S)
             return
         self.open_scale_ins.pop(key, None)
 
     async def _record_rejections(self) -> None:
-        """Record for operators why the cloud has rejected deletions of a scale-in."""
+        """Record for operators why the cloud has rejected the deletion of a machine: the first
+        reason for each scale-in."""
         rejected = self.machine_deletion.rejected
         for key, scale_in in list(self.open_scale_ins.items()):
             reasons = [rejected[name].reason for name in scale_in.undeleted if name in rejected]
@@ -152,7 +153,7 @@
                     ),
                     low_priority=True,
                 )
-            except ServiceError as fault:
-                log.info("scale-in record %s: rejection not recorded: %s", key, fault)
+            except ServiceError as error:
+                log.info("scale-in record %s: rejection not recorded: %s", key, error)
                 continue
             scale_in.stored = changed
--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -184,8 +184,8 @@
     while True:
         try:
             return await loop.create_server(factory, host, int(port), backlog=backlog)
-        except OSError as fault:
-            if fault.errno != errno.EADDRINUSE:
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE:
                 raise
         log.error("address %s is in use, retrying", address)
         await asyncio.sleep(RETRY_LISTEN_S)
@@ -204,8 +204,8 @@
         """Create a server; `limit` applies to its connections and `other_sockets` together.
 
         At the limit, `close_other_idle` is called first to close an idle socket among the others;
-        it returns whether it did. So idle connections elsewhere never cause this server to refuse a
-        client.
+        it returns whether it did. So the others' idle connections never cause this server to refuse
+        a client.
         """
         self.handler = handler
         self.limit = limit
--- a/basaltlead/scaling/scale_out_requests.py
+++ b/basaltlead/scaling/scale_out_requests.py
@@ -29,7 +29,7 @@
 
     @property
     def rejected_offers(self) -> set[Offer]:
-        """Offers with an open request that the cloud has rejected.
+        """Offers whose open request was rejected by the cloud.
 
         The request itself is retried at intervals. A second request for the same offer would be
         rejected as well.
@@ -40,7 +40,7 @@
             if stored.names is None and stored.refused is not msgspec.UNSET
         }
 
-    def held_counts(self) -> dict[Offer, int]:
+    def machine_counts(self) -> dict[Offer, int]:
         """The number of machines of each offer that the shard holds."""
         counts: dict[Offer, int] = {}
         for machine in self.context.shard.machines.values():
@@ -58,7 +58,8 @@
         ]
 
     def remove_pending(self, name: str) -> None:
-        """Remove the placeholders of a request that has an outcome, is rejected or unrecorded."""
+        """Remove the placeholders of a request that has an outcome, was rejected, or could not be
+        recorded."""
         self.pending.pop(name, None)
 
     def on_rented(self, name: str, stored: StoredScaleOut) -> None:
@@ -76,7 +77,8 @@
             self._note_shortage(stored)
 
     async def on_rejected(self, name: str, reason: str) -> None:
-        """Handle a request that the cloud has rejected.
+        """Handle a request that the cloud has rejected; a coroutine function, as `MachineRental`
+        requires.
 
         Its placeholders are removed, so that fleet sizing requests another offer instead.
         """
@@ -84,7 +86,7 @@
         self.remove_pending(name)
 
     def add_machines(self, stored: StoredScaleOut, names: list[str]) -> None:
-        """Add the machines of a request to the shard, except those that were deleted already."""
+        """Add the machines of a request to the shard, except those that it knows to be deleted."""
         now = now_us()
         returning = self.context.intents.returning
         machine_type = self.context.machine_type(stored.type_name)
@@ -97,7 +99,7 @@
             self.context.shard.add_machine(machine)
 
     def note_version(self, name: str, version: int) -> None:
-        """Store the version of a request's record, unless a newer one is known."""
+        """Note the version of a request's record, unless a newer one is known."""
         key = SCALE_OUT + name
         versions = self.context.store.versions
         versions[key] = max(versions.get(key, 0), version)
@@ -105,4 +107,6 @@
     def _note_shortage(self, stored: StoredScaleOut) -> None:
         """Record that the cloud has no more machines of an offer than the shard holds now."""
         offer = offer_of(stored)
-        self.offer_availability.record_refusal(offer, self.held_counts().get(offer, 0), now_us())
+        self.offer_availability.record_shortage(
+            offer, self.machine_counts().get(offer, 0), now_us()
+        )
