--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -325,7 +325,7 @@
     assert job_state.live[0].attempt_number != first.attempt_number
 
 
-def test_one_zone_and_apart_hold_together() -> None:
+def test_one_zone_and_spread_zones_apply_together() -> None:
     harness = Story(machines=3)
 
     harness.shard.machines["m-2"].zone = "b"
