--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -630,7 +630,7 @@
     assert not harness.shard.is_settled(machine)
 
 
-def test_job_with_objective_reclaims_its_share_from_checkpointed_work_without() -> None:
+def test_job_with_objective_reclaims_its_share_from_checkpointed_job_without_objective() -> None:
     harness = Story()
 
     harness.shard.machines["m-0"].images["img"] = 1.0
