--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -9,7 +9,7 @@
 from basaltlead.core.machine_state import MachineState
 from tests.builders import MACHINE_TYPE, TIMING, Story, task_status
 
-FACTS = ("up", "synced", "recorded", "lost", "draining", "terminating")
+FLAGS = ("up", "synced", "recorded", "lost", "draining", "terminating")
 
 
 def _state(harness: Story, name: str = "m-0") -> MachineState:
@@ -18,10 +18,10 @@
 
 def test_machine_is_usable_exactly_if_it_is_ready() -> None:
     now = 100 * US
-    for facts in product((False, True), repeat=len(FACTS)):
+    for facts in product((False, True), repeat=len(FLAGS)):
         for preempted, cordoned, unreachable in product((False, True), repeat=3):
             machine = Machine("m-0", MACHINE_TYPE, "a", False, 0)
-            for name, value in zip(FACTS, facts, strict=True):
+            for name, value in zip(FLAGS, facts, strict=True):
                 setattr(machine, name, value)
             machine.preemption_at = now + US if preempted else None
             machine.cordoned_until = now + US if cordoned else 0
