--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -8,7 +8,10 @@
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
 
-BOTH: dict[Offer, int | None] = {Offer("k", "a", True): None, Offer("k", "a", False): None}
+UNLIMITED_OFFERS: dict[Offer, int | None] = {
+    Offer("k", "a", True): None,
+    Offer("k", "a", False): None,
+}
 
 
 def _rented(drain_us: float, offers: dict[Offer, int | None]) -> list[bool]:
@@ -25,9 +28,9 @@
 
 def test_spot_machines_are_rented_early_and_on_demand_ones_for_lasting_backlogs() -> None:
     assert MACHINE_TYPE.boot_us == 5 * US
-    assert _rented(2 * US, BOTH) == []  # done before any comes up
-    assert _rented(5 * US, BOTH) == [True] * 10
-    two_spots = BOTH | {Offer("k", "a", True): 2}
+    assert _rented(2 * US, UNLIMITED_OFFERS) == []  # done before any comes up
+    assert _rented(5 * US, UNLIMITED_OFFERS) == [True] * 10
+    two_spots = UNLIMITED_OFFERS | {Offer("k", "a", True): 2}
 
     assert _rented(5 * US, two_spots) == [True] * 2
     assert _rented(60 * US, two_spots) == [True] * 2 + [False] * 8
