--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -18,7 +18,7 @@
     for zone in "ab"
     for spot in (True, False)
 }
-IN_A = {offer: most for offer, most in OFFERS.items() if offer.zone == "a"}
+OFFERS_IN_A = {offer: most for offer, most in OFFERS.items() if offer.zone == "a"}
 SILENT = {"a": [True, False], "b": [False, False, False]}
 
 
@@ -28,14 +28,16 @@
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
     assert zones.update(SILENT, 0) == ["b"]
     assert zones.update(SILENT, US) == []  # it is known by now
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == IN_A
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == OFFERS_IN_A
     after = US + RENTAL_PAUSE_US
     trial = Offer("cheap", "b", True)
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["a"], after) == IN_A | {trial: 1}
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["a"], after) == OFFERS_IN_A | {trial: 1}
     # it has not been heard yet
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after) == IN_A
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after) == OFFERS_IN_A
     assert zones.update({"a": [True]}, after) == []  # all machines there were returned
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == IN_A
+    assert (
+        zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == OFFERS_IN_A
+    )
     zones.update({"a": [True], "b": [True]}, after + RENTAL_PAUSE_US)
 
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], after + RENTAL_PAUSE_US) == OFFERS
