--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -19,15 +19,15 @@
     for spot in (True, False)
 }
 OFFERS_IN_A = {offer: most for offer, most in OFFERS.items() if offer.zone == "a"}
-SILENT = {"a": [True, False], "b": [False, False, False]}
+REPORTING_BY_ZONE = {"a": [True, False], "b": [False, False, False]}
 
 
 def test_silent_zone_gets_one_trial_machine_after_a_pause_until_it_is_heard() -> None:
     zones = SilentZones()
 
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
-    assert zones.update(SILENT, 0) == ["b"]
-    assert zones.update(SILENT, US) == []  # it is known by now
+    assert zones.update(REPORTING_BY_ZONE, 0) == ["b"]
+    assert zones.update(REPORTING_BY_ZONE, US) == []  # it is known by now
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == OFFERS_IN_A
     after = US + RENTAL_PAUSE_US
     trial = Offer("cheap", "b", True)
