--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -68,14 +68,14 @@
     cut = [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
     for machine in list(deployment.cloud.machines.values()):
         if machine.zone == "b":
-            _cut(deployment, machine)
+            _cut_from_controllers(deployment, machine)
     end = loop.time() + 120
     rented: set[str] = set()
     before = set(deployment.cloud.machines)
     while loop.time() < end:
         for name, machine in list(deployment.cloud.machines.items()):
             if name not in before and machine.zone == "b":
-                _cut(deployment, machine)
+                _cut_from_controllers(deployment, machine)
                 rented.add(name)
         await asyncio.sleep(0.1)
     assert 1 <= len(rented) <= 4
@@ -90,6 +90,6 @@
     deployment.assert_no_violation()
 
 
-def _cut(deployment: Deployment, machine: FakeWorker) -> None:
+def _cut_from_controllers(deployment: Deployment, machine: FakeWorker) -> None:
     for name in deployment.nodes:
         deployment.net.cut(machine.host, deployment.host(name))
