--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -25,7 +25,7 @@
     return harness.submit(number, **(values | fields))
 
 
-def _run(harness: Story, job_state: JobState) -> None:
+def _report_running(harness: Story, job_state: JobState) -> None:
     """All its replicas are started and reported as running."""
     for machine in {attempt.machine.name: None for attempt in job_state.live.values()}:
         attempts = harness.shard.machines[machine].attempts
@@ -50,7 +50,7 @@
     harness = Story(machines=3)
     others = harness.submit(1, tasks=12)
 
-    _run(harness, others)
+    _report_running(harness, others)
     service = _service(harness, 2)
     for _ in range(2):  # two tries, on two machines, for each of which somebody gives way
         (attempt,) = service.live.values()
@@ -67,7 +67,7 @@
         plan(harness.shard, harness.now)
     for _ in range(40):
         harness.now += US
-        _run(harness, others)
+        _report_running(harness, others)
         plan(harness.shard, harness.now)
         assert not service.live
         assert all(attempt.stop_grace_s is None for attempt in others.live.values())
@@ -79,7 +79,7 @@
     service = _service(harness)
 
     assert harness.shard.estimated_run_us(service) == SERVICE_RUN_TIME_US
-    _run(harness, service)
+    _report_running(harness, service)
     harness.now += 2 * SERVICE_RUN_TIME_US
 
     assert harness.shard.estimated_run_us(service) == SERVICE_RUN_TIME_US
@@ -90,7 +90,7 @@
     harness = Story(machines=1)
     service = _service(harness)
 
-    _run(harness, service)
+    _report_running(harness, service)
     (attempt,) = service.live.values()
     attempt.machine.preemption_at = harness.now + 20 * US
     plan(harness.shard, harness.now)
@@ -111,7 +111,7 @@
     harness = Story(machines=1)
     service = _service(harness)
 
-    _run(harness, service)
+    _report_running(harness, service)
     (attempt,) = service.live.values()
     harness.add("m-1")
     harness.heartbeat("m-1")
@@ -142,7 +142,7 @@
         market.run_round(harness.shard, harness.now)
     risen = service.bid
     assert risen > PARAMETERS.reserve_price
-    _run(harness, service)
+    _report_running(harness, service)
     for _ in range(8):
         harness.now += 10 * US
         market.run_round(harness.shard, harness.now)
@@ -177,7 +177,7 @@
     harness = Story(machines=2)
     proven = _service(harness)
 
-    _run(harness, proven)
+    _report_running(harness, proven)
     (attempt,) = proven.live.values()
     harness.now += 40 * US
     harness.heartbeat(attempt.machine.name, task_status(attempt, "ended", "error"))
