--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -29,7 +29,7 @@
 from tests.test_scale_hundreds import CallCounter
 
 MACHINES = 4000
-PLACES = 4  # tasks that one machine holds
+TASKS_PER_MACHINE = 4  # tasks that one machine holds
 
 
 def _name(number: int) -> str:
@@ -85,9 +85,9 @@
     assert not after.shard.unsynced
     assert (
         sum(len(job_state.live) for job_state in after.shard.job_states.values())
-        == PLACES * MACHINES
+        == TASKS_PER_MACHINE * MACHINES
     )
-    assert taken.calls <= 2 * PLACES * MACHINES
+    assert taken.calls <= 2 * TASKS_PER_MACHINE * MACHINES
     assert _plan_calls(monkeypatch, after) < 4 * MACHINES
 
 
@@ -101,12 +101,12 @@
     removed = CallCounter(monkeypatch, (AttemptTable, "remove"))
     drained = CallCounter(monkeypatch, (Drainer, "drain"))
     harness.shard.advance(harness.now)
-    assert removed.calls == PLACES * MACHINES // 2
+    assert removed.calls == TASKS_PER_MACHINE * MACHINES // 2
     for _ in range(10):
         harness.shard.advance(harness.now)
 
     assert drained.calls <= 12 * MACHINES // 2
-    assert removed.calls == PLACES * MACHINES // 2
+    assert removed.calls == TASKS_PER_MACHINE * MACHINES // 2
     assert _plan_calls(monkeypatch, harness) < 8 * MACHINES
 
 
