--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -52,12 +52,12 @@
     market = Market(PARAMETERS, ["red"], _objectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
     late = shard.add_job(make_job(1, tasks=50, due_us=30 * US), 1, 0)
-    hasty = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
+    urgent = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
 
     for second in range(10, 160, 10):
         market.run_round(shard, second * US)
 
-    assert hasty.bid > late.bid > 0
+    assert urgent.bid > late.bid > 0
 
 
 def _add_machine(shard: Shard, cpus: float) -> None:
@@ -106,13 +106,13 @@
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     late = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
-    hasty = shard.add_job(make_job(2, tasks=90, due_us=900 * US), 1, 0)
+    urgent = shard.add_job(make_job(2, tasks=90, due_us=900 * US), 1, 0)
     guest = shard.add_job(make_job(3, tasks=400, team="guests"), 1, 0)
 
-    late.bid, hasty.bid, guest.bid = 1.0, 2.0, 9.0
+    late.bid, urgent.bid, guest.bid = 1.0, 2.0, 9.0
     market.allocate_slots(shard, 300 * US)
 
-    assert (late.slots, hasty.slots, guest.slots) == (25, 50, 25)
+    assert (late.slots, urgent.slots, guest.slots) == (25, 50, 25)
 
 
 def test_within_a_team_the_job_nearest_to_completion_comes_first_and_all_begin() -> None:
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -200,15 +200,15 @@
     harness = Story()
 
     late = harness.shard.add_job(make_job(1, tasks=4, due_us=3000 * US), 200, harness.now)
-    hasty = harness.shard.add_job(make_job(2, tasks=400, due_us=30 * US), 200, harness.now)
+    urgent = harness.shard.add_job(make_job(2, tasks=400, due_us=30 * US), 200, harness.now)
 
     def due(job_state: JobState, now: int) -> demand.Due:
         return demand.Due(job_state.submitted_at + (job_state.job.due_us or 0))
 
     def wanted() -> dict[str, int]:
-        loads = demand.remaining_cpu_us([late, hasty], harness.now, harness.shard.estimated_run_us)
+        loads = demand.remaining_cpu_us([late, urgent], harness.now, harness.shard.estimated_run_us)
         return demand.wanted_tasks(
-            [late, hasty], harness.now, due, harness.shard.estimated_run_us, 0, loads
+            [late, urgent], harness.now, due, harness.shard.estimated_run_us, 0, loads
         )
 
     assert wanted()[late.job.ref] == 0
