--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -98,11 +98,11 @@
     )
 
     began = loop.time()
-    swarm = [
+    small_jobs = [
         deployment.job(500 + number, Crew="blue", Rank="best_effort", Cores=0.5, RunS=1.0)
         for number in range(1, 41)
     ]
-    await asyncio.gather(*(deployment.submit(job) for job in swarm))
+    await asyncio.gather(*(deployment.submit(job) for job in small_jobs))
     own = job_refs(1, 8)
     for ref in own:
         number = int(ref[4:])
@@ -114,7 +114,7 @@
 
     await deployment.wait_until_done(*own, seconds=40)
     await deployment.wait_until_done(
-        *(job["Ref"] for job in swarm), seconds=240 - (loop.time() - began)
+        *(job["Ref"] for job in small_jobs), seconds=240 - (loop.time() - began)
     )
     assert deployment.rule_checker.starts_of("req-000500") > 100  # the largest goes on as well
     deployment.assert_no_violation()
