--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -40,13 +40,15 @@
     harness = Story()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
-    old = harness.make_heartbeat("m-0")
+    old_heartbeat = harness.make_heartbeat("m-0")
 
     harness.heartbeat("m-0")
     harness.heartbeat("m-0", task_status(attempt, "running"))
     harness.submit(2)
 
-    assert harness.shard.heartbeat(old, harness.now) == []  # nobody waits for this answer any more
+    assert (
+        harness.shard.heartbeat(old_heartbeat, harness.now) == []
+    )  # nobody waits for this answer any more
     assert job_state.live[0] is attempt
     assert attempt.stage == "running"
 
@@ -58,13 +60,13 @@
 
     name = attempt.machine.name
     harness.heartbeat(name)
-    held = harness.make_heartbeat(name, task_status(attempt, "running"))
+    late_heartbeat = harness.make_heartbeat(name, task_status(attempt, "running"))
     harness.now += TIMING.lease_expiry_us + 1
     harness.shard.advance(harness.now)
 
     assert attempt.machine.lost
     assert not job_state.live
-    assert harness.shard.heartbeat(held, harness.now) is None  # it comes minutes later
+    assert harness.shard.heartbeat(late_heartbeat, harness.now) is None  # it comes minutes later
     assert attempt.machine.lost
     assert not attempt.machine.usable(harness.now)
 
@@ -117,16 +119,16 @@
 def test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines() -> None:
     harness = Story(machines=1)
     harness.add("m-9", loaded=True)
-    old, new = harness.submit(1, version=50), harness.submit(2, version=150)
+    before_grant, after_grant = harness.submit(1, version=50), harness.submit(2, version=150)
 
-    assert not old.live
-    assert new.live
+    assert not before_grant.live
+    assert after_grant.live
     harness.now += TIMING.lease_expiry_us + 1
     harness.heartbeat("m-0")
     harness.shard.advance(harness.now)  # m-9 has been silent past its lease
     plan(harness.shard, harness.now)
 
-    assert old.live
+    assert before_grant.live
 
 
 def test_unacknowledged_start_holds_its_task_until_it_is_resolved() -> None:
@@ -195,7 +197,7 @@
 def test_heartbeat_older_than_the_answer_to_a_push_does_not_end_the_attempt() -> None:
     harness = Story()
     job_state = harness.submit()
-    before = harness.make_heartbeat("m-0")  # sent before the worker had the command
+    older_heartbeat = harness.make_heartbeat("m-0")  # sent before the worker had the command
 
     _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
     attempt = harness.attempt(job_state)
@@ -203,7 +205,7 @@
     harness.shard.answer(answer, harness.now, pushed_starts)
     harness.shard.acknowledge_starts(pushed_starts, True)
     assert attempt.stage == "fetching"
-    harness.shard.heartbeat(before, harness.now)
+    harness.shard.heartbeat(older_heartbeat, harness.now)
 
     assert job_state.live[0] is attempt
 
@@ -309,16 +311,16 @@
 
     assert first.attempt_number == second.attempt_number
     assert first.machine is not second.machine
-    for one in (first, second):
-        harness.heartbeat(one.machine.name)
-        harness.heartbeat(one.machine.name, task_status(one, "running"))
+    for attempt in (first, second):
+        harness.heartbeat(attempt.machine.name)
+        harness.heartbeat(attempt.machine.name, task_status(attempt, "running"))
     harness.heartbeat(first.machine.name, task_status(first, "ended", "error"))
     plan(harness.shard, harness.now)
     assert job_state.live == {1: second}
     harness.heartbeat(second.machine.name, task_status(second, "ended", "peers"))
     harness.now += 31 * US  # it is kept off the machine it failed on for a while
-    for one in (first, second):
-        harness.heartbeat(one.machine.name)
+    for attempt in (first, second):
+        harness.heartbeat(attempt.machine.name)
     plan(harness.shard, harness.now)
 
     assert len(job_state.live) == 2
@@ -345,16 +347,16 @@
     high = harness.submit(3, shape=Shape.GANG, rank=2, cpus=3.0)
     assert len(high.live) == 1
     assert sum(1 for a in low.live.values() if a.stop_grace_s is not None) == 3
-    there = [task_status(attempt, "running") for attempt in low.live.values()]
-    commands = harness.heartbeat("m-0", *there)
+    running = [task_status(attempt, "running") for attempt in low.live.values()]
+    commands = harness.heartbeat("m-0", *running)
     assert commands is not None
     assert ("run", "req-000003/0") not in commands
-    gone = [
+    stopped = [
         task_status(a, "ended", "stopped") for a in low.live.values() if a.stop_grace_s is not None
     ]
-    kept = [task_status(a, "running") for a in low.live.values() if a.stop_grace_s is None]
+    still_running = [task_status(a, "running") for a in low.live.values() if a.stop_grace_s is None]
 
-    assert ("run", "req-000003/0") in (harness.heartbeat("m-0", *gone, *kept) or [])
+    assert ("run", "req-000003/0") in (harness.heartbeat("m-0", *stopped, *still_running) or [])
 
 
 def test_task_on_a_machine_with_preemption_notice_checkpoints_in_time() -> None:
@@ -476,28 +478,30 @@
 
 def test_heartbeat_copies_do_not_restore_a_lost_machine() -> None:
     harness = Story()
-    lost = harness.add("m-9", loaded=True)
+    machine = harness.add("m-9", loaded=True)
 
     harness.now += TIMING.lease_expiry_us + 1
     harness.heartbeat("m-0")
     harness.shard.advance(harness.now)
-    assert lost.lost
+    assert machine.lost
     harness.submit()
     assert (
         harness.heartbeat("m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, epoch=3)
         == []
     )
     # One of a job that is over must go, whoever listens; that proves no more than the other.
-    over = TaskStatus("req-000009/0", 5, "running")
-    assert harness.heartbeat("m-9", over, fencing_token=6, epoch=3) == [("halt", "req-000009/0")]
-    assert lost.lost
-    assert not lost.up
-    assert not lost.attempts
-    assert not lost.last_heartbeat_at
+    of_closed_job = TaskStatus("req-000009/0", 5, "running")
+    assert harness.heartbeat("m-9", of_closed_job, fencing_token=6, epoch=3) == [
+        ("halt", "req-000009/0")
+    ]
+    assert machine.lost
+    assert not machine.up
+    assert not machine.attempts
+    assert not machine.last_heartbeat_at
     harness.heartbeat("m-9", epoch=4, tick=1)  # it shows our fencing token: it lives
 
-    assert not lost.lost
-    assert lost.synced
+    assert not machine.lost
+    assert machine.synced
 
 
 def test_stragglers_move_off_a_slow_machine_but_a_job_slow_everywhere_stays() -> None:
@@ -508,8 +512,10 @@
     for attempt in list(job_state.live.values()):
         harness.heartbeat(attempt.machine.name)
     for name in ("m-0", "m-1", "m-2"):
-        there = [task_status(a, "running") for a in harness.shard.machines[name].attempts.values()]
-        harness.heartbeat(name, *there)
+        running = [
+            task_status(a, "running") for a in harness.shard.machines[name].attempts.values()
+        ]
+        harness.heartbeat(name, *running)
     harness.now += 5 * US
     for name in ("m-0", "m-1", "m-2"):
         if name != slow.name:
@@ -527,19 +533,19 @@
             )
         harness.shard.advance(harness.now)
     assert all(a.stop_grace_s is not None for a in slow.attempts.values())
-    gone = [task_status(a, "ended", "stopped") for a in slow.attempts.values()]
-    harness.heartbeat(slow.name, *gone)
+    stopped = [task_status(a, "ended", "stopped") for a in slow.attempts.values()]
+    harness.heartbeat(slow.name, *stopped)
     for name in ("m-0", "m-1", "m-2"):
         harness.heartbeat(name)
     plan(harness.shard, harness.now)
     assert job_state.live
     assert all(a.machine is not slow for a in job_state.live.values())
-    everywhere = harness.submit(2, tasks=1)
+    slow_job = harness.submit(2, tasks=1)
     for _ in range(10):
-        attempt = everywhere.live[0]
+        attempt = slow_job.live[0]
         attempt.stage, attempt.running_since = "running", harness.now
         harness.now += 400 * US
-        harness.shard._stragglers.stop_stragglers(everywhere, harness.now)
+        harness.shard._stragglers.stop_stragglers(slow_job, harness.now)
         if attempt.stop_grace_s is None:
             break
         harness.shard._attempts.remove(attempt, harness.now)
@@ -550,7 +556,7 @@
             harness.heartbeat(name)
         plan(harness.shard, harness.now)
 
-    assert everywhere.history.stragglers_stopped == 4
+    assert slow_job.history.stragglers_stopped == 4
     assert attempt.stop_grace_s is None
 
 
@@ -624,9 +630,9 @@
     harness = Story()
     machine = harness.shard.machines["m-0"]
 
-    belongs_to_other_shard = TaskStatus("req-000009/0", 3, "running")
+    of_closed_job = TaskStatus("req-000009/0", 3, "running")
 
-    assert harness.heartbeat("m-0", belongs_to_other_shard) == [("halt", "req-000009/0")]
+    assert harness.heartbeat("m-0", of_closed_job) == [("halt", "req-000009/0")]
     assert not harness.shard.is_settled(machine)
 
 
@@ -656,12 +662,12 @@
 )
 def test_job_with_objective_preempts_nothing_else(case: str) -> None:
     harness = Story()
-    saves = (
+    checkpoint_fields = (
         {}
         if case == "no checkpoint"
         else {"checkpoint_interval_us": 5 * US, "checkpoint_duration_s": 2.0}
     )
-    low = harness.submit(1, tasks=4, rank=1 if case == "same rank" else 0, **saves)
+    low = harness.submit(1, tasks=4, rank=1 if case == "same rank" else 0, **checkpoint_fields)
 
     low.has_objective = case == "other has objective"
     attempts = list(low.live.values())
