--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -147,14 +147,14 @@
     silent = machines[: len(machines) // 2]
     for machine in silent:
         machine.sends_no_heartbeats = True
-    muted_at = loop.time()
+    silent_since = loop.time()
 
     # When another shard leader is granted the shard some seconds later, the epochs of the machines
     # end, and less than half a lease after the grant new jobs start there
     await asyncio.sleep(6)
     granted_at = await _replace_shard_leader(deployment)
     await deployment.wait_until(lambda: all(machine.epoch == 2 for machine in silent))
-    assert muted_at + deployment.lease / 2 < granted_at < muted_at + deployment.lease
+    assert silent_since + deployment.lease / 2 < granted_at < silent_since + deployment.lease
     assert loop.time() < granted_at + deployment.lease / 2
     await deployment.submit(deployment.job(2, Pieces=len(machines), RunS=30.0))
     await deployment.wait_until(
@@ -276,15 +276,15 @@
     await deployment.wait_until_done("req-000001")
     leader = deployment.controllers[deployment.acting_shard_leader()].shard_leaders[0]
     push_all = leader.dispatcher.push_all
-    pushed: list[str] = []
+    pushed_to: list[str] = []
 
     def push_all_and_begin_epoch(now: int) -> None:
         """The heartbeat arrives between the decision to push and the moment of sending."""
         push_all(now)
         for machine in leader.shard.machines.values():
             starts = [attempt for attempt in machine.attempts.values() if attempt.start_in_flight]
-            if starts and not pushed:
-                pushed.append(machine.name)
+            if starts and not pushed_to:
+                pushed_to.append(machine.name)
                 worker = deployment.cloud.machines[machine.name]
                 worker.begin_next_epoch()
                 leader.heartbeat(msgspec.convert(worker.heartbeat(), Heartbeat))
@@ -292,7 +292,7 @@
     # When a start is pushed while its machine begins another epoch
     leader.dispatcher.push_all = push_all_and_begin_epoch
     await deployment.submit(deployment.job(2, RunS=20.0))
-    await deployment.wait_until(lambda: bool(pushed))
+    await deployment.wait_until(lambda: bool(pushed_to))
 
     # Then the task runs once
     await deployment.wait_until_done("req-000002")
