--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -54,16 +54,16 @@
     service = _service(harness, 2)
     for _ in range(2):  # two tries, on two machines, for each of which somebody gives way
         (attempt,) = service.live.values()
-        (victim,) = (a for a in others.live.values() if a.stop_grace_s is not None)
-        name = attempt.machine.name
-        staying = [
+        (preempted,) = (a for a in others.live.values() if a.stop_grace_s is not None)
+        machine = attempt.machine.name
+        still_running = [
             task_status(a, "running")
             for a in others.live.values()
-            if a.machine.name == name and a.stop_grace_s is None
+            if a.machine.name == machine and a.stop_grace_s is None
         ]
-        harness.heartbeat(name, *staying, task_status(victim, "ended", "stopped"))
-        harness.heartbeat(name, *staying, task_status(attempt, "running"))
-        harness.heartbeat(name, *staying, task_status(attempt, "ended", "error"))
+        harness.heartbeat(machine, *still_running, task_status(preempted, "ended", "stopped"))
+        harness.heartbeat(machine, *still_running, task_status(attempt, "running"))
+        harness.heartbeat(machine, *still_running, task_status(attempt, "ended", "error"))
         plan(harness.shard, harness.now)
     for _ in range(40):
         harness.now += US
@@ -140,18 +140,18 @@
     for _ in range(4):  # nothing runs yet: the bid rises round by round
         harness.now += 10 * US
         market.run_round(harness.shard, harness.now)
-    risen = service.bid
-    assert risen > PARAMETERS.reserve_price
+    raised_bid = service.bid
+    assert raised_bid > PARAMETERS.reserve_price
     _report_running(harness, service)
     for _ in range(8):
         harness.now += 10 * US
         market.run_round(harness.shard, harness.now)
-    settled = service.bid
+    stable_bid = service.bid
     for _ in range(8):
         harness.now += 10 * US
         market.run_round(harness.shard, harness.now)
 
-    assert service.bid == settled  # all that should run runs
+    assert service.bid == stable_bid  # all that should run runs
 
 
 def test_services_demand_all_replicas_and_count_in_no_backlog() -> None:
@@ -175,20 +175,20 @@
 
 def test_only_a_replica_that_failed_early_counts_against_its_machine() -> None:
     harness = Story(machines=2)
-    proven = _service(harness)
+    service = _service(harness)
 
-    _report_running(harness, proven)
-    (attempt,) = proven.live.values()
+    _report_running(harness, service)
+    (attempt,) = service.live.values()
     harness.now += 40 * US
     harness.heartbeat(attempt.machine.name, task_status(attempt, "ended", "error"))
-    assert proven.proven
+    assert service.proven
     assert not attempt.machine.failed_jobs
     plan(harness.shard, harness.now)
-    assert proven.live  # at once
-    (again,) = proven.live.values()
+    assert service.live  # at once
+    (restarted,) = service.live.values()
     harness.now += US
-    harness.heartbeat(again.machine.name)
-    harness.heartbeat(again.machine.name, task_status(again, "running"))
-    harness.heartbeat(again.machine.name, task_status(again, "ended", "error"))
+    harness.heartbeat(restarted.machine.name)
+    harness.heartbeat(restarted.machine.name, task_status(restarted, "running"))
+    harness.heartbeat(restarted.machine.name, task_status(restarted, "ended", "error"))
 
-    assert again.machine.failed_jobs == {"req-000001"}
+    assert restarted.machine.failed_jobs == {"req-000001"}
