--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -72,33 +72,33 @@
     market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
-    dated = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
+    with_deadline = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
     guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
 
-    dated.need, guest.need = 60, 400
-    dated.bid, guest.bid = 0.01, 500.0
+    with_deadline.need, guest.need = 60, 400
+    with_deadline.bid, guest.bid = 0.01, 500.0
     market.allocate_slots(shard, 0)
-    assert (dated.slots, guest.slots) == (60, 40)
-    dated.need = 90  # however much they need, something is left for the others
+    assert (with_deadline.slots, guest.slots) == (60, 40)
+    with_deadline.need = 90  # however much they need, something is left for the others
     market.allocate_slots(shard, 0)
-    assert (dated.slots, guest.slots) == (75, 25)
-    dated.need = 0
+    assert (with_deadline.slots, guest.slots) == (75, 25)
+    with_deadline.need = 0
     market.allocate_slots(shard, 0)
 
-    assert (dated.slots, guest.slots) == (0, 100)
+    assert (with_deadline.slots, guest.slots) == (0, 100)
 
 
 def test_teams_share_the_remaining_slots_by_their_bids() -> None:
     market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
-    idle = shard.add_job(make_job(1, tasks=90), 1, 0)
+    without_deadline = shard.add_job(make_job(1, tasks=90), 1, 0)
     guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
 
-    idle.bid, guest.bid = 3.0, 1.0
+    without_deadline.bid, guest.bid = 3.0, 1.0
     market.allocate_slots(shard, 0)
 
-    assert (idle.slots, guest.slots) == (75, 25)
+    assert (without_deadline.slots, guest.slots) == (75, 25)
 
 
 def test_late_jobs_share_slots_by_their_bids() -> None:
