--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -92,13 +92,13 @@
     market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
-    without_deadline = shard.add_job(make_job(1, tasks=90), 1, 0)
+    red = shard.add_job(make_job(1, tasks=90), 1, 0)
     guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
 
-    without_deadline.bid, guest.bid = 3.0, 1.0
+    red.bid, guest.bid = 3.0, 1.0
     market.allocate_slots(shard, 0)
 
-    assert (without_deadline.slots, guest.slots) == (75, 25)
+    assert (red.slots, guest.slots) == (75, 25)
 
 
 def test_late_jobs_share_slots_by_their_bids() -> None:
