--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -18,7 +18,7 @@
     for zone in "ab"
     for spot in (True, False)
 }
-OFFERS_IN_A = {offer: most for offer, most in OFFERS.items() if offer.zone == "a"}
+OFFERS_IN_A = {offer: count for offer, count in OFFERS.items() if offer.zone == "a"}
 REPORTING_BY_ZONE = {"a": [True, False], "b": [False, False, False]}
 
 
@@ -65,21 +65,21 @@
     await deployment.submit(deployment.job(1, Pieces=400, Cores=4.0, RunS=6.0, Yard="b"))
     await deployment.wait_until(lambda: len(deployment.rule_checker.running_on) >= 6)
 
-    cut = [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
+    worker_hosts = [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
     for machine in list(deployment.cloud.machines.values()):
         if machine.zone == "b":
             _cut_from_controllers(deployment, machine)
     end = loop.time() + 120
     rented: set[str] = set()
-    before = set(deployment.cloud.machines)
+    known_machines = set(deployment.cloud.machines)
     while loop.time() < end:
         for name, machine in list(deployment.cloud.machines.items()):
-            if name not in before and machine.zone == "b":
+            if name not in known_machines and machine.zone == "b":
                 _cut_from_controllers(deployment, machine)
                 rented.add(name)
         await asyncio.sleep(0.1)
     assert 1 <= len(rented) <= 4
-    for host in cut:
+    for host in worker_hosts:
         for name in deployment.nodes:
             deployment.net.heal(host, deployment.host(name), True)
     await deployment.wait_until(
