--- a/tests/test_failover_order.py
+++ b/tests/test_failover_order.py
@@ -67,11 +67,11 @@
 async def test_lost_successor_does_not_delay_the_failover(loop: Loop) -> None:
     deployment = Deployment(loop, lease=10.0, cancel=35.0)
     first = await deployment.start_with_running_job(3, 500.0)
-    candidates = deployment.controllers[first].membership.cluster.failover_order()
+    failover_order = deployment.controllers[first].membership.cluster.failover_order()
 
-    following, last = [name for name in candidates if name != first]
+    successor, last = [name for name in failover_order if name != first]
     deployment.crash(first)
-    deployment.crash(following)
+    deployment.crash(successor)
     await deployment.wait_until(lambda: deployment.shard_leader() == last, seconds=6.0)
 
     deployment.assert_no_violation()
