--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -79,9 +79,9 @@
     faulty = next(iter(deployment.cloud.machines.values()))
     faulty.faulty = True
     await deployment.wait_until(lambda: faulty.name not in deployment.cloud.machines, seconds=75)
-    left = [ref for ref in refs if await deployment.poll(ref) != "done"]
+    unfinished = [ref for ref in refs if await deployment.poll(ref) != "done"]
 
-    assert left  # it was not given back for want of work
+    assert unfinished  # it was not given back for want of work
     await deployment.wait_until_done("req-000001", *refs, seconds=200)
     assert await deployment.cancel("req-000009") == "withdrawn"
     deployment.assert_no_violation()
@@ -97,14 +97,14 @@
         deployment.job(500, Crew="blue", Rank="best_effort", Pieces=2000, RunS=4.0)
     )
 
-    began = loop.time()
+    started_at = loop.time()
     small_jobs = [
         deployment.job(500 + number, Crew="blue", Rank="best_effort", Cores=0.5, RunS=1.0)
         for number in range(1, 41)
     ]
     await asyncio.gather(*(deployment.submit(job) for job in small_jobs))
-    own = job_refs(1, 8)
-    for ref in own:
+    high_rank_refs = job_refs(1, 8)
+    for ref in high_rank_refs:
         number = int(ref[4:])
         await deployment.submit(deployment.job(number, Pieces=4, Rank="high", RunS=3.0))
         await deployment.wait_until(
@@ -112,9 +112,9 @@
         )
         await asyncio.sleep(2)
 
-    await deployment.wait_until_done(*own, seconds=40)
+    await deployment.wait_until_done(*high_rank_refs, seconds=40)
     await deployment.wait_until_done(
-        *(job["Ref"] for job in small_jobs), seconds=240 - (loop.time() - began)
+        *(job["Ref"] for job in small_jobs), seconds=240 - (loop.time() - started_at)
     )
     assert deployment.rule_checker.starts_of("req-000500") > 100  # the largest goes on as well
     deployment.assert_no_violation()
@@ -132,14 +132,14 @@
     other = deployment.shard_leader()
     assert other not in (None, shard_leader)
     await deployment.wait_until_done("req-000001", "req-000002")
-    before = dict(deployment.store.keys)
-    starts = deployment.rule_checker.starts
+    keys_before = dict(deployment.store.keys)
+    starts_before = deployment.rule_checker.starts
     deployment.thaw(shard_leader)
     await asyncio.sleep(3)
     assert deployment.shard_leader() == other
-    assert deployment.rule_checker.starts == starts
-    kept = [key for key in before if key.startswith(("over/", "c/block/"))]
-    assert all(deployment.store.keys[key] == before[key] for key in kept)
+    assert deployment.rule_checker.starts == starts_before
+    stored_keys = [key for key in keys_before if key.startswith(("over/", "c/block/"))]
+    assert all(deployment.store.keys[key] == keys_before[key] for key in stored_keys)
     # The other one stands still while its tasks run: no run time is taken from that.
     await deployment.submit(deployment.job(3, Pieces=4, RunS=4.0, GuessS=4.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000003")) == 4)
@@ -148,8 +148,12 @@
     await asyncio.sleep(1.0)
     deployment.thaw(other)
     await deployment.wait_until_done("req-000003")
-    now = deployment.acting_shard_leader()
-    ratio = deployment.controllers[now].shard_leaders[0].shard.class_ratios.get("reports", 1.0)
+    current_leader = deployment.acting_shard_leader()
+    ratio = (
+        deployment.controllers[current_leader]
+        .shard_leaders[0]
+        .shard.class_ratios.get("reports", 1.0)
+    )
 
     assert 0.3 < ratio < 3.0
     deployment.assert_no_violation()
@@ -167,20 +171,20 @@
 }
 
 
-@pytest.mark.parametrize("who", ["state", "cloud"])
-@pytest.mark.parametrize("how", list(CORRUPTIONS))
+@pytest.mark.parametrize("service_name", ["state", "cloud"])
+@pytest.mark.parametrize("corruption", list(CORRUPTIONS))
 def test_corrupt_replies_count_as_unanswered(
-    how: str, who: str, caplog: pytest.LogCaptureFixture
+    corruption: str, service_name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """What was asked for may have been done all the same. No loop ends over them."""
 
     async def scenario(loop: Loop) -> None:
         deployment = Deployment(loop)
         await deployment.start_with_running_job(4, 30.0)
-        service = deployment.store if who == "state" else deployment.cloud
-        service.corrupt_reply = CORRUPTIONS[how]
+        service = deployment.store if service_name == "state" else deployment.cloud
+        service.corrupt_reply = CORRUPTIONS[corruption]
         submitting = loop.create_task(deployment.submit(deployment.job(2, Pieces=3, RunS=2.0)))
-        if who == "state":
+        if service_name == "state":
             status, _ = await deployment.request(deployment.nodes[0], "GET", "/api/jobs/req-000001")
             assert status == 503  # nobody is told what was not read
         end = loop.time() + 6.0
