--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -135,12 +135,12 @@
         harness.now += US
         name = f"m-{rng.randrange(6)}"
         machine = harness.shard.machines[name]
-        shown = [
+        reported = [
             task_status(a, rng.choice(["running", "ended"]), "done")
             for a in list(machine.attempts.values())
             if a.may_be_on_machine and rng.random() < 0.8
         ]
-        harness.heartbeat(name, *shown)
+        harness.heartbeat(name, *reported)
         if machine.attempts and step % 4 == 0:
             harness.shard.stop_gracefully(rng.choice(list(machine.attempts.values())))
         if step % 15 == 14:
@@ -148,9 +148,11 @@
             harness.shard.advance(harness.now)
         planning.plan(harness.shard, harness.now)
         for one in harness.shard.machines.values():
-            staying = [a for a in one.attempts.values() if a.stop_grace_s is None]
-            assert one.free.cpus == pytest.approx(4.0 - sum(a.job_state.job.cpus for a in staying))
-            assert one.booked == pytest.approx(sum(a.bid for a in staying))
+            not_stopping = [a for a in one.attempts.values() if a.stop_grace_s is None]
+            assert one.free.cpus == pytest.approx(
+                4.0 - sum(a.job_state.job.cpus for a in not_stopping)
+            )
+            assert one.booked == pytest.approx(sum(a.bid for a in not_stopping))
         for job_state in harness.shard.job_states.values():
             waiting = job_state.remaining - sum(
                 not job_state.is_done(index) for index in job_state.live
