--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -76,18 +76,20 @@
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
-    taken = CallCounter(monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress"))
+    reconciled = CallCounter(
+        monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress")
+    )
     for number in range(MACHINES):
-        shown = _running(before, number)
-        after.heartbeat(_name(number), *shown, fencing_token=7)
-        after.heartbeat(_name(number), *shown, fencing_token=8)
+        reported = _running(before, number)
+        after.heartbeat(_name(number), *reported, fencing_token=7)
+        after.heartbeat(_name(number), *reported, fencing_token=8)
 
     assert not after.shard.unsynced
     assert (
         sum(len(job_state.live) for job_state in after.shard.job_states.values())
         == TASKS_PER_MACHINE * MACHINES
     )
-    assert taken.calls <= 2 * TASKS_PER_MACHINE * MACHINES
+    assert reconciled.calls <= 2 * TASKS_PER_MACHINE * MACHINES
     assert _plan_calls(monkeypatch, after) < 4 * MACHINES
 
 
@@ -135,19 +137,19 @@
             200,
             harness.now,
         )
-    looked = CallCounter(monkeypatch, (replica_placement.ReplicaRanking, "_ranked"))
+    rankings = CallCounter(monkeypatch, (replica_placement.ReplicaRanking, "_ranked"))
     planning.plan(harness.shard, harness.now)
-    assert looked.calls <= MACHINES + 300
+    assert rankings.calls <= MACHINES + 300
     high = harness.shard.add_job(
         make_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], estimated_run_us=0),
         200,
         harness.now,
     )
-    looked.calls = 0
+    rankings.calls = 0
     planning.plan(harness.shard, harness.now)
 
     assert sum(a.stop_grace_s is None for a in high.live.values()) == 6
-    assert looked.calls <= 2 * MACHINES + 300 + 12
+    assert rankings.calls <= 2 * MACHINES + 300 + 12
 
 
 @simulated
@@ -165,17 +167,17 @@
     shard_leader = _shard_leader(deployment)
     machines = shard_leader.shard.machines.values()
     assert sum(machine.up and not machine.recorded for machine in machines) > 100
-    rounds: list[float] = []
-    inner = shard_leader.market.run_round
+    round_times: list[float] = []
+    run_round = shard_leader.market.run_round
 
-    def counted(*args: Any) -> None:
-        rounds.append(loop.time())
-        inner(*args)
+    def record_and_run_round(*args: Any) -> None:
+        round_times.append(loop.time())
+        run_round(*args)
 
-    shard_leader.market.run_round = counted
+    shard_leader.market.run_round = record_and_run_round
     await asyncio.sleep(60)
 
-    assert len(rounds) >= 5
+    assert len(round_times) >= 5
     deployment.assert_no_violation()
 
 
