--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -48,23 +48,23 @@
     refs = await _busy_fleet(deployment, gangs=8, arrays=20)
     machines = list(deployment.cloud.machines.values())
 
-    hung, dead, well = machines[:12], machines[12:24], machines[24:]
+    hung, dead, healthy = machines[:12], machines[12:24], machines[24:]
     for machine in hung:
         machine.hung = True
     for machine in dead:
         machine.stop()
         del deployment.cloud.machines[machine.name]
-    before = deployment.cloud.rented_count
-    at = loop.time()
-    while loop.time() < at + 1.5 * FakeWorker.LEASE:
-        assert all(m.name in deployment.cloud.machines for m in well if m.tasks)
+    rented_before = deployment.cloud.rented_count
+    failed_at = loop.time()
+    while loop.time() < failed_at + 1.5 * FakeWorker.LEASE:
+        assert all(m.name in deployment.cloud.machines for m in healthy if m.tasks)
         await asyncio.sleep(0.5)
-    assert all(m.epoch == 1 for m in well if m.name in deployment.cloud.machines)
+    assert all(m.epoch == 1 for m in healthy if m.name in deployment.cloud.machines)
     for machine in hung:
         machine.hung = False
 
     await deployment.wait_until_done(*refs, seconds=300)
-    assert deployment.cloud.rented_count - before <= 2 * len(hung + dead)
+    assert deployment.cloud.rented_count - rented_before <= 2 * len(hung + dead)
     deployment.assert_no_violation()
 
 
@@ -105,9 +105,9 @@
     for number in range(1, 41):
         await deployment.submit(deployment.job(number, Pieces=12, RunS=4.0), shard_leader)
     for number in range(41, 141):
-        asked = loop.time()
+        submitted_at = loop.time()
         await deployment.submit(deployment.job(number, RunS=2.0), shard_leader)
-        assert loop.time() - asked < 0.3
+        assert loop.time() - submitted_at < 0.3
         await asyncio.sleep(0.3)
 
     assert deployment.cloud.rented_count > 60
@@ -124,9 +124,9 @@
     name = await deployment.start_with_running_job(8, 4.0)
     # Has results to store all the time
     await deployment.submit(deployment.job(2, Pieces=40, RunS=4.0))
-    writes = deployment.controllers[name].shard_leaders[0].context.store.client.write_limiter
+    write_limiter = deployment.controllers[name].shard_leaders[0].context.store.client.write_limiter
 
-    records = [loop.create_task(writes.take_low_priority(4)) for _ in range(100)]
+    background_writes = [loop.create_task(write_limiter.take_low_priority(4)) for _ in range(100)]
     await deployment.submit(deployment.job(3, RunS=2.0, Rank="high"))
     await deployment.wait_until(
         lambda: "req-000003/0" in deployment.rule_checker.results, seconds=40
@@ -134,7 +134,7 @@
     await asyncio.sleep(3)
 
     assert await deployment.poll("req-000003") == "done"
-    assert not all(record.done() for record in records)
+    assert not all(write.done() for write in background_writes)
     await deployment.wait_until_done("req-000001", "req-000002", seconds=100)
     deployment.assert_no_violation()
 
@@ -146,23 +146,23 @@
     name = await deployment.start_with_running_job(1, 60.0)
     shard_leader = deployment.controllers[name].shard_leaders[0]
 
-    (live,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
+    (busy,) = [m for m in shard_leader.shard.machines.values() if m.attempts]
     context = shard_leader.context
     own_connections = WorkerClient(worker_sockets(context.settings))  # from the test's own host
     context = msgspec.structs.replace(context, workers=own_connections)
     shard_leader.dispatcher = WorkerDispatcher(context)
     for number in range(2 * shard_leader.dispatcher.workers.max_connections):
-        silent = Machine(f"m-9{number:05d}", live.machine_type, "b", False, now_us())
+        silent = Machine(f"m-9{number:05d}", busy.machine_type, "b", False, now_us())
         silent.address = f"10.1.3.{number}:9000"
         deployment.net.cut(HOST.get(), f"10.1.3.{number}")  # this test sends from there
         shard_leader.shard.add_machine(silent)
         shard_leader.dispatcher.probe(silent)
     await asyncio.sleep(0.1)
-    asked = loop.time()
-    command = DirectCommand(shard_leader.lease.fencing_token, live.epoch, [])
+    sent_at = loop.time()
+    command = DirectCommand(shard_leader.lease.fencing_token, busy.epoch, [])
 
-    assert (await shard_leader.dispatcher.workers.command(live.address, command))[0]
-    assert loop.time() - asked < 0.1
+    assert (await shard_leader.dispatcher.workers.command(busy.address, command))[0]
+    assert loop.time() - sent_at < 0.1
     deployment.assert_no_violation()
 
 
@@ -194,27 +194,27 @@
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
 
-    for number, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE), start=2):
-        holder = deployment.shard_leader() or shard_leader
-        for more in range(4):
-            await deployment.submit(deployment.job(10 * number + more, Pieces=3, RunS=5.0))
-        deployment.freeze(holder)
-        others = deployment.other_nodes(holder)
+    for tens, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE), start=2):
+        frozen = deployment.shard_leader() or shard_leader
+        for ones in range(4):
+            await deployment.submit(deployment.job(10 * tens + ones, Pieces=3, RunS=5.0))
+        deployment.freeze(frozen)
+        others = deployment.other_nodes(frozen)
         end = loop.time() + seconds
-        assert await deployment.cancel(f"req-{10 * number:06d}", others[0]) == "withdrawn"
+        assert await deployment.cancel(f"req-{10 * tens:06d}", others[0]) == "withdrawn"
         while loop.time() < end:
             deployment.shard_leader()  # never two, and a frozen one's lease ends by the clock
             await asyncio.sleep(0.25)
-        deployment.thaw(holder)
+        deployment.thaw(frozen)
         for _ in range(40):
             deployment.shard_leader()
             deployment.rule_checker.check()
             await asyncio.sleep(0.05)
-        assert await deployment.poll(f"req-{10 * number:06d}", holder) in ("withdrawn", "503")
+        assert await deployment.poll(f"req-{10 * tens:06d}", frozen) in ("withdrawn", "503")
 
     await deployment.wait_until_done("req-000001", seconds=200)
     await deployment.wait_until_done(
-        *[f"req-{10 * n + m:06d}" for n in (2, 3, 4) for m in (1, 2, 3)]
+        *[f"req-{10 * tens + ones:06d}" for tens in (2, 3, 4) for ones in (1, 2, 3)]
     )
     deployment.assert_no_violation()
 
@@ -227,15 +227,15 @@
     loop: Loop, signs: tuple[int, ...]
 ) -> None:
     """What one controller wrote down by its time of day, another reads by its own."""
-    off = 1.0
+    skew_s = 1.0
     deployment = Deployment(loop)
 
     for name, sign in zip(deployment.nodes, signs, strict=True):
-        loop.wall_off[deployment.host(name)] = sign * off
+        loop.wall_off[deployment.host(name)] = sign * skew_s
     await deployment.start()
-    asked = loop.time()
+    submitted_at = loop.time()
     await deployment.submit(deployment.job(1, Pieces=3, RunS=40.0, GuessS=40.0, DueS=100.0))
-    accepted = loop.time()
+    accepted_at = loop.time()
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 3)
     first = deployment.acting_shard_leader()
     await asyncio.sleep(10)
@@ -244,10 +244,10 @@
     await asyncio.sleep(2)
     shard_leader = deployment.controllers[str(deployment.shard_leader())].shard_leaders[0]
     job = shard_leader.shard.job_states["req-000001"]
-    assert asked - 2 * off <= job.submitted_at / 1e6 <= accepted + 2 * off
+    assert submitted_at - 2 * skew_s <= job.submitted_at / 1e6 <= accepted_at + 2 * skew_s
     due_at = shard_leader.market.objectives.due(job, now_us()).at
     assert due_at is not None
-    assert abs(due_at / 1e6 - asked - 100.0) <= 2 * off + 1
+    assert abs(due_at / 1e6 - submitted_at - 100.0) <= 2 * skew_s + 1
     for machine in shard_leader.shard.machines.values():
         created_at = deployment.cloud.machines[machine.name].created_at
         # of use only to judge its first boot
