--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -1,4 +1,4 @@
-"""One shard against single messages: reordered, late, repeated or lost."""
+"""Tests of one shard with single messages that are reordered, late, repeated or lost."""
 
 import pytest
 
@@ -46,9 +46,8 @@
     harness.heartbeat("m-0", task_status(attempt, "running"))
     harness.submit(2)
 
-    assert (
-        harness.shard.heartbeat(old_heartbeat, harness.now) == []
-    )  # nobody waits for this answer any more
+    # Its sender no longer waits for an answer
+    assert harness.shard.heartbeat(old_heartbeat, harness.now) == []
     assert job_state.live[0] is attempt
     assert attempt.stage == "running"
 
@@ -66,7 +65,7 @@
 
     assert attempt.machine.lost
     assert not job_state.live
-    assert harness.shard.heartbeat(late_heartbeat, harness.now) is None  # it comes minutes later
+    assert harness.shard.heartbeat(late_heartbeat, harness.now) is None  # sent before the expiry
     assert attempt.machine.lost
     assert not attempt.machine.usable(harness.now)
 
@@ -102,9 +101,9 @@
 def test_heartbeat_without_our_fencing_token_does_not_sync_the_machine() -> None:
     harness = Story(machines=0)
     harness.add("m-9", loaded=True)
-    job_state = harness.submit(version=50)  # accepted before the shard was ours
+    job_state = harness.submit(version=50)  # accepted before the grant
 
-    # May still get commands of the old shard leader
+    # It may still receive commands of the previous shard leader
     assert harness.heartbeat("m-9", fencing_token=6) == []
     harness.add("m-8")
     harness.heartbeat("m-8")
@@ -138,7 +137,7 @@
 
     commands, pushed_starts = harness.shard.take_push_commands(machine)
     assert [w.verb for w in commands] == ["run"]
-    assert harness.heartbeat("m-0") == []  # on its way: not sent twice
+    assert harness.heartbeat("m-0") == []  # in flight: not sent twice
     assert job_state.live, "a heartbeat that does not list it proves nothing"
     harness.shard.acknowledge_starts(pushed_starts, None)
     assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
@@ -146,9 +145,9 @@
     assert job_state.live
     attempt = harness.attempt(job_state)
 
-    # Never forgotten: a copy
+    # No command to forget it: the pushed start may still arrive, and would then be executed
+    assert harness.heartbeat("m-0", task_status(attempt, "ended", "full")) == []
     assert harness.heartbeat("m-0", task_status(attempt, "ended", "full")) == []
-    assert harness.heartbeat("m-0", task_status(attempt, "ended", "full")) == []  # may still arrive
 
 
 def test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it() -> None:
@@ -159,7 +158,8 @@
     harness.shard.acknowledge_starts(pushed_starts, None)
     harness.shard.close_job("req-000001")
     assert harness.heartbeat("m-0") == [("run", "req-000001/0"), ("halt", "req-000001/0")]
-    assert job_state.live  # the command may still arrive: first it is made known, then ended
+    # The pushed start may still arrive, so the worker must know the attempt before it halts it
+    assert job_state.live
     attempt = harness.attempt(job_state)
     harness.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
 
@@ -167,7 +167,7 @@
 
 
 def test_refused_start_that_may_arrive_again_does_not_delay_the_task() -> None:
-    """With a single machine such a task once waited for ever."""
+    """On a fleet of a single machine such a task waited forever."""
     harness = Story()
     job_state = harness.submit()
 
@@ -249,14 +249,14 @@
     job_state = harness.submit(tasks=3)
 
     assert not job_state.live
-    harness.heartbeat("m-9", TaskStatus("req-000777/0", 5, "running"))  # of a job that is over
+    harness.heartbeat("m-9", TaskStatus("req-000777/0", 5, "running"))  # of a closed job
     plan(harness.shard, harness.now)
     assert not job_state.live
     assert ("halt", "req-000777/0") in (harness.heartbeat("m-9") or [("halt", "req-000777/0")])
     harness.heartbeat("m-9")
     plan(harness.shard, harness.now)
 
-    assert len(job_state.live) == 2  # and never a third
+    assert len(job_state.live) == 2  # the quota allows no third one
 
 
 def test_cancelled_job_is_halted_and_forgotten() -> None:
@@ -274,7 +274,8 @@
 
 
 def test_unsynced_machine_gets_halts_for_closed_jobs_in_the_first_answer() -> None:
-    """Its answer renews the lease, and may be the last that arrives."""
+    """That answer renews the worker's lease and may be the last to arrive: a task without a halt in
+    it would run on for a whole lease."""
     harness = Story()
     harness.add("m-9", loaded=True)
     harness.submit(number=2, version=50)
@@ -291,7 +292,7 @@
 
 
 def test_machine_silent_for_half_a_lease_gets_no_new_tasks() -> None:
-    """A machine without heartbeats takes pushed commands, which don't renew its lease."""
+    """It may still execute pushed commands, but these do not renew its lease."""
     harness = Story(machines=2)
 
     harness.now += TIMING.lease_us // 2 + 1
@@ -318,7 +319,7 @@
     plan(harness.shard, harness.now)
     assert job_state.live == {1: second}
     harness.heartbeat(second.machine.name, task_status(second, "ended", "peers"))
-    harness.now += 31 * US  # it is kept off the machine it failed on for a while
+    harness.now += 31 * US  # the job avoids the machine on which it failed for 30 s
     for attempt in (first, second):
         harness.heartbeat(attempt.machine.name)
     plan(harness.shard, harness.now)
@@ -367,7 +368,7 @@
     harness.heartbeat("m-0")
     heartbeat = harness.make_heartbeat("m-0", task_status(attempt, "running"))
     heartbeat.preemption_notice_s = 30.0
-    assert harness.shard.heartbeat(heartbeat, harness.now) == []  # there is time: it goes on
+    assert harness.shard.heartbeat(heartbeat, harness.now) == []  # enough time is left
     heartbeat = harness.make_heartbeat("m-0", task_status(attempt, "running"))
     heartbeat.preemption_notice_s = 7.0
     commands = harness.shard.heartbeat(heartbeat, harness.now)
@@ -388,7 +389,7 @@
     assert sum(1 for a in blue.live.values() if a.stop_grace_s is not None) == 2
     late = harness.submit(3, team="blue", tasks=1, cpus=1.0)
 
-    assert not late.live  # beyond its guarantee, blue takes nothing from red
+    assert not late.live  # blue is beyond its guarantee: it preempts nothing of red
 
 
 def test_waiting_gangs_are_placed_before_arrays_of_their_rank() -> None:
@@ -405,7 +406,8 @@
 
 
 def test_machine_whose_lease_expired_despite_answers_must_prove_it_is_reachable() -> None:
-    """Its heartbeats arrive, answers and commands don't: its tasks move, no new ones come."""
+    """Its heartbeats arrive, but answers and commands don't reach it: its tasks are moved to other
+    machines, and no new ones are started there."""
     harness = Story(machines=2)
     job_state = harness.submit()
     unreachable = harness.attempt(job_state).machine
@@ -447,14 +449,15 @@
     harness.shard.mark_unreachable(machine, harness.now)
     assert not machine.usable(harness.now)
     harness.heartbeat("m-0")
-    assert not machine.usable(harness.now)  # a heartbeat shows nothing about the way back
+    assert not machine.usable(harness.now)  # does not prove that commands reach it
     harness.heartbeat("m-0", task_status(harness.attempt(job_state), "fetching"))
 
     assert machine.usable(harness.now)
 
 
 def test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever() -> None:
-    """After a failover heartbeats of an unreachable machine, or copies, may keep arriving."""
+    """After a failover, heartbeats of a machine that our answers don't reach, or late copies of
+    heartbeats, may keep arriving."""
     harness = Story()
     harness.add("m-9", loaded=True)
     job_state = harness.submit(version=50)
@@ -489,7 +492,7 @@
         harness.heartbeat("m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, epoch=3)
         == []
     )
-    # One of a job that is over must go, whoever listens; that proves no more than the other.
+    # A task of a closed job is halted in any case, but this does not restore the machine either.
     of_closed_job = TaskStatus("req-000009/0", 5, "running")
     assert harness.heartbeat("m-9", of_closed_job, fencing_token=6, epoch=3) == [
         ("halt", "req-000009/0")
@@ -498,7 +501,7 @@
     assert not machine.up
     assert not machine.attempts
     assert not machine.last_heartbeat_at
-    harness.heartbeat("m-9", epoch=4, tick=1)  # it shows our fencing token: it lives
+    harness.heartbeat("m-9", epoch=4, tick=1)  # our token proves that it is alive
 
     assert not machine.lost
     assert machine.synced
@@ -571,7 +574,7 @@
     assert attempt.stop_grace_s is not None
     harness.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
     plan(harness.shard, harness.now)
-    assert not job_state.live  # anywhere else would be better
+    assert not job_state.live  # it avoids the machine on which it was slow
     for _ in range(75):
         harness.now += US
         harness.heartbeat("m-0")
@@ -581,12 +584,12 @@
 
 
 def test_room_is_reserved_for_a_large_waiting_gang() -> None:
-    """Single tasks of its own rank would else take each place as it falls free."""
+    """Otherwise single tasks of its rank would take any room as soon as it is freed."""
     harness = Story(machines=2)
 
     running = [harness.submit(number, cpus=2.0, shape=Shape.GANG) for number in range(1, 5)]
     large = harness.submit(9, tasks=2, cpus=4.0, shape=Shape.GANG, one_zone=True)
-    for number in range(10, 40):  # always one goes and another comes
+    for number in range(10, 40):  # each time one ends and another is submitted
         harness.now += 10 * US
         for name in ("m-0", "m-1"):
             harness.heartbeat(
@@ -608,8 +611,8 @@
 
 
 def test_machine_is_settled_although_an_orphaned_attempt_stays_listed() -> None:
-    """A pushed start that was never answered may arrive again, so its number is not forgotten.
-    That is no reason to keep the machine once the result is stored."""
+    """A pushed start without an answer may still arrive, so the worker must not forget the attempt.
+    The machine can be returned all the same once the result is stored."""
     harness = Story()
     machine = harness.shard.machines["m-0"]
     job_state = harness.submit()
@@ -619,7 +622,7 @@
     assert not harness.shard.is_settled(machine)
     harness.shard.acknowledge_starts(pushed_starts, None)
     assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
-    assert not harness.shard.is_settled(machine)  # its list is the only record of the result
+    assert not harness.shard.is_settled(machine)  # only its list holds the result
     harness.shard.confirm_stored(job_state, [0])
 
     assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not forgotten
@@ -685,7 +688,7 @@
 
 
 def test_jobs_that_fail_everywhere_do_not_count_against_a_machine() -> None:
-    """Four of them, still open, would else have a healthy machine taken for faulty."""
+    """Otherwise four such jobs that are still open would mark a healthy machine as faulty."""
     harness = Story(machines=2)
 
     for number in range(1, 5):
@@ -700,7 +703,7 @@
             for name in ("m-0", "m-1"):
                 harness.heartbeat(name)
             plan(harness.shard, harness.now)
-        assert not job_state.live  # both are avoided for a while
+        assert not job_state.live  # it avoids both machines for now
     machines = harness.shard.machines.values()
 
     assert not any(machine.draining for machine in machines)
