--- a/tests/test_failover_order.py
+++ b/tests/test_failover_order.py
@@ -44,12 +44,12 @@
 async def test_no_worker_lease_expires_when_two_shard_leaders_are_lost_in_a_row(
     loop: Loop, seed: int
 ) -> None:
-    """Workers wait 4 s for a silent node and another second before they try the next. With a
-    lease of 10 s one silent node before the new shard leader is all that they can bear."""
+    """Workers wait 4 s for a silent controller and another second before they try the next. With a
+    lease of 10 s they can try one silent controller before the new shard leader, but not two."""
     deployment = Deployment(loop, seed, lease=10.0, cancel=35.0)
     first = await deployment.start_with_running_job(6, 500.0)
 
-    deployment.isolate(first)  # silent, and away for long
+    deployment.isolate(first)  # until the end of the test
     await deployment.wait_until(lambda: deployment.shard_leader() not in (None, first))
     second = deployment.acting_shard_leader()
     await asyncio.sleep(15)
