--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -15,8 +15,8 @@
 
 
 def _rented(drain_us: float, offers: dict[Offer, int | None]) -> list[bool]:
-    """What is rented, as whether it is spot, for a job of 40 tasks while all that is rented
-    would need so long for what waits."""
+    """Whether each machine rented for a job of 40 tasks is a spot machine. `drain_us` is how long
+    the machines rented already need for the backlog."""
     harness = Story(machines=0)
     job_state = harness.shard.add_job(make_job(tasks=40), 200, harness.now)
     needs = [Demand(job_state, 40, drain_us)]
@@ -28,7 +28,7 @@
 
 def test_spot_machines_are_rented_early_and_on_demand_ones_for_lasting_backlogs() -> None:
     assert MACHINE_TYPE.boot_us == 5 * US
-    assert _rented(2 * US, UNLIMITED_OFFERS) == []  # done before any comes up
+    assert _rented(2 * US, UNLIMITED_OFFERS) == []  # done before a machine has booted
     assert _rented(5 * US, UNLIMITED_OFFERS) == [True] * 10
     two_spots = UNLIMITED_OFFERS | {Offer("k", "a", True): 2}
 
