--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,5 +1,5 @@
-"""Large fleets: many machines at once, pages that differ in age, unanswered rental
-requests."""
+"""Large fleets: many machines that fail or boot at once, list pages of different age, unanswered
+rental requests, frozen controllers and skewed clocks."""
 
 import asyncio
 
@@ -17,7 +17,8 @@
 
 
 async def _busy_fleet(deployment: Deployment, gangs: int, arrays: int) -> list[str]:
-    """A fleet that is busy with gangs of three and arrays of eight."""
+    """Start a fleet that runs gangs of three tasks and arrays of eight. Returns the references of
+    the jobs."""
     await deployment.start()
     refs = []
     for number in range(1, gangs + arrays + 1):
@@ -42,7 +43,8 @@
 
 @simulated
 async def test_gangs_restart_after_many_machines_die_and_hang_at_once(loop: Loop) -> None:
-    """And those that neither died nor hung are not counted as lost, nor replaced twice."""
+    """Machines that neither died nor hung are not considered lost, and the others are not replaced
+    twice."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 60
     refs = await _busy_fleet(deployment, gangs=8, arrays=20)
@@ -76,7 +78,7 @@
     deployment.cloud.capacity = 80
     refs = await _busy_fleet(deployment, gangs=8, arrays=30)
 
-    for _ in range(2):  # and again before the first failover is complete
+    for _ in range(2):  # the second time before the first failover is complete
         for name in list(deployment.controller_tasks):
             deployment.crash(name)
         await asyncio.sleep(0.5)
@@ -94,7 +96,7 @@
 
 @simulated
 async def test_submissions_are_accepted_at_once_while_a_large_fleet_boots(loop: Loop) -> None:
-    """Its records and results alone would fill the limit on writes for many seconds."""
+    """The machine records and task results alone exhaust the write limit for many seconds."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 100
     deployment.write_rps = 30.0
@@ -122,7 +124,7 @@
     deployment = Deployment(loop)
     deployment.write_rps = 30.0
     name = await deployment.start_with_running_job(8, 4.0)
-    # Has results to store all the time
+    # This job has results to store all the time
     await deployment.submit(deployment.job(2, Pieces=40, RunS=4.0))
     write_limiter = deployment.controllers[name].shard_leaders[0].context.store.client.write_limiter
 
@@ -141,7 +143,7 @@
 
 @simulated
 async def test_commands_do_not_wait_behind_probes_of_silent_machines(loop: Loop) -> None:
-    """A zone that is cut off has hundreds of them, and each question takes its whole time."""
+    """A zone that is cut off has hundreds of them, and each probe takes its whole timeout."""
     deployment = Deployment(loop)
     name = await deployment.start_with_running_job(1, 60.0)
     shard_leader = deployment.controllers[name].shard_leaders[0]
@@ -154,7 +156,7 @@
     for number in range(2 * shard_leader.dispatcher.workers.max_connections):
         silent = Machine(f"m-9{number:05d}", busy.machine_type, "b", False, now_us())
         silent.address = f"10.1.3.{number}:9000"
-        deployment.net.cut(HOST.get(), f"10.1.3.{number}")  # this test sends from there
+        deployment.net.cut(HOST.get(), f"10.1.3.{number}")  # HOST: the test's own host
         shard_leader.shard.add_machine(silent)
         shard_leader.dispatcher.probe(silent)
     await asyncio.sleep(0.1)
@@ -173,9 +175,8 @@
     deployment.cloud.page_rows = 4
     deployment.cloud.list_lag_s = 4.0
     await deployment.start()
-    deployment.cloud.unanswered_rentals = (
-        2  # and two scale-out requests are carried out, but never answered
-    )
+    # Two scale-out requests are executed, but never answered
+    deployment.cloud.unanswered_rentals = 2
     await deployment.submit(deployment.job(1, Pieces=60, RunS=30.0))
     await deployment.wait_until_done("req-000001", seconds=200)
 
@@ -190,7 +191,7 @@
 
 @simulated
 async def test_frozen_controller_checks_its_lease_after_it_resumes(loop: Loop) -> None:
-    """Its clocks ran on: its state from before the freeze is checked against them."""
+    """Its clocks run on during the freeze, and it checks its earlier state against them."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
 
@@ -203,7 +204,7 @@
         end = loop.time() + seconds
         assert await deployment.cancel(f"req-{10 * tens:06d}", others[0]) == "withdrawn"
         while loop.time() < end:
-            deployment.shard_leader()  # never two, and a frozen one's lease ends by the clock
+            deployment.shard_leader()  # fails if two act; a frozen one's lease ends by the clock
             await asyncio.sleep(0.25)
         deployment.thaw(frozen)
         for _ in range(40):
@@ -226,7 +227,7 @@
 async def test_job_times_survive_a_failover_between_skewed_clocks(
     loop: Loop, signs: tuple[int, ...]
 ) -> None:
-    """What one controller wrote down by its time of day, another reads by its own."""
+    """One controller stores times of its wall clock, and another compares them with its own."""
     skew_s = 1.0
     deployment = Deployment(loop)
 
@@ -250,10 +251,10 @@
     assert abs(due_at / 1e6 - submitted_at - 100.0) <= 2 * skew_s + 1
     for machine in shard_leader.shard.machines.values():
         created_at = deployment.cloud.machines[machine.name].created_at
-        # of use only to judge its first boot
+        # Only used to judge the first boot
         assert abs(machine.created_at / 1e6 - created_at) < 15.0
     await deployment.wait_until_done("req-000001")
-    assert shard_leader.shard.class_ratios == {}  # nobody here saw the whole run of a task
+    assert shard_leader.shard.class_ratios == {}  # this leader has seen no complete run
     await deployment.submit(deployment.job(2, Pieces=3, RunS=20.0, GuessS=20.0))
 
     await deployment.wait_until_done("req-000002")
