--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -1,4 +1,4 @@
-"""The states of a machine, and what leads from one to the next."""
+"""The states of a machine and the transitions between them."""
 
 from itertools import product
 
