--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -1,4 +1,4 @@
-"""Bids: what changes them, and what a job that can meet no objective any more may bid."""
+"""The market: due times, bids, and the allocation of slots."""
 
 from basaltlead.config.settings import Objective
 from basaltlead.core.entities import JobState, Machine
@@ -28,7 +28,7 @@
     job_state = _job_state(make_job(tasks=4, due_us=100 * US, estimated_run_us=20 * US))
 
     assert objectives.due(job_state, 0).at == 100 * US
-    assert objectives.due(job_state, 90 * US).at == 150 * US  # a task takes 20 s: the first is lost
+    assert objectives.due(job_state, 90 * US).at == 150 * US  # a run of 20 s misses the first one
     assert objectives.due(job_state, 140 * US).late
     gang = _job_state(make_job(shape=Shape.GANG))
 
@@ -48,7 +48,7 @@
 
 
 def test_late_job_does_not_outbid_jobs_that_can_be_on_time() -> None:
-    """All late jobs once bid their team's whole budget, and made the others late too."""
+    """When late jobs bid their team's whole budget, they made the other jobs late too."""
     market = Market(PARAMETERS, ["red"], _objectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
     late = shard.add_job(make_job(1, tasks=50, due_us=30 * US), 1, 0)
@@ -68,7 +68,7 @@
 
 
 def test_slots_for_objectives_are_allocated_before_the_rest_is_shared() -> None:
-    """A guest team with a full budget once outbid a team that had spent its own on deadlines."""
+    """Otherwise a team with a full budget outbids one that has spent its own on deadlines."""
     market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
@@ -79,7 +79,7 @@
     with_deadline.bid, guest.bid = 0.01, 500.0
     market.allocate_slots(shard, 0)
     assert (with_deadline.slots, guest.slots) == (60, 40)
-    with_deadline.need = 90  # however much they need, something is left for the others
+    with_deadline.need = 90  # however much it needs, some slots are left to others
     market.allocate_slots(shard, 0)
     assert (with_deadline.slots, guest.slots) == (75, 25)
     with_deadline.need = 0
