--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -1,4 +1,4 @@
-"""Placement of replicas, tested on one shard by single messages and plans."""
+"""Placement of replicas: tests of one shard with single messages and plans."""
 
 import msgspec
 
@@ -26,7 +26,7 @@
 
 
 def _report_running(harness: Story, job_state: JobState) -> None:
-    """All its replicas are started and reported as running."""
+    """Have heartbeats start all bound tasks of a job and report them as running."""
     for machine in {attempt.machine.name: None for attempt in job_state.live.values()}:
         attempts = harness.shard.machines[machine].attempts
         harness.heartbeat(
@@ -36,7 +36,7 @@
 
 
 def test_stored_results_of_a_service_are_ignored() -> None:
-    """The version before took services for arrays: a replica that had ended was a result."""
+    """The version before services ran them as arrays, with a result for each ended replica."""
     job_state = JobState(make_job(shape=Shape.SERVICE, tasks=3), 5, 0, 0)
     row = msgspec.Raw(b'{"done":"Bw==","count":3,"running":0}')
     load_results(job_state, 0, 0, 0, row, ResultLayout(8192))
@@ -52,7 +52,7 @@
 
     _report_running(harness, others)
     service = _service(harness, 2)
-    for _ in range(2):  # two tries, on two machines, for each of which somebody gives way
+    for _ in range(2):  # two trials on two machines, each preempting a task
         (attempt,) = service.live.values()
         (preempted,) = (a for a in others.live.values() if a.stop_grace_s is not None)
         machine = attempt.machine.name
@@ -74,7 +74,7 @@
 
 
 def test_replica_has_no_expected_end() -> None:
-    """With a guess of 0 the machine under it seemed to be the first to fall empty."""
+    """With its estimate of 0, its machine would seem to be the first to become idle."""
     harness = Story(machines=1)
     service = _service(harness)
 
@@ -137,7 +137,7 @@
     market.allocate_slots(harness.shard, harness.now)
     assert service.slots is None
     assert array.slots == 4  # of 8 CPUs
-    for _ in range(4):  # nothing runs yet: the bid rises round by round
+    for _ in range(4):  # nothing runs yet: the bid rises in each round
         harness.now += 10 * US
         market.run_round(harness.shard, harness.now)
     raised_bid = service.bid
@@ -151,11 +151,11 @@
         harness.now += 10 * US
         market.run_round(harness.shard, harness.now)
 
-    assert service.bid == stable_bid  # all that should run runs
+    assert service.bid == stable_bid  # all replicas run
 
 
 def test_services_demand_all_replicas_and_count_in_no_backlog() -> None:
-    """Whatever the objective of their class: their due time would always lie in the past."""
+    """This holds for any objective of their class: their due time would always be in the past."""
     harness = Story(machines=0)
     service = _service(harness, tasks=5)
 
@@ -184,7 +184,7 @@
     assert service.proven
     assert not attempt.machine.failed_jobs
     plan(harness.shard, harness.now)
-    assert service.live  # at once
+    assert service.live  # restarted at once
     (restarted,) = service.live.values()
     harness.now += US
     harness.heartbeat(restarted.machine.name)
