--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -20,7 +20,7 @@
 
 
 class CallCounter:
-    """Counts the calls of some functions."""
+    """Counts the calls of the given functions."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *functions: tuple[Any, str]) -> None:
         self.calls = 0
@@ -75,13 +75,13 @@
     assert placed > MACHINES
     assert count.calls < 12 * MACHINES * 8 + 6 * placed  # gangs, and the arrays that found room
     count.calls = 0
-    planning.plan(harness.shard, harness.now)  # full: those that ask for the same are passed over
+    planning.plan(harness.shard, harness.now)  # full: jobs with equal requirements are skipped
 
     assert count.calls < 16 * MACHINES
 
 
 def _full_fleet() -> Story:
-    """Every machine is full, and a hundred jobs wait that all ask for something else."""
+    """A fleet of full machines, and a hundred waiting jobs with different requirements."""
     harness = _idle_fleet()
     for number in range(100):
         job = make_job(number, tasks=100, cpus=1.0 + number / 1000, memory_gb=0.1)
@@ -93,8 +93,8 @@
 def test_jobs_waiting_for_a_full_fleet_cost_a_plan_almost_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Passing over all machines for each of them, a shard leader of 600 spent a fifth of a core
-    so."""
+    """When each of them cost a pass over all machines, the shard leader of 600 machines spent a
+    fifth of a core on it."""
     harness = _full_fleet()
 
     count = CallCounter(
@@ -122,7 +122,7 @@
 
 
 def test_incremental_free_room_and_bids_equal_a_full_count() -> None:
-    """Plans trust them; a task that is counted twice or never given back would stay for good."""
+    """Plans rely on them: room that is taken twice or never freed would be lost for good."""
     harness = Story(machines=6)
 
     rng = random.Random(3)
@@ -198,7 +198,7 @@
 
 
 def test_job_that_waited_a_minute_demands_at_least_one_task() -> None:
-    """One with a late due time else gets nothing while others are in a hurry."""
+    """Otherwise a job with a late due time gets nothing while others are urgent."""
     harness = Story()
 
     late = harness.shard.add_job(make_job(1, tasks=4, due_us=3000 * US), 200, harness.now)
