--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -1,5 +1,5 @@
-"""Four thousand machines: counts of operations, not seconds. What grows with the fleet is one pass
-over it, never machines times jobs or machines times tasks."""
+"""Four thousand machines: the tests limit numbers of operations, not seconds. These may grow with
+the number of machines, but never with machines times jobs or machines times tasks."""
 
 import asyncio
 from typing import Any
@@ -29,7 +29,7 @@
 from tests.test_scale_hundreds import CallCounter
 
 MACHINES = 4000
-TASKS_PER_MACHINE = 4  # tasks that one machine holds
+TASKS_PER_MACHINE = 4  # of one CPU each
 
 
 def _name(number: int) -> str:
@@ -37,7 +37,7 @@
 
 
 def _full_fleet(jobs: int = 160, tasks: int = 100) -> Story:
-    """Every machine is full of running tasks of as many jobs as it takes."""
+    """A fleet of machines that are full of running tasks of these jobs."""
     harness = Story(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
         harness.add(_name(number), zone="abc"[number % 3])
@@ -75,7 +75,7 @@
         after.shard.add_job(make_job(number, tasks=100, memory_gb=0.1), 200, after.now)
     for number in range(MACHINES):
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
-    assert _plan_calls(monkeypatch, after) < MACHINES  # nothing is known, nothing is looked at
+    assert _plan_calls(monkeypatch, after) < MACHINES  # no machine is synced: none is visited
     reconciled = CallCounter(
         monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress")
     )
@@ -128,7 +128,8 @@
 
 
 def test_plan_for_hundreds_of_services_in_a_full_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Those that ask for the same are looked at once; those that find room cost a pass each."""
+    """Services with the same requirements that find no room cost one pass over the machines; those
+    that find room cost a pass each."""
     harness = _full_fleet()
 
     for number in range(1000, 1300):
@@ -154,7 +155,8 @@
 
 @simulated
 async def test_market_rounds_do_not_wait_for_machine_records(loop: Loop) -> None:
-    """They were 72 s apart, behind the records of 2,700 machines that came up in a minute."""
+    """Rounds were 72 s apart when they waited for the records of 2,700 machines that came up in a
+    minute."""
     deployment = Deployment(loop, announced_limits={"write_rps": 8.0})
     deployment.cloud.capacity = 400
     await deployment.start()
@@ -183,7 +185,7 @@
 
 @simulated
 async def test_large_fleet_rents_no_more_than_it_can_record(loop: Loop) -> None:
-    """The key-value store takes one record a machine: what has none yet gets no task."""
+    """Each machine needs a record in the key-value store before it gets a task."""
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
@@ -195,7 +197,7 @@
         machine = Machine(_name(number), MACHINE_TYPE, "a", False, 0)
         machine.recorded = True
         shard_leader.shard.add_machine(machine)
-    # Types boot in 5 s
+    # Machine types boot in 5 s
     recordable = int(
         (5.0 + RECORDING_WINDOW_S) * shard_leader.context.store.client.write_limiter.rate
     )
