--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -27,14 +27,14 @@
 
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
     assert zones.update(REPORTING_BY_ZONE, 0) == ["b"]
-    assert zones.update(REPORTING_BY_ZONE, US) == []  # it is known by now
+    assert zones.update(REPORTING_BY_ZONE, US) == []  # not newly silent
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == OFFERS_IN_A
     after = US + RENTAL_PAUSE_US
     trial = Offer("cheap", "b", True)
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["a"], after) == OFFERS_IN_A | {trial: 1}
-    # it has not been heard yet
+    # The trial machine has not reported yet
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after) == OFFERS_IN_A
-    assert zones.update({"a": [True]}, after) == []  # all machines there were returned
+    assert zones.update({"a": [True]}, after) == []  # all machines in b were returned
     assert (
         zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == OFFERS_IN_A
     )
@@ -47,7 +47,7 @@
     zones = SilentZones()
 
     assert zones.update({"a": [False] * 5, "b": [False] * 5}, 0) == []
-    assert zones.update({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by rng
+    assert zones.update({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by chance
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
 
 
