--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -1,4 +1,5 @@
-"""Unusual load: jobs that always fail, faulty machines, and many small jobs of one team."""
+"""Unusual load and faults: jobs that always fail, faulty machines, many small jobs of one team, a
+frozen controller, and corrupt replies."""
 
 import asyncio
 import logging
@@ -27,11 +28,11 @@
         for name in deployment.nodes:
             assert await deployment.poll("req-000001", name) in ("pending", "running")
         await asyncio.sleep(15)
-    assert deployment.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, for three minutes
+    assert deployment.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, in three minutes
     shard_leader = deployment.acting_shard_leader()
     machines = deployment.controllers[shard_leader].shard_leaders[0].shard.machines.values()
     assert not any(machine.draining for machine in machines)
-    assert deployment.cloud.rented_count <= len(rented) + 4  # none was changed for another
+    assert deployment.cloud.rented_count <= len(rented) + 4  # no machine was replaced
     assert await deployment.cancel("req-000001") == "withdrawn"
     await asyncio.sleep(3)
 
@@ -41,7 +42,7 @@
 
 @simulated
 async def test_two_jobs_that_fail_everywhere_drain_no_machine_of_a_small_fleet(loop: Loop) -> None:
-    """There is no third machine to try them on."""
+    """There is no third machine on which they could be tried."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 2
     await deployment.start()
@@ -81,7 +82,7 @@
     await deployment.wait_until(lambda: faulty.name not in deployment.cloud.machines, seconds=75)
     unfinished = [ref for ref in refs if await deployment.poll(ref) != "done"]
 
-    assert unfinished  # it was not given back for want of work
+    assert unfinished  # so it was not returned for being idle
     await deployment.wait_until_done("req-000001", *refs, seconds=200)
     assert await deployment.cancel("req-000009") == "withdrawn"
     deployment.assert_no_violation()
@@ -89,7 +90,7 @@
 
 @simulated
 async def test_best_effort_jobs_use_the_remaining_room_and_make_progress(loop: Loop) -> None:
-    """One huge array, a swarm of tiny jobs; the fleet is too small for all of it."""
+    """The fleet is too small for one huge array and many tiny jobs."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 4
     await deployment.start()
@@ -116,7 +117,8 @@
     await deployment.wait_until_done(
         *(job["Ref"] for job in small_jobs), seconds=240 - (loop.time() - started_at)
     )
-    assert deployment.rule_checker.starts_of("req-000500") > 100  # the largest goes on as well
+    # The huge array makes progress too
+    assert deployment.rule_checker.starts_of("req-000500") > 100
     deployment.assert_no_violation()
 
 
@@ -140,7 +142,7 @@
     assert deployment.rule_checker.starts == starts_before
     stored_keys = [key for key in keys_before if key.startswith(("over/", "c/block/"))]
     assert all(deployment.store.keys[key] == keys_before[key] for key in stored_keys)
-    # The other one stands still while its tasks run: no run time is taken from that.
+    # The new shard leader is frozen while its tasks run: no run time is learned from that.
     await deployment.submit(deployment.job(3, Pieces=4, RunS=4.0, GuessS=4.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000003")) == 4)
     assert other is not None
@@ -176,7 +178,7 @@
 def test_corrupt_replies_count_as_unanswered(
     corruption: str, service_name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What was asked for may have been done all the same. No loop ends over them."""
+    """The request may have been executed all the same. No controller stops over such a reply."""
 
     async def scenario(loop: Loop) -> None:
         deployment = Deployment(loop)
@@ -186,11 +188,11 @@
         submitting = loop.create_task(deployment.submit(deployment.job(2, Pieces=3, RunS=2.0)))
         if service_name == "state":
             status, _ = await deployment.request(deployment.nodes[0], "GET", "/api/jobs/req-000001")
-            assert status == 503  # nobody is told what was not read
+            assert status == 503  # no stage is reported that could not be read
         end = loop.time() + 6.0
         while loop.time() < end:
             deployment.rule_checker.check()
-            deployment.shard_leader()  # never two
+            deployment.shard_leader()  # fails if two act
             await asyncio.sleep(0.1)
         deployment.end_all_faults()
         await submitting
