--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -1,24 +1,21 @@
 """When a worker's lease has provably expired, and what a shard leader concludes from that.
 
-The incident (docs/incidents/2026-12-02-task-ran-twice.md): a task of an array ran on two machines
-at once. What users saw, and the order of events:
+The tests guard against a task of an array running on two machines at once
+(docs/incidents/2026-12-02-task-ran-twice.md), which came about in this order:
 
 - Some machines reach no controller any more, while pushed commands still reach them.
 - The shard leader loses the key-value store, and another controller is granted the shard. Its probe
   shows the fencing token to such a machine, still in the agent epoch of the previous shard leader.
-- That agent epoch ends, a lease after the last heartbeat that was answered. The next one begins,
-  which only the answers to pushed commands show. Its lease lasts as long as any.
-- A job is accepted less than half a lease after the grant, and a task of it is started there.
-- A lease after the grant the shard leader takes the machine for lost, with the task on it, and
-  starts the task on another machine, while the first has several seconds of its lease left.
-
-Cause: silence was counted from the grant, a moment in an earlier agent epoch, and not from the
-beginning of the epoch in which the task was started. A fact about one epoch was taken for one about
-the next.
-
-Evidence: the second start came 14.5 s after the grant, which is a lease of 14 s, its margins and a
-pass of the planning loop; the first machine was deleted only 0.5 s later, and never reported the
-end of the task.
+- That epoch ends, one lease after its last answered heartbeat. Only answers to pushed commands show
+  that the next one has begun, with a whole lease of its own.
+- Less than half a lease after the grant a job is accepted, and a task of it is started there.
+- One lease after the grant the shard leader considers the machine lost and starts the task on
+  another one, while the first has several seconds of its lease left.
+
+The lease was counted from the grant, which was in an earlier agent epoch, instead of from the
+beginning of the epoch in which the task was started. The second start came 14.5 s after the grant:
+a lease of 14 s, its margins and a pass of the planning loop. The first machine was deleted 0.5 s
+later and never reported the end of the task.
 """
 
 import asyncio
@@ -40,12 +37,12 @@
 
 
 def _push_starts(harness: Story, machine: Machine) -> list[Attempt]:
-    """Push what is due for a machine; the starts, which stay in flight."""
+    """Push the pending commands of a machine; returns the starts, which stay in flight."""
     return harness.shard.take_push_commands(machine)[1]
 
 
 def _answer_push(harness: Story, starts: list[Attempt], epoch: int, executed: bool) -> None:
-    """The machine answers a push, and shows its epoch and, if it executed them, the starts."""
+    """Receive the answer to a push, with the machine's epoch and the starts if it executed them."""
     machine = starts[0].machine.name
     tasks = [task_status(attempt, "running") for attempt in starts] if executed else []
     harness.shard.answer(
@@ -57,12 +54,12 @@
 
 
 def _probe(harness: Story, machine: str, epoch: int) -> None:
-    """A probe is answered, without a task."""
+    """Receive the answer to a probe, which lists no task."""
     harness.shard.answer(harness.make_heartbeat(machine, epoch=epoch), harness.now)
 
 
 def _start_in_new_epoch(harness: Story, machine: Machine, job_state: JobState) -> Attempt:
-    """A start is refused, since the machine has begun epoch 2, and is executed there."""
+    """Start the task in epoch 2. The first push is refused, since it names epoch 1."""
     _answer_push(harness, _push_starts(harness, machine), epoch=2, executed=False)
     plan(harness.shard, harness.now)
     _answer_push(harness, _push_starts(harness, machine), epoch=2, executed=True)
@@ -70,7 +67,7 @@
 
 
 def test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch() -> None:
-    # Given a machine that an earlier shard leader used, and that hears us but is not heard
+    # Given a machine of an earlier shard leader that commands reach, but that reaches no controller
     harness = Story(machines=0)
     machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
@@ -83,7 +80,7 @@
     epoch_began = harness.now
     harness.add("m-1")
 
-    # Then the task stays there when a lease has passed since the grant
+    # Then the task stays there although a lease has passed since the grant
     harness.now = harness.shard.acquired_at + TIMING.lease_expiry_us + US
     harness.heartbeat("m-1")
     harness.shard.advance(harness.now)
@@ -111,7 +108,7 @@
     harness.shard.advance(harness.now)
     assert machine.lost
 
-    # When it shows itself again in its next epoch, but only by an answer to a probe
+    # When it answers a probe in its next epoch, but sends no heartbeat
     _probe(harness, "m-0", epoch=2)
     harness.now += US // 10
     harness.shard.advance(harness.now)
@@ -122,7 +119,7 @@
 
 
 async def _replace_shard_leader(deployment: Deployment) -> float:
-    """Crash the shard leader; when another one was granted the shard."""
+    """Crash the shard leader; returns when another controller was granted the shard."""
     previous = deployment.acting_shard_leader()
     deployment.crash(previous)
     await poll_until(lambda: deployment.shard_leader() not in (None, previous), 0.05)
@@ -142,7 +139,7 @@
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=24, RunS=1.0, Grades=["small"]))
     await deployment.wait_until_done("req-000001")
-    deployment.cloud.answer_delay_s = 3.0  # what is lost is not deleted at once
+    deployment.cloud.answer_delay_s = 3.0  # lost machines are not deleted at once
     machines = _machines_that_are_up(deployment)
     silent = machines[: len(machines) // 2]
     for machine in silent:
@@ -169,7 +166,7 @@
     deployment.assert_no_violation()
 
 
-# The log tells which shard leader let a task start, and on what knowledge
+# The log tells which shard leader started a task, and what it knew then
 
 
 def test_log_tells_since_what_the_lease_of_a_lost_machine_was_counted() -> None:
@@ -214,11 +211,11 @@
     ]
 
 
-# Each of the moments from which a lease may be counted, alone the latest
+# Each of the times from which a lease may be counted, when it is the latest one
 
 
 def _expires_at(lease: WorkerLease, now: int) -> int:
-    """Some microseconds after `now`, to the microsecond."""
+    """The last time, from `now` on, at which the lease has not expired; in microseconds."""
     low, high = now, now + 10 * TIMING.lease_us
     while high - low > 1:
         middle = (low + high) // 2
@@ -266,8 +263,8 @@
 
 @simulated
 async def test_push_decided_in_one_epoch_is_not_executed_in_the_next(loop: Loop) -> None:
-    """Users would see a task twice: its start is pushed, a heartbeat shows that the machine has
-    begun another epoch, so that the attempt is taken for gone and started elsewhere, and only then
+    """Otherwise a task runs twice: its start is to be pushed, a heartbeat shows that the machine
+    has begun another epoch, so the attempt is removed and the task started elsewhere, and only then
     is the push sent. It must name the epoch for which it was decided, not the one known by then."""
     # Given idle machines
     deployment = Deployment(loop)
@@ -279,7 +276,7 @@
     pushed_to: list[str] = []
 
     def push_all_and_begin_epoch(now: int) -> None:
-        """The heartbeat arrives between the decision to push and the moment of sending."""
+        """A heartbeat of the next epoch arrives between the decision to push and the push."""
         push_all(now)
         for machine in leader.shard.machines.values():
             starts = [attempt for attempt in machine.attempts.values() if attempt.start_in_flight]
