--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -29,11 +29,11 @@
 def test_lost_start_command_is_repeated_with_the_same_attempt_number() -> None:
     harness = Story()
     job_state = harness.submit()
-    token = harness.attempt(job_state).attempt_number
+    attempt_number = harness.attempt(job_state).attempt_number
 
     assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
     assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
-    assert harness.attempt(job_state).attempt_number == token
+    assert harness.attempt(job_state).attempt_number == attempt_number
 
 
 def test_late_copy_of_an_old_heartbeat_is_ignored() -> None:
