--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -126,29 +126,29 @@
 async def test_controller_frozen_for_long_acts_on_no_outdated_state(loop: Loop) -> None:
     """Its late commands and writes change nothing, and learned run times stay plausible."""
     deployment = Deployment(loop)
-    shard_leader = await deployment.start_with_running_job(6, 30.0)
+    old_leader = await deployment.start_with_running_job(6, 30.0)
     await deployment.submit(deployment.job(2, Pieces=6, RunS=5.0))
 
-    deployment.freeze(shard_leader)
+    deployment.freeze(old_leader)
     await asyncio.sleep(75)
-    other = deployment.shard_leader()
-    assert other not in (None, shard_leader)
+    new_leader = deployment.shard_leader()
+    assert new_leader not in (None, old_leader)
     await deployment.wait_until_done("req-000001", "req-000002")
     keys_before = dict(deployment.store.keys)
     starts_before = deployment.rule_checker.starts
-    deployment.thaw(shard_leader)
+    deployment.thaw(old_leader)
     await asyncio.sleep(3)
-    assert deployment.shard_leader() == other
+    assert deployment.shard_leader() == new_leader
     assert deployment.rule_checker.starts == starts_before
     stored_keys = [key for key in keys_before if key.startswith(("over/", "c/block/"))]
     assert all(deployment.store.keys[key] == keys_before[key] for key in stored_keys)
     # The new shard leader is frozen while its tasks run: no run time is learned from that.
     await deployment.submit(deployment.job(3, Pieces=4, RunS=4.0, GuessS=4.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000003")) == 4)
-    assert other is not None
-    deployment.freeze(other)
+    assert new_leader is not None
+    deployment.freeze(new_leader)
     await asyncio.sleep(1.0)
-    deployment.thaw(other)
+    deployment.thaw(new_leader)
     await deployment.wait_until_done("req-000003")
     current_leader = deployment.acting_shard_leader()
     ratio = (
