--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -41,7 +41,7 @@
     return harness.shard.take_push_commands(machine)[1]
 
 
-def _answer_push(harness: Story, starts: list[Attempt], epoch: int, executed: bool) -> None:
+def _receive_push_answer(harness: Story, starts: list[Attempt], epoch: int, executed: bool) -> None:
     """Receive the answer to a push, with the machine's epoch and the starts if it executed them."""
     machine = starts[0].machine.name
     tasks = [task_status(attempt, "running") for attempt in starts] if executed else []
@@ -60,9 +60,9 @@
 
 def _start_in_new_epoch(harness: Story, machine: Machine, job_state: JobState) -> Attempt:
     """Start the task in epoch 2. The first push is refused, since it names epoch 1."""
-    _answer_push(harness, _push_starts(harness, machine), epoch=2, executed=False)
+    _receive_push_answer(harness, _push_starts(harness, machine), epoch=2, executed=False)
     plan(harness.shard, harness.now)
-    _answer_push(harness, _push_starts(harness, machine), epoch=2, executed=True)
+    _receive_push_answer(harness, _push_starts(harness, machine), epoch=2, executed=True)
     return harness.attempt(job_state)
 
 
