--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -53,7 +53,7 @@
     harness.shard.acknowledge_starts(starts, executed)
 
 
-def _probe(harness: Story, machine: str, epoch: int) -> None:
+def _receive_probe_answer(harness: Story, machine: str, epoch: int) -> None:
     """Receive the answer to a probe, which lists no task."""
     harness.shard.answer(harness.make_heartbeat(machine, epoch=epoch), harness.now)
 
@@ -71,7 +71,7 @@
     harness = Story(machines=0)
     machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
-    _probe(harness, "m-0", epoch=1)
+    _receive_probe_answer(harness, "m-0", epoch=1)
     harness.now += TIMING.lease_us // 2 - US
 
     # When its epoch ends, and a new job is started in the next one
@@ -109,7 +109,7 @@
     assert machine.lost
 
     # When it answers a probe in its next epoch, but sends no heartbeat
-    _probe(harness, "m-0", epoch=2)
+    _receive_probe_answer(harness, "m-0", epoch=2)
     harness.now += US // 10
     harness.shard.advance(harness.now)
 
@@ -173,7 +173,7 @@
     harness = Story(machines=0)
     machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
-    _probe(harness, "m-0", epoch=1)
+    _receive_probe_answer(harness, "m-0", epoch=1)
     job_state = harness.submit(tasks=7, cpus=0.5)
     _start_in_new_epoch(harness, machine, job_state)
     harness.now += TIMING.lease_expiry_us + US
@@ -251,7 +251,7 @@
     harness.now += TIMING.lease_us // 2 + US
 
     # When an answer to a probe shows its next epoch
-    _probe(harness, "m-0", epoch=2)
+    _receive_probe_answer(harness, "m-0", epoch=2)
 
     # Then no task is started there until a heartbeat is answered
     job_state = harness.submit()
