--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -158,7 +158,7 @@
     harness.shard.acknowledge_starts(pushed_starts, None)
     harness.shard.close_job("req-000001")
     assert harness.heartbeat("m-0") == [("run", "req-000001/0"), ("halt", "req-000001/0")]
-    # The pushed start may still arrive, so the worker must know the attempt before it halts it
+    # The pushed start may still arrive, so the attempt is made known to the worker, then halted
     assert job_state.live
     attempt = harness.attempt(job_state)
     harness.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
@@ -167,7 +167,7 @@
 
 
 def test_refused_start_that_may_arrive_again_does_not_delay_the_task() -> None:
-    """On a fleet of a single machine such a task waited forever."""
+    """Such a task waited forever if the fleet had a single machine."""
     harness = Story()
     job_state = harness.submit()
 
