--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -1,4 +1,4 @@
-"""Bids: what changes them, and what a job that can meet no objective any more may bid."""
+"""The market: due times, bids, and the allocation of slots."""
 
 from basaltlead.config.settings import Objective
 from basaltlead.core.entities import JobState, Machine
@@ -28,7 +28,7 @@
     job_state = _job_state(make_job(tasks=4, due_us=100 * US, estimated_run_us=20 * US))
 
     assert objectives.due(job_state, 0).at == 100 * US
-    assert objectives.due(job_state, 90 * US).at == 150 * US  # a task takes 20 s: the first is lost
+    assert objectives.due(job_state, 90 * US).at == 150 * US  # a run of 20 s misses the first one
     assert objectives.due(job_state, 140 * US).late
     gang = _job_state(make_job(shape=Shape.GANG))
 
@@ -48,16 +48,16 @@
 
 
 def test_late_job_does_not_outbid_jobs_that_can_be_on_time() -> None:
-    """All late jobs once bid their team's whole budget, and made the others late too."""
+    """When late jobs bid their team's whole budget, they made the other jobs late too."""
     market = Market(PARAMETERS, ["red"], _objectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
     late = shard.add_job(make_job(1, tasks=50, due_us=30 * US), 1, 0)
-    hasty = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
+    urgent = shard.add_job(make_job(2, tasks=50, due_us=200 * US), 1, 0)
 
     for second in range(10, 160, 10):
         market.run_round(shard, second * US)
 
-    assert hasty.bid > late.bid > 0
+    assert urgent.bid > late.bid > 0
 
 
 def _add_machine(shard: Shard, cpus: float) -> None:
@@ -68,37 +68,37 @@
 
 
 def test_slots_for_objectives_are_allocated_before_the_rest_is_shared() -> None:
-    """A guest team with a full budget once outbid a team that had spent its own on deadlines."""
+    """Otherwise a team with a full budget outbids one that has spent its own on deadlines."""
     market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
-    dated = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
+    with_deadline = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
     guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
 
-    dated.need, guest.need = 60, 400
-    dated.bid, guest.bid = 0.01, 500.0
+    with_deadline.need, guest.need = 60, 400
+    with_deadline.bid, guest.bid = 0.01, 500.0
     market.allocate_slots(shard, 0)
-    assert (dated.slots, guest.slots) == (60, 40)
-    dated.need = 90  # however much they need, something is left for the others
+    assert (with_deadline.slots, guest.slots) == (60, 40)
+    with_deadline.need = 90  # however much it needs, some slots are left to others
     market.allocate_slots(shard, 0)
-    assert (dated.slots, guest.slots) == (75, 25)
-    dated.need = 0
+    assert (with_deadline.slots, guest.slots) == (75, 25)
+    with_deadline.need = 0
     market.allocate_slots(shard, 0)
 
-    assert (dated.slots, guest.slots) == (0, 100)
+    assert (with_deadline.slots, guest.slots) == (0, 100)
 
 
 def test_teams_share_the_remaining_slots_by_their_bids() -> None:
     market = Market(PARAMETERS, ["red", "guests"], ServiceLevelObjectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
-    idle = shard.add_job(make_job(1, tasks=90), 1, 0)
+    red = shard.add_job(make_job(1, tasks=90), 1, 0)
     guest = shard.add_job(make_job(2, tasks=400, team="guests"), 1, 0)
 
-    idle.bid, guest.bid = 3.0, 1.0
+    red.bid, guest.bid = 3.0, 1.0
     market.allocate_slots(shard, 0)
 
-    assert (idle.slots, guest.slots) == (75, 25)
+    assert (red.slots, guest.slots) == (75, 25)
 
 
 def test_late_jobs_share_slots_by_their_bids() -> None:
@@ -106,13 +106,13 @@
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota(), "guests": TeamQuota()})
     _add_machine(shard, 100.0)
     late = shard.add_job(make_job(1, tasks=90, due_us=200 * US), 1, 0)
-    hasty = shard.add_job(make_job(2, tasks=90, due_us=900 * US), 1, 0)
+    urgent = shard.add_job(make_job(2, tasks=90, due_us=900 * US), 1, 0)
     guest = shard.add_job(make_job(3, tasks=400, team="guests"), 1, 0)
 
-    late.bid, hasty.bid, guest.bid = 1.0, 2.0, 9.0
+    late.bid, urgent.bid, guest.bid = 1.0, 2.0, 9.0
     market.allocate_slots(shard, 300 * US)
 
-    assert (late.slots, hasty.slots, guest.slots) == (25, 50, 25)
+    assert (late.slots, urgent.slots, guest.slots) == (25, 50, 25)
 
 
 def test_within_a_team_the_job_nearest_to_completion_comes_first_and_all_begin() -> None:
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -18,24 +18,26 @@
     for zone in "ab"
     for spot in (True, False)
 }
-IN_A = {offer: most for offer, most in OFFERS.items() if offer.zone == "a"}
-SILENT = {"a": [True, False], "b": [False, False, False]}
+OFFERS_IN_A = {offer: count for offer, count in OFFERS.items() if offer.zone == "a"}
+REPORTING_BY_ZONE = {"a": [True, False], "b": [False, False, False]}
 
 
 def test_silent_zone_gets_one_trial_machine_after_a_pause_until_it_is_heard() -> None:
     zones = SilentZones()
 
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
-    assert zones.update(SILENT, 0) == ["b"]
-    assert zones.update(SILENT, US) == []  # it is known by now
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == IN_A
+    assert zones.update(REPORTING_BY_ZONE, 0) == ["b"]
+    assert zones.update(REPORTING_BY_ZONE, US) == []  # not newly silent
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], RENTAL_PAUSE_US) == OFFERS_IN_A
     after = US + RENTAL_PAUSE_US
     trial = Offer("cheap", "b", True)
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["a"], after) == IN_A | {trial: 1}
-    # it has not been heard yet
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after) == IN_A
-    assert zones.update({"a": [True]}, after) == []  # all machines there were returned
-    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == IN_A
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["a"], after) == OFFERS_IN_A | {trial: 1}
+    # The trial machine has not reported yet
+    assert zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after) == OFFERS_IN_A
+    assert zones.update({"a": [True]}, after) == []  # all machines in b were returned
+    assert (
+        zones.rentable_offers(OFFERS, MACHINE_TYPES, ["b"], after + RENTAL_PAUSE_US) == OFFERS_IN_A
+    )
     zones.update({"a": [True], "b": [True]}, after + RENTAL_PAUSE_US)
 
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], after + RENTAL_PAUSE_US) == OFFERS
@@ -45,7 +47,7 @@
     zones = SilentZones()
 
     assert zones.update({"a": [False] * 5, "b": [False] * 5}, 0) == []
-    assert zones.update({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by rng
+    assert zones.update({"a": [False] * 2, "b": [True]}, 0) == []  # two may fail by chance
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
 
 
@@ -63,21 +65,21 @@
     await deployment.submit(deployment.job(1, Pieces=400, Cores=4.0, RunS=6.0, Yard="b"))
     await deployment.wait_until(lambda: len(deployment.rule_checker.running_on) >= 6)
 
-    cut = [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
+    worker_hosts = [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
     for machine in list(deployment.cloud.machines.values()):
         if machine.zone == "b":
-            _cut(deployment, machine)
+            _cut_from_controllers(deployment, machine)
     end = loop.time() + 120
     rented: set[str] = set()
-    before = set(deployment.cloud.machines)
+    known_machines = set(deployment.cloud.machines)
     while loop.time() < end:
         for name, machine in list(deployment.cloud.machines.items()):
-            if name not in before and machine.zone == "b":
-                _cut(deployment, machine)
+            if name not in known_machines and machine.zone == "b":
+                _cut_from_controllers(deployment, machine)
                 rented.add(name)
         await asyncio.sleep(0.1)
     assert 1 <= len(rented) <= 4
-    for host in cut:
+    for host in worker_hosts:
         for name in deployment.nodes:
             deployment.net.heal(host, deployment.host(name), True)
     await deployment.wait_until(
@@ -88,6 +90,6 @@
     deployment.assert_no_violation()
 
 
-def _cut(deployment: Deployment, machine: FakeWorker) -> None:
+def _cut_from_controllers(deployment: Deployment, machine: FakeWorker) -> None:
     for name in deployment.nodes:
         deployment.net.cut(machine.host, deployment.host(name))
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -1,4 +1,5 @@
-"""Unusual load: jobs that always fail, faulty machines, and many small jobs of one team."""
+"""Unusual load and faults: jobs that always fail, faulty machines, many small jobs of one team, a
+frozen controller, and corrupt replies."""
 
 import asyncio
 import logging
@@ -27,11 +28,11 @@
         for name in deployment.nodes:
             assert await deployment.poll("req-000001", name) in ("pending", "running")
         await asyncio.sleep(15)
-    assert deployment.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, for three minutes
+    assert deployment.rule_checker.starts_of("req-000001") < 90  # of 30 tasks, in three minutes
     shard_leader = deployment.acting_shard_leader()
     machines = deployment.controllers[shard_leader].shard_leaders[0].shard.machines.values()
     assert not any(machine.faulty for machine in machines)
-    assert deployment.cloud.rented_count <= len(rented) + 4  # none was changed for another
+    assert deployment.cloud.rented_count <= len(rented) + 4  # no machine was replaced
     assert await deployment.cancel("req-000001") == "withdrawn"
     await asyncio.sleep(3)
 
@@ -41,7 +42,7 @@
 
 @simulated
 async def test_two_jobs_that_fail_everywhere_drain_no_machine_of_a_small_fleet(loop: Loop) -> None:
-    """There is no third machine to try them on."""
+    """There is no third machine on which they could be tried."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 2
     await deployment.start()
@@ -79,9 +80,9 @@
     faulty = next(iter(deployment.cloud.machines.values()))
     faulty.faulty = True
     await deployment.wait_until(lambda: faulty.name not in deployment.cloud.machines, seconds=75)
-    left = [ref for ref in refs if await deployment.poll(ref) != "done"]
+    unfinished = [ref for ref in refs if await deployment.poll(ref) != "done"]
 
-    assert left  # it was not given back for want of work
+    assert unfinished  # so it was not returned for being idle
     await deployment.wait_until_done("req-000001", *refs, seconds=200)
     assert await deployment.cancel("req-000009") == "withdrawn"
     deployment.assert_no_violation()
@@ -89,7 +90,7 @@
 
 @simulated
 async def test_best_effort_jobs_use_the_remaining_room_and_make_progress(loop: Loop) -> None:
-    """One huge array, a swarm of tiny jobs; the fleet is too small for all of it."""
+    """The fleet is too small for one huge array and many tiny jobs."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 4
     await deployment.start()
@@ -97,14 +98,14 @@
         deployment.job(500, Crew="blue", Rank="best_effort", Pieces=2000, RunS=4.0)
     )
 
-    began = loop.time()
-    swarm = [
+    started_at = loop.time()
+    small_jobs = [
         deployment.job(500 + number, Crew="blue", Rank="best_effort", Cores=0.5, RunS=1.0)
         for number in range(1, 41)
     ]
-    await asyncio.gather(*(deployment.submit(job) for job in swarm))
-    own = job_refs(1, 8)
-    for ref in own:
+    await asyncio.gather(*(deployment.submit(job) for job in small_jobs))
+    high_rank_refs = job_refs(1, 8)
+    for ref in high_rank_refs:
         number = int(ref[4:])
         await deployment.submit(deployment.job(number, Pieces=4, Rank="high", RunS=3.0))
         await deployment.wait_until(
@@ -112,11 +113,12 @@
         )
         await asyncio.sleep(2)
 
-    await deployment.wait_until_done(*own, seconds=40)
+    await deployment.wait_until_done(*high_rank_refs, seconds=40)
     await deployment.wait_until_done(
-        *(job["Ref"] for job in swarm), seconds=240 - (loop.time() - began)
+        *(job["Ref"] for job in small_jobs), seconds=240 - (loop.time() - started_at)
     )
-    assert deployment.rule_checker.starts_of("req-000500") > 100  # the largest goes on as well
+    # The huge array makes progress too
+    assert deployment.rule_checker.starts_of("req-000500") > 100
     deployment.assert_no_violation()
 
 
@@ -124,32 +126,36 @@
 async def test_controller_frozen_for_long_acts_on_no_outdated_state(loop: Loop) -> None:
     """Its late commands and writes change nothing, and learned run times stay plausible."""
     deployment = Deployment(loop)
-    shard_leader = await deployment.start_with_running_job(6, 30.0)
+    old_leader = await deployment.start_with_running_job(6, 30.0)
     await deployment.submit(deployment.job(2, Pieces=6, RunS=5.0))
 
-    deployment.freeze(shard_leader)
+    deployment.freeze(old_leader)
     await asyncio.sleep(75)
-    other = deployment.shard_leader()
-    assert other not in (None, shard_leader)
+    new_leader = deployment.shard_leader()
+    assert new_leader not in (None, old_leader)
     await deployment.wait_until_done("req-000001", "req-000002")
-    before = dict(deployment.store.keys)
-    starts = deployment.rule_checker.starts
-    deployment.thaw(shard_leader)
+    keys_before = dict(deployment.store.keys)
+    starts_before = deployment.rule_checker.starts
+    deployment.thaw(old_leader)
     await asyncio.sleep(3)
-    assert deployment.shard_leader() == other
-    assert deployment.rule_checker.starts == starts
-    kept = [key for key in before if key.startswith(("over/", "c/block/"))]
-    assert all(deployment.store.keys[key] == before[key] for key in kept)
-    # The other one stands still while its tasks run: no run time is taken from that.
+    assert deployment.shard_leader() == new_leader
+    assert deployment.rule_checker.starts == starts_before
+    stored_keys = [key for key in keys_before if key.startswith(("over/", "c/block/"))]
+    assert all(deployment.store.keys[key] == keys_before[key] for key in stored_keys)
+    # The new shard leader is frozen while its tasks run: no run time is learned from that.
     await deployment.submit(deployment.job(3, Pieces=4, RunS=4.0, GuessS=4.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000003")) == 4)
-    assert other is not None
-    deployment.freeze(other)
+    assert new_leader is not None
+    deployment.freeze(new_leader)
     await asyncio.sleep(1.0)
-    deployment.thaw(other)
+    deployment.thaw(new_leader)
     await deployment.wait_until_done("req-000003")
-    now = deployment.acting_shard_leader()
-    ratio = deployment.controllers[now].shard_leaders[0].shard.class_ratios.get("reports", 1.0)
+    current_leader = deployment.acting_shard_leader()
+    ratio = (
+        deployment.controllers[current_leader]
+        .shard_leaders[0]
+        .shard.class_ratios.get("reports", 1.0)
+    )
 
     assert 0.3 < ratio < 3.0
     deployment.assert_no_violation()
@@ -167,26 +173,26 @@
 }
 
 
-@pytest.mark.parametrize("who", ["state", "cloud"])
-@pytest.mark.parametrize("how", list(CORRUPTIONS))
+@pytest.mark.parametrize("service_name", ["state", "cloud"])
+@pytest.mark.parametrize("corruption", list(CORRUPTIONS))
 def test_corrupt_replies_count_as_unanswered(
-    how: str, who: str, caplog: pytest.LogCaptureFixture
+    corruption: str, service_name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What was asked for may have been done all the same. No loop ends over them."""
+    """The request may have been executed all the same. No controller stops over such a reply."""
 
     async def scenario(loop: Loop) -> None:
         deployment = Deployment(loop)
         await deployment.start_with_running_job(4, 30.0)
-        service = deployment.store if who == "state" else deployment.cloud
-        service.corrupt_reply = CORRUPTIONS[how]
+        service = deployment.store if service_name == "state" else deployment.cloud
+        service.corrupt_reply = CORRUPTIONS[corruption]
         submitting = loop.create_task(deployment.submit(deployment.job(2, Pieces=3, RunS=2.0)))
-        if who == "state":
+        if service_name == "state":
             status, _ = await deployment.request(deployment.nodes[0], "GET", "/api/jobs/req-000001")
-            assert status == 503  # nobody is told what was not read
+            assert status == 503  # no stage is reported that could not be read
         end = loop.time() + 6.0
         while loop.time() < end:
             deployment.rule_checker.check()
-            deployment.shard_leader()  # never two
+            deployment.shard_leader()  # fails if two act
             await asyncio.sleep(0.1)
         deployment.end_all_faults()
         await submitting
