--- a/tests/builders.py
+++ b/tests/builders.py
@@ -44,7 +44,7 @@
     return Job(**(values | fields))  # type: ignore[arg-type]
 
 
-class Story:
+class ShardHarness:
     """A shard with fencing token 7, granted at revision 100, and one synced machine, m-0."""
 
     def __init__(self, machines: int = 1, limits: dict[str, TeamQuota] | None = None) -> None:
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -4,7 +4,7 @@
 from basaltlead.core.fleet_sizing import Demand
 from basaltlead.core.jobs import US
 from basaltlead.core.offers import Offer
-from tests.builders import MACHINE_TYPE, Story, make_job
+from tests.builders import MACHINE_TYPE, ShardHarness, make_job
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
 
@@ -14,7 +14,7 @@
 def _rented(drain_us: float, offers: dict[Offer, int | None]) -> list[bool]:
     """What is rented, as whether it is spot, for a job of 40 tasks while all that is rented
     would need so long for what waits."""
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     job_state = story.shard.add_job(make_job(tasks=40), 200, story.now)
     needs = [Demand(job_state, 40, drain_us)]
     return [
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -7,12 +7,12 @@
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
 from basaltlead.core.machine_state import MachineState
-from tests.builders import MACHINE_TYPE, TIMING, Story, task_status
+from tests.builders import MACHINE_TYPE, TIMING, ShardHarness, task_status
 
 FACTS = ("up", "synced", "recorded", "lost", "draining", "terminating")
 
 
-def _state(story: Story, name: str = "m-0") -> MachineState:
+def _state(story: ShardHarness, name: str = "m-0") -> MachineState:
     return story.shard.machines[name].state(story.now)
 
 
@@ -30,7 +30,7 @@
 
 
 def test_rented_machine_is_provisioned_then_synced_and_recorded_then_ready() -> None:
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     machine = story.add("m-0")
 
     machine.recorded = False
@@ -45,7 +45,7 @@
 
 
 def test_machine_from_the_records_is_syncing_until_it_shows_the_fencing_token() -> None:
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     story.add("m-9", loaded=True)
 
     assert _state(story, "m-9") is MachineState.SYNCING
@@ -58,7 +58,7 @@
 def test_machine_is_cordoned_for_a_while_after_a_task_failed_there(
     reason: str, seconds: int
 ) -> None:
-    story = Story()
+    story = ShardHarness()
     attempt = story.attempt(story.submit())
 
     story.heartbeat("m-0")
@@ -72,7 +72,7 @@
 
 
 def test_unknown_exit_reason_or_stage_counts_against_nobody() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -90,7 +90,7 @@
 
 
 def test_possibly_unreachable_machine_is_cordoned() -> None:
-    story = Story()
+    story = ShardHarness()
 
     story.shard.mark_unreachable(story.shard.machines["m-0"], story.now)
     assert _state(story) is MachineState.CORDONED
@@ -100,7 +100,7 @@
 
 
 def test_machine_with_a_preemption_notice_drains_until_it_is_withdrawn() -> None:
-    story = Story()
+    story = ShardHarness()
     notice = story.make_heartbeat("m-0")
 
     notice.preemption_notice_s = 20.0
@@ -112,7 +112,7 @@
 
 
 def test_lost_machine_syncs_in_a_new_epoch_and_is_cordoned_until_it_is_reachable() -> None:
-    story = Story()
+    story = ShardHarness()
 
     story.now += TIMING.lease_expiry_us + 1
     story.shard.advance(story.now)
@@ -126,7 +126,7 @@
 
 
 def test_no_state_follows_terminating() -> None:
-    story = Story()
+    story = ShardHarness()
     machine = story.shard.machines["m-0"]
 
     machine.terminating = True
--- a/tests/test_replica_placement.py
+++ b/tests/test_replica_placement.py
@@ -9,13 +9,13 @@
 from basaltlead.core.objectives import ServiceLevelObjectives
 from basaltlead.core.planning import plan
 from basaltlead.storage.result_rows import ResultLayout, load_results
-from tests.builders import TIMING, Story, make_job, task_status
+from tests.builders import TIMING, ShardHarness, make_job, task_status
 
 PRODUCTION = RANKS["production"]
 PARAMETERS = MarketParameters(10 * US, 300 * US, 1000.0, 0.01, 0.05)
 
 
-def _service(story: Story, number: int = 1, **fields: object) -> JobState:
+def _service(story: ShardHarness, number: int = 1, **fields: object) -> JobState:
     values: dict[str, object] = {
         "shape": Shape.SERVICE,
         "rank": PRODUCTION,
@@ -25,7 +25,7 @@
     return story.submit(number, **(values | fields))
 
 
-def _run(story: Story, job_state: JobState) -> None:
+def _run(story: ShardHarness, job_state: JobState) -> None:
     """All its replicas are started and reported as running."""
     for machine in {attempt.machine.name: None for attempt in job_state.live.values()}:
         attempts = story.shard.machines[machine].attempts
@@ -47,7 +47,7 @@
 
 
 def test_service_that_always_fails_preempts_nothing() -> None:
-    story = Story(machines=3)
+    story = ShardHarness(machines=3)
     others = story.submit(1, tasks=12)
 
     _run(story, others)
@@ -75,7 +75,7 @@
 
 def test_replica_has_no_expected_end() -> None:
     """With a guess of 0 the machine under it seemed to be the first to fall empty."""
-    story = Story(machines=1)
+    story = ShardHarness(machines=1)
     service = _service(story)
 
     assert story.shard.estimated_run_us(service) == SERVICE_RUN_TIME_US
@@ -87,7 +87,7 @@
 
 
 def test_replica_without_another_place_is_stopped_at_the_last_moment() -> None:
-    story = Story(machines=1)
+    story = ShardHarness(machines=1)
     service = _service(story)
 
     _run(story, service)
@@ -108,7 +108,7 @@
 
 
 def test_replica_moves_at_once_if_there_is_room_and_restarts_after_it_stopped() -> None:
-    story = Story(machines=1)
+    story = ShardHarness(machines=1)
     service = _service(story)
 
     _run(story, service)
@@ -129,7 +129,7 @@
 
 
 def test_slots_of_replicas_are_not_auctioned_and_their_bids_follow_running_replicas() -> None:
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
     service = _service(story, tasks=4)
     array = story.submit(2, tasks=20)
     market = Market(PARAMETERS, ["red"], ServiceLevelObjectives())
@@ -156,7 +156,7 @@
 
 def test_services_demand_all_replicas_and_count_in_no_backlog() -> None:
     """Whatever the objective of their class: their due time would always lie in the past."""
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     service = _service(story, tasks=5)
 
     objectives = ServiceLevelObjectives(start_limits_us={"reports": [4 * US]})
@@ -174,7 +174,7 @@
 
 
 def test_only_a_replica_that_failed_early_counts_against_its_machine() -> None:
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
     proven = _service(story)
 
     _run(story, proven)
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -14,7 +14,7 @@
 from basaltlead.core.jobs import US, Resources, Shape
 from basaltlead.core.offers import Offer
 from basaltlead.core.teams import TeamQuota
-from tests.builders import MACHINE_TYPE, TIMING, Story, make_job, task_status
+from tests.builders import MACHINE_TYPE, TIMING, ShardHarness, make_job, task_status
 
 MACHINES = 930
 
@@ -35,15 +35,15 @@
         return counting
 
 
-def _idle_fleet() -> Story:
-    story = Story(machines=0, limits={"red": TeamQuota()})
+def _idle_fleet() -> ShardHarness:
+    story = ShardHarness(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
         story.add(f"m-{number:03d}", zone="abc"[number % 3])
         story.heartbeat(f"m-{number:03d}")
     return story
 
 
-def _fleet_with_backlog(jobs: int = 100, tasks: int = 300) -> Story:
+def _fleet_with_backlog(jobs: int = 100, tasks: int = 300) -> ShardHarness:
     story = _idle_fleet()
     for number in range(jobs):
         gang = number % 5 == 0
@@ -80,7 +80,7 @@
     assert count.calls < 16 * MACHINES
 
 
-def _full_fleet() -> Story:
+def _full_fleet() -> ShardHarness:
     """Every machine is full, and a hundred jobs wait that all ask for something else."""
     story = _idle_fleet()
     for number in range(100):
@@ -123,7 +123,7 @@
 
 def test_incremental_free_room_and_bids_equal_a_full_count() -> None:
     """Plans trust them; a task that is counted twice or never given back would stay for good."""
-    story = Story(machines=6)
+    story = ShardHarness(machines=6)
 
     rng = random.Random(3)
     for number in range(12):
@@ -195,7 +195,7 @@
 
 def test_job_that_waited_a_minute_demands_at_least_one_task() -> None:
     """One with a late due time else gets nothing while others are in a hurry."""
-    story = Story()
+    story = ShardHarness()
 
     late = story.shard.add_job(make_job(1, tasks=4, due_us=3000 * US), 200, story.now)
     hasty = story.shard.add_job(make_job(2, tasks=400, due_us=30 * US), 200, story.now)
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -23,7 +23,7 @@
     RECORDING_WINDOW_S,
     RENTALS_FLEET_DIVISOR,
 )
-from tests.builders import MACHINE_TYPE, TIMING, Story, make_job, task_status
+from tests.builders import MACHINE_TYPE, TIMING, ShardHarness, make_job, task_status
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
 from tests.test_scale_hundreds import CallCounter
@@ -36,9 +36,9 @@
     return f"m-{number:06d}"
 
 
-def _full_fleet(jobs: int = 160, tasks: int = 100) -> Story:
+def _full_fleet(jobs: int = 160, tasks: int = 100) -> ShardHarness:
     """Every machine is full of running tasks of as many jobs as it takes."""
-    story = Story(machines=0, limits={"red": TeamQuota()})
+    story = ShardHarness(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
         story.add(_name(number), zone="abc"[number % 3])
         story.heartbeat(_name(number))
@@ -51,12 +51,12 @@
     return story
 
 
-def _running(story: Story, number: int) -> list:  # type: ignore[type-arg]
+def _running(story: ShardHarness, number: int) -> list:  # type: ignore[type-arg]
     machine = story.shard.machines[_name(number)]
     return [task_status(attempt, "running") for attempt in machine.attempts.values()]
 
 
-def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: Story) -> int:
+def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: ShardHarness) -> int:
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
     )
@@ -68,7 +68,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     before = _full_fleet()
-    after = Story(machines=0, limits={"red": TeamQuota()})
+    after = ShardHarness(machines=0, limits={"red": TeamQuota()})
 
     after.shard = Shard(8, 300, after.now, TIMING, {"red": TeamQuota()})
     for number in range(160):
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -7,11 +7,11 @@
 from basaltlead.core.planning import plan
 from basaltlead.core.teams import TeamQuota
 from basaltlead.wire.workers import TaskStatus
-from tests.builders import TIMING, Story, make_job, task_status
+from tests.builders import TIMING, ShardHarness, make_job, task_status
 
 
 def test_task_is_started_ends_and_is_forgotten_only_once_its_result_is_stored() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -27,7 +27,7 @@
 
 
 def test_lost_start_command_is_repeated_with_the_same_attempt_number() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     token = story.attempt(job_state).attempt_number
 
@@ -37,7 +37,7 @@
 
 
 def test_late_copy_of_an_old_heartbeat_is_ignored() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     attempt = story.attempt(job_state)
     old = story.make_heartbeat("m-0")
@@ -52,7 +52,7 @@
 
 
 def test_heartbeats_of_an_expired_agent_epoch_are_ignored() -> None:
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -70,7 +70,7 @@
 
 
 def test_silent_machine_keeps_its_tasks_until_its_lease_has_provably_expired() -> None:
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -85,7 +85,7 @@
 
 
 def test_new_agent_epoch_ends_all_attempts_on_the_machine() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -98,7 +98,7 @@
 
 
 def test_heartbeat_without_our_fencing_token_does_not_sync_the_machine() -> None:
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     story.add("m-9", loaded=True)
     job_state = story.submit(version=50)  # accepted before the shard was ours
 
@@ -115,7 +115,7 @@
 
 
 def test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines() -> None:
-    story = Story(machines=1)
+    story = ShardHarness(machines=1)
     story.add("m-9", loaded=True)
     old, new = story.submit(1, version=50), story.submit(2, version=150)
 
@@ -130,7 +130,7 @@
 
 
 def test_unacknowledged_start_holds_its_task_until_it_is_resolved() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
 
@@ -150,7 +150,7 @@
 
 
 def test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
 
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
@@ -166,7 +166,7 @@
 
 def test_refused_start_that_may_arrive_again_does_not_delay_the_task() -> None:
     """With a single machine such a task once waited for ever."""
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
 
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
@@ -181,7 +181,7 @@
 
 
 def test_refused_push_returns_its_attempt_to_planned_at_once() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
 
     _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
@@ -191,7 +191,7 @@
 
 
 def test_heartbeat_older_than_the_answer_to_a_push_does_not_end_the_attempt() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     before = story.make_heartbeat("m-0")  # sent before the worker had the command
 
@@ -207,7 +207,7 @@
 
 
 def test_stopped_task_starts_elsewhere_only_after_it_has_ended() -> None:
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -225,7 +225,7 @@
 
 
 def test_no_task_starts_on_a_machine_that_is_not_recorded() -> None:
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     machine = story.add("m-0")
 
     machine.recorded = False
@@ -240,7 +240,7 @@
 
 
 def test_limited_team_waits_while_tasks_of_unknown_size_may_run() -> None:
-    story = Story(limits={"red": TeamQuota(cpus_max=2.0)})
+    story = ShardHarness(limits={"red": TeamQuota(cpus_max=2.0)})
     story.add("m-9", loaded=True)
     job_state = story.submit(tasks=3)
 
@@ -256,7 +256,7 @@
 
 
 def test_cancelled_job_is_halted_and_forgotten() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -271,7 +271,7 @@
 
 def test_unsynced_machine_gets_halts_for_closed_jobs_in_the_first_answer() -> None:
     """Its answer renews the lease, and may be the last that arrives."""
-    story = Story()
+    story = ShardHarness()
     story.add("m-9", loaded=True)
     story.submit(number=2, version=50)
 
@@ -288,7 +288,7 @@
 
 def test_machine_silent_for_half_a_lease_gets_no_new_tasks() -> None:
     """A machine without heartbeats takes pushed commands, which don't renew its lease."""
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
 
     story.now += TIMING.lease_us // 2 + 1
     story.heartbeat("m-1")
@@ -301,7 +301,7 @@
 
 
 def test_broken_gang_restarts_only_after_all_its_attempts_have_ended() -> None:
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
     job_state = story.submit(shape=Shape.GANG, tasks=2, cpus=3.0)
     first, second = story.attempt(job_state, 0), story.attempt(job_state, 1)
 
@@ -324,7 +324,7 @@
 
 
 def test_one_zone_and_apart_hold_together() -> None:
-    story = Story(machines=3)
+    story = ShardHarness(machines=3)
 
     story.shard.machines["m-2"].zone = "b"
     job_state = story.submit(tasks=4, one_zone=True, spread_zones=True)
@@ -334,7 +334,7 @@
 
 
 def test_higher_rank_preempts_lower_rank_and_equal_rank_does_not() -> None:
-    story = Story()
+    story = ShardHarness()
     low = story.submit(1, tasks=4, rank=0)
 
     for attempt in list(low.live.values()):
@@ -356,7 +356,7 @@
 
 
 def test_task_on_a_machine_with_preemption_notice_checkpoints_in_time() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit(checkpoint_interval_us=20 * US, checkpoint_duration_s=5.0)
     attempt = story.attempt(job_state)
 
@@ -374,7 +374,7 @@
 
 
 def test_guarantee_preempts_work_beyond_another_teams_guarantee() -> None:
-    story = Story(limits={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
+    story = ShardHarness(limits={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
     blue = story.submit(1, team="blue", tasks=4)
 
     for attempt in blue.live.values():
@@ -388,7 +388,7 @@
 
 
 def test_waiting_gangs_are_placed_before_arrays_of_their_rank() -> None:
-    story = Story()
+    story = ShardHarness()
     filler = story.submit(1, tasks=4)
     array, gang = story.submit(2, tasks=4), story.submit(3, shape=Shape.GANG, tasks=2, cpus=2.0)
 
@@ -402,7 +402,7 @@
 
 def test_machine_whose_lease_expired_despite_answers_must_prove_it_is_reachable() -> None:
     """Its heartbeats arrive, answers and commands don't: its tasks move, no new ones come."""
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
     job_state = story.submit()
     unreachable = story.attempt(job_state).machine
 
@@ -421,7 +421,7 @@
 
 
 def test_agent_epoch_longer_than_a_lease_proves_that_the_machine_is_reachable() -> None:
-    story = Story()
+    story = ShardHarness()
     machine = story.shard.machines["m-0"]
 
     story.heartbeat("m-0", epoch=2, tick=1)
@@ -434,7 +434,7 @@
 
 
 def test_unacknowledged_push_keeps_new_tasks_off_until_a_command_takes_effect() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     machine = story.shard.machines["m-0"]
 
@@ -451,7 +451,7 @@
 
 def test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever() -> None:
     """After a failover heartbeats of an unreachable machine, or copies, may keep arriving."""
-    story = Story()
+    story = ShardHarness()
     story.add("m-9", loaded=True)
     job_state = story.submit(version=50)
 
@@ -471,7 +471,7 @@
 
 
 def test_heartbeat_copies_do_not_restore_a_lost_machine() -> None:
-    story = Story()
+    story = ShardHarness()
     lost = story.add("m-9", loaded=True)
 
     story.now += TIMING.lease_expiry_us + 1
@@ -497,7 +497,7 @@
 
 
 def test_stragglers_move_off_a_slow_machine_but_a_job_slow_everywhere_stays() -> None:
-    story = Story(machines=3)
+    story = ShardHarness(machines=3)
     job_state = story.submit(tasks=9)
 
     slow = job_state.live[0].machine
@@ -549,7 +549,7 @@
 
 
 def test_job_returns_to_the_only_machine_although_it_was_slow() -> None:
-    story = Story()
+    story = ShardHarness()
     job_state = story.submit()
     attempt = story.attempt(job_state)
 
@@ -570,7 +570,7 @@
 
 def test_room_is_reserved_for_a_large_waiting_gang() -> None:
     """Single tasks of its own rank would else take each place as it falls free."""
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
 
     running = [story.submit(number, cpus=2.0, shape=Shape.GANG) for number in range(1, 5)]
     large = story.submit(9, tasks=2, cpus=4.0, shape=Shape.GANG, one_zone=True)
@@ -589,14 +589,14 @@
     assert len(large.live) == 2
 
 
-def _attempts_on(story: Story, name: str) -> list[Attempt]:
+def _attempts_on(story: ShardHarness, name: str) -> list[Attempt]:
     return list(story.shard.machines[name].attempts.values())
 
 
 def test_machine_is_settled_although_an_orphaned_attempt_stays_listed() -> None:
     """A pushed start that was never answered may arrive again, so its number is not forgotten.
     That is no reason to keep the machine once the result is stored."""
-    story = Story()
+    story = ShardHarness()
     machine = story.shard.machines["m-0"]
     job_state = story.submit()
     attempt = story.attempt(job_state)
@@ -613,7 +613,7 @@
 
 
 def test_machine_with_a_running_task_of_a_closed_job_is_not_settled() -> None:
-    story = Story()
+    story = ShardHarness()
     machine = story.shard.machines["m-0"]
 
     belongs_to_other_shard = TaskStatus("req-000009/0", 3, "running")
@@ -623,7 +623,7 @@
 
 
 def test_job_with_objective_reclaims_its_share_from_checkpointed_work_without() -> None:
-    story = Story()
+    story = ShardHarness()
 
     story.shard.machines["m-0"].images["img"] = 1.0
     low = story.submit(1, tasks=4, rank=0, checkpoint_interval_us=5 * US, checkpoint_duration_s=2.0)
@@ -643,7 +643,7 @@
     "case", ["no checkpoint", "other has objective", "same rank", "no objective", "no share"]
 )
 def test_job_with_objective_preempts_nothing_else(case: str) -> None:
-    story = Story()
+    story = ShardHarness()
     saves = (
         {}
         if case == "no checkpoint"
@@ -666,7 +666,7 @@
 
 def test_jobs_that_fail_everywhere_do_not_count_against_a_machine() -> None:
     """Four of them, still open, would else have a healthy machine taken for faulty."""
-    story = Story(machines=2)
+    story = ShardHarness(machines=2)
 
     for number in range(1, 5):
         job_state = story.submit(number)
--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -34,17 +34,17 @@
 from basaltlead.core.worker_lease import WorkerLease
 from basaltlead.shard.command_log import log_commands
 from basaltlead.wire.workers import Heartbeat
-from tests.builders import TIMING, Story, task_status
+from tests.builders import TIMING, ShardHarness, task_status
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
 
-def _push_starts(story: Story, machine: Machine) -> list[Attempt]:
+def _push_starts(story: ShardHarness, machine: Machine) -> list[Attempt]:
     """Push what is due for a machine; the starts, which stay in flight."""
     return story.shard.take_push_commands(machine)[1]
 
 
-def _answer_push(story: Story, starts: list[Attempt], epoch: int, executed: bool) -> None:
+def _answer_push(story: ShardHarness, starts: list[Attempt], epoch: int, executed: bool) -> None:
     """The machine answers a push, and shows its epoch and, if it executed them, the starts."""
     machine = starts[0].machine.name
     tasks = [task_status(attempt, "running") for attempt in starts] if executed else []
@@ -54,12 +54,12 @@
     story.shard.acknowledge_starts(starts, executed)
 
 
-def _probe(story: Story, machine: str, epoch: int) -> None:
+def _probe(story: ShardHarness, machine: str, epoch: int) -> None:
     """A probe is answered, without a task."""
     story.shard.answer(story.make_heartbeat(machine, epoch=epoch), story.now)
 
 
-def _start_in_new_epoch(story: Story, machine: Machine, job_state: JobState) -> Attempt:
+def _start_in_new_epoch(story: ShardHarness, machine: Machine, job_state: JobState) -> Attempt:
     """A start is refused, since the machine has begun epoch 2, and is executed there."""
     _answer_push(story, _push_starts(story, machine), epoch=2, executed=False)
     plan(story.shard, story.now)
@@ -69,7 +69,7 @@
 
 def test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch() -> None:
     # Given a machine that an earlier shard leader used, and that hears us but is not heard
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     machine = story.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
     _probe(story, "m-0", epoch=1)
@@ -103,7 +103,7 @@
 
 def test_machine_that_shows_itself_again_is_not_lost_again_at_once() -> None:
     # Given a machine that was lost
-    story = Story()
+    story = ShardHarness()
     machine = story.shard.machines["m-0"]
     story.now += TIMING.lease_expiry_us + US
     story.shard.advance(story.now)
@@ -171,7 +171,7 @@
 
 
 def test_log_tells_since_what_the_lease_of_a_lost_machine_was_counted() -> None:
-    story = Story(machines=0)
+    story = ShardHarness(machines=0)
     machine = story.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
     _probe(story, "m-0", epoch=1)
@@ -194,7 +194,7 @@
 def test_debug_log_tells_what_was_known_when_a_command_was_sent(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    story = Story()
+    story = ShardHarness()
     machine = story.shard.machines["m-0"]
     story.submit()
     story.now += 2 * US
@@ -248,7 +248,7 @@
 
 def test_epoch_that_only_a_push_has_shown_does_not_make_a_silent_machine_usable() -> None:
     # Given a machine that was silent for more than half a lease
-    story = Story()
+    story = ShardHarness()
     story.now += TIMING.lease_us // 2 + US
 
     # When an answer to a probe shows its next epoch
