--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -14,8 +14,8 @@
 def _rented(drain_us: float, offers: dict[Offer, int | None]) -> list[bool]:
     """What is rented, as whether it is spot, for a job of 40 tasks while all that is rented
     would need so long for what waits."""
-    story = ShardHarness(machines=0)
-    job_state = story.shard.add_job(make_job(tasks=40), 200, story.now)
+    harness = ShardHarness(machines=0)
+    job_state = harness.shard.add_job(make_job(tasks=40), 200, harness.now)
     needs = [Demand(job_state, 40, drain_us)]
     return [
         offer.spot
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -12,8 +12,8 @@
 FACTS = ("up", "synced", "recorded", "lost", "draining", "terminating")
 
 
-def _state(story: ShardHarness, name: str = "m-0") -> MachineState:
-    return story.shard.machines[name].state(story.now)
+def _state(harness: ShardHarness, name: str = "m-0") -> MachineState:
+    return harness.shard.machines[name].state(harness.now)
 
 
 def test_machine_is_usable_exactly_if_it_is_ready() -> None:
@@ -30,110 +30,110 @@
 
 
 def test_rented_machine_is_provisioned_then_synced_and_recorded_then_ready() -> None:
-    story = ShardHarness(machines=0)
-    machine = story.add("m-0")
+    harness = ShardHarness(machines=0)
+    machine = harness.add("m-0")
 
     machine.recorded = False
-    assert _state(story) is MachineState.PROVISIONING
-    story.heartbeat("m-0", fencing_token=6)
-    assert _state(story) is MachineState.SYNCING
-    story.heartbeat("m-0")
-    assert _state(story) is MachineState.SYNCING  # the next shard leader would not find its tasks
+    assert _state(harness) is MachineState.PROVISIONING
+    harness.heartbeat("m-0", fencing_token=6)
+    assert _state(harness) is MachineState.SYNCING
+    harness.heartbeat("m-0")
+    assert _state(harness) is MachineState.SYNCING  # the next shard leader would not find its tasks
     machine.recorded = True
 
-    assert _state(story) is MachineState.READY
+    assert _state(harness) is MachineState.READY
 
 
 def test_machine_from_the_records_is_syncing_until_it_shows_the_fencing_token() -> None:
-    story = ShardHarness(machines=0)
-    story.add("m-9", loaded=True)
+    harness = ShardHarness(machines=0)
+    harness.add("m-9", loaded=True)
 
-    assert _state(story, "m-9") is MachineState.SYNCING
-    story.heartbeat("m-9")
+    assert _state(harness, "m-9") is MachineState.SYNCING
+    harness.heartbeat("m-9")
 
-    assert _state(story, "m-9") is MachineState.READY
+    assert _state(harness, "m-9") is MachineState.READY
 
 
 @pytest.mark.parametrize(("reason", "seconds"), [("error", 4), ("full", 2), ("in_use", 1)])
 def test_machine_is_cordoned_for_a_while_after_a_task_failed_there(
     reason: str, seconds: int
 ) -> None:
-    story = ShardHarness()
-    attempt = story.attempt(story.submit())
+    harness = ShardHarness()
+    attempt = harness.attempt(harness.submit())
 
-    story.heartbeat("m-0")
-    story.heartbeat("m-0", task_status(attempt, "ended", reason))
-    assert _state(story) is MachineState.CORDONED
-    story.now += seconds * US - 1
-    assert _state(story) is MachineState.CORDONED
-    story.now += 1
+    harness.heartbeat("m-0")
+    harness.heartbeat("m-0", task_status(attempt, "ended", reason))
+    assert _state(harness) is MachineState.CORDONED
+    harness.now += seconds * US - 1
+    assert _state(harness) is MachineState.CORDONED
+    harness.now += 1
 
-    assert _state(story) is MachineState.READY
+    assert _state(harness) is MachineState.READY
 
 
 def test_unknown_exit_reason_or_stage_counts_against_nobody() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness()
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
-    story.heartbeat("m-0")
-    story.heartbeat("m-0", task_status(attempt, "thawing"))
+    harness.heartbeat("m-0")
+    harness.heartbeat("m-0", task_status(attempt, "thawing"))
     assert attempt.stage == "thawing"
     assert attempt.may_be_on_machine
-    story.heartbeat("m-0", task_status(attempt, "ended", "evicted"))
+    harness.heartbeat("m-0", task_status(attempt, "ended", "evicted"))
 
     assert not job_state.live
     assert job_state.waiting == 1
     assert not job_state.history.failures
     assert not job_state.retry_at
-    assert _state(story) is MachineState.READY
+    assert _state(harness) is MachineState.READY
 
 
 def test_possibly_unreachable_machine_is_cordoned() -> None:
-    story = ShardHarness()
+    harness = ShardHarness()
 
-    story.shard.mark_unreachable(story.shard.machines["m-0"], story.now)
-    assert _state(story) is MachineState.CORDONED
-    story.shard.answer(story.make_heartbeat("m-0"), story.now)
+    harness.shard.mark_unreachable(harness.shard.machines["m-0"], harness.now)
+    assert _state(harness) is MachineState.CORDONED
+    harness.shard.answer(harness.make_heartbeat("m-0"), harness.now)
 
-    assert _state(story) is MachineState.READY
+    assert _state(harness) is MachineState.READY
 
 
 def test_machine_with_a_preemption_notice_drains_until_it_is_withdrawn() -> None:
-    story = ShardHarness()
-    notice = story.make_heartbeat("m-0")
+    harness = ShardHarness()
+    notice = harness.make_heartbeat("m-0")
 
     notice.preemption_notice_s = 20.0
-    story.shard.heartbeat(notice, story.now)
-    assert _state(story) is MachineState.DRAINING
-    story.heartbeat("m-0")
+    harness.shard.heartbeat(notice, harness.now)
+    assert _state(harness) is MachineState.DRAINING
+    harness.heartbeat("m-0")
 
-    assert _state(story) is MachineState.READY
+    assert _state(harness) is MachineState.READY
 
 
 def test_lost_machine_syncs_in_a_new_epoch_and_is_cordoned_until_it_is_reachable() -> None:
-    story = ShardHarness()
+    harness = ShardHarness()
 
-    story.now += TIMING.lease_expiry_us + 1
-    story.shard.advance(story.now)
-    assert _state(story) is MachineState.LOST
-    story.heartbeat("m-0", epoch=2, tick=1, fencing_token=7)
-    assert not story.shard.machines["m-0"].lost
-    assert _state(story) is MachineState.CORDONED
-    story.shard.answer(story.make_heartbeat("m-0", epoch=2, tick=2), story.now)
+    harness.now += TIMING.lease_expiry_us + 1
+    harness.shard.advance(harness.now)
+    assert _state(harness) is MachineState.LOST
+    harness.heartbeat("m-0", epoch=2, tick=1, fencing_token=7)
+    assert not harness.shard.machines["m-0"].lost
+    assert _state(harness) is MachineState.CORDONED
+    harness.shard.answer(harness.make_heartbeat("m-0", epoch=2, tick=2), harness.now)
 
-    assert _state(story) is MachineState.READY
+    assert _state(harness) is MachineState.READY
 
 
 def test_no_state_follows_terminating() -> None:
-    story = ShardHarness()
-    machine = story.shard.machines["m-0"]
+    harness = ShardHarness()
+    machine = harness.shard.machines["m-0"]
 
     machine.terminating = True
     machine.draining = True
-    assert _state(story) is MachineState.TERMINATING
-    story.now += TIMING.lease_expiry_us + 1
-    story.shard.advance(story.now)
+    assert _state(harness) is MachineState.TERMINATING
+    harness.now += TIMING.lease_expiry_us + 1
+    harness.shard.advance(harness.now)
 
     assert machine.lost
-    assert _state(story) is MachineState.TERMINATING
+    assert _state(harness) is MachineState.TERMINATING
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -36,18 +36,18 @@
 
 
 def _idle_fleet() -> ShardHarness:
-    story = ShardHarness(machines=0, limits={"red": TeamQuota()})
+    harness = ShardHarness(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
-        story.add(f"m-{number:03d}", zone="abc"[number % 3])
-        story.heartbeat(f"m-{number:03d}")
-    return story
+        harness.add(f"m-{number:03d}", zone="abc"[number % 3])
+        harness.heartbeat(f"m-{number:03d}")
+    return harness
 
 
 def _fleet_with_backlog(jobs: int = 100, tasks: int = 300) -> ShardHarness:
-    story = _idle_fleet()
+    harness = _idle_fleet()
     for number in range(jobs):
         gang = number % 5 == 0
-        story.shard.add_job(
+        harness.shard.add_job(
             make_job(
                 number,
                 tasks=3 if gang else tasks,
@@ -57,37 +57,37 @@
                 rank=2 if gang else number % 2,
             ),
             200,
-            story.now,
+            harness.now,
         )
-    return story
+    return harness
 
 
 def test_plan_costs_one_pass_over_the_machines_for_each_job_that_starts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _fleet_with_backlog()
+    harness = _fleet_with_backlog()
 
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
     )
-    planning.plan(story.shard, story.now)
-    placed = sum(len(job_state.live) for job_state in story.shard.job_states.values())
+    planning.plan(harness.shard, harness.now)
+    placed = sum(len(job_state.live) for job_state in harness.shard.job_states.values())
     assert placed > MACHINES
     assert count.calls < 12 * MACHINES * 8 + 6 * placed  # gangs, and the arrays that found room
     count.calls = 0
-    planning.plan(story.shard, story.now)  # full: those that ask for the same are passed over
+    planning.plan(harness.shard, harness.now)  # full: those that ask for the same are passed over
 
     assert count.calls < 16 * MACHINES
 
 
 def _full_fleet() -> ShardHarness:
     """Every machine is full, and a hundred jobs wait that all ask for something else."""
-    story = _idle_fleet()
+    harness = _idle_fleet()
     for number in range(100):
         job = make_job(number, tasks=100, cpus=1.0 + number / 1000, memory_gb=0.1)
-        story.shard.add_job(job, 200, story.now)
-    planning.plan(story.shard, story.now)
-    return story
+        harness.shard.add_job(job, 200, harness.now)
+    planning.plan(harness.shard, harness.now)
+    return harness
 
 
 def test_jobs_waiting_for_a_full_fleet_cost_a_plan_almost_nothing(
@@ -95,23 +95,23 @@
 ) -> None:
     """Passing over all machines for each of them, a shard leader of 600 spent a fifth of a core
     so."""
-    story = _full_fleet()
+    harness = _full_fleet()
 
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
     )
-    planning.plan(story.shard, story.now)
+    planning.plan(harness.shard, harness.now)
 
     assert count.calls < MACHINES
 
 
 def test_sizing_a_full_fleet_checks_full_machines_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    story = _full_fleet()
+    harness = _full_fleet()
 
-    job_states = list(story.shard.job_states.values())
+    job_states = list(harness.shard.job_states.values())
     running = sum(len(job_state.live) for job_state in job_states)
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
-    machines = list(story.shard.machines.values())
+    machines = list(harness.shard.machines.values())
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (core_offers, "allowed")
     )
@@ -123,33 +123,35 @@
 
 def test_incremental_free_room_and_bids_equal_a_full_count() -> None:
     """Plans trust them; a task that is counted twice or never given back would stay for good."""
-    story = ShardHarness(machines=6)
+    harness = ShardHarness(machines=6)
 
     rng = random.Random(3)
     for number in range(12):
-        job_state = story.submit(number, tasks=6, cpus=rng.choice([0.7, 1.1, 2.3]), rank=number % 3)
+        job_state = harness.submit(
+            number, tasks=6, cpus=rng.choice([0.7, 1.1, 2.3]), rank=number % 3
+        )
         job_state.bid = rng.uniform(0.1, 5.0)
     for step in range(60):
-        story.now += US
+        harness.now += US
         name = f"m-{rng.randrange(6)}"
-        machine = story.shard.machines[name]
+        machine = harness.shard.machines[name]
         shown = [
             task_status(a, rng.choice(["running", "ended"]), "done")
             for a in list(machine.attempts.values())
             if a.may_be_on_machine and rng.random() < 0.8
         ]
-        story.heartbeat(name, *shown)
+        harness.heartbeat(name, *shown)
         if machine.attempts and step % 4 == 0:
-            story.shard.stop_gracefully(rng.choice(list(machine.attempts.values())))
+            harness.shard.stop_gracefully(rng.choice(list(machine.attempts.values())))
         if step % 15 == 14:
-            story.now += TIMING.lease_expiry_us
-            story.shard.advance(story.now)
-        planning.plan(story.shard, story.now)
-        for one in story.shard.machines.values():
+            harness.now += TIMING.lease_expiry_us
+            harness.shard.advance(harness.now)
+        planning.plan(harness.shard, harness.now)
+        for one in harness.shard.machines.values():
             staying = [a for a in one.attempts.values() if a.stop_grace_s is None]
             assert one.free.cpus == pytest.approx(4.0 - sum(a.job_state.job.cpus for a in staying))
             assert one.booked == pytest.approx(sum(a.bid for a in staying))
-        for job_state in story.shard.job_states.values():
+        for job_state in harness.shard.job_states.values():
             waiting = job_state.remaining - sum(
                 not job_state.is_done(index) for index in job_state.live
             )
@@ -159,17 +161,17 @@
 def test_identical_waiting_gangs_are_tried_once_in_a_plan(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _fleet_with_backlog(jobs=4)
+    harness = _fleet_with_backlog(jobs=4)
 
-    planning.plan(story.shard, story.now)
+    planning.plan(harness.shard, harness.now)
     for number in range(100, 160):
-        story.shard.add_job(
-            make_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, story.now
+        harness.shard.add_job(
+            make_job(number, tasks=200, shape=Shape.GANG, cpus=4.0, one_zone=True), 200, harness.now
         )
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
     )
-    planning.plan(story.shard, story.now)
+    planning.plan(harness.shard, harness.now)
 
     assert count.calls < 12 * MACHINES
 
@@ -177,11 +179,11 @@
 def test_sizing_costs_one_pass_over_the_machines_for_each_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _fleet_with_backlog()
+    harness = _fleet_with_backlog()
 
-    planning.plan(story.shard, story.now)
-    job_states = list(story.shard.job_states.values())
-    machines: list[Machine] = list(story.shard.machines.values())
+    planning.plan(harness.shard, harness.now)
+    job_states = list(harness.shard.job_states.values())
+    machines: list[Machine] = list(harness.shard.machines.values())
     needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
     count = CallCounter(
@@ -195,21 +197,21 @@
 
 def test_job_that_waited_a_minute_demands_at_least_one_task() -> None:
     """One with a late due time else gets nothing while others are in a hurry."""
-    story = ShardHarness()
+    harness = ShardHarness()
 
-    late = story.shard.add_job(make_job(1, tasks=4, due_us=3000 * US), 200, story.now)
-    hasty = story.shard.add_job(make_job(2, tasks=400, due_us=30 * US), 200, story.now)
+    late = harness.shard.add_job(make_job(1, tasks=4, due_us=3000 * US), 200, harness.now)
+    hasty = harness.shard.add_job(make_job(2, tasks=400, due_us=30 * US), 200, harness.now)
 
     def due(job_state: JobState, now: int) -> demand.Due:
         return demand.Due(job_state.submitted_at + (job_state.job.due_us or 0))
 
     def wanted() -> dict[str, int]:
-        loads = demand.remaining_cpu_us([late, hasty], story.now, story.shard.estimated_run_us)
+        loads = demand.remaining_cpu_us([late, hasty], harness.now, harness.shard.estimated_run_us)
         return demand.wanted_tasks(
-            [late, hasty], story.now, due, story.shard.estimated_run_us, 0, loads
+            [late, hasty], harness.now, due, harness.shard.estimated_run_us, 0, loads
         )
 
     assert wanted()[late.job.ref] == 0
-    story.now += 61 * US
+    harness.now += 61 * US
 
     assert wanted()[late.job.ref] == 1
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -38,29 +38,29 @@
 
 def _full_fleet(jobs: int = 160, tasks: int = 100) -> ShardHarness:
     """Every machine is full of running tasks of as many jobs as it takes."""
-    story = ShardHarness(machines=0, limits={"red": TeamQuota()})
+    harness = ShardHarness(machines=0, limits={"red": TeamQuota()})
     for number in range(MACHINES):
-        story.add(_name(number), zone="abc"[number % 3])
-        story.heartbeat(_name(number))
+        harness.add(_name(number), zone="abc"[number % 3])
+        harness.heartbeat(_name(number))
     for number in range(jobs):
-        story.shard.add_job(make_job(number, tasks=tasks, memory_gb=0.1), 200, story.now)
-    planning.plan(story.shard, story.now)
+        harness.shard.add_job(make_job(number, tasks=tasks, memory_gb=0.1), 200, harness.now)
+    planning.plan(harness.shard, harness.now)
     for number in range(MACHINES):
-        story.heartbeat(_name(number))
-        story.heartbeat(_name(number), *_running(story, number))
-    return story
+        harness.heartbeat(_name(number))
+        harness.heartbeat(_name(number), *_running(harness, number))
+    return harness
 
 
-def _running(story: ShardHarness, number: int) -> list:  # type: ignore[type-arg]
-    machine = story.shard.machines[_name(number)]
+def _running(harness: ShardHarness, number: int) -> list:  # type: ignore[type-arg]
+    machine = harness.shard.machines[_name(number)]
     return [task_status(attempt, "running") for attempt in machine.attempts.values()]
 
 
-def _plan_calls(monkeypatch: pytest.MonkeyPatch, story: ShardHarness) -> int:
+def _plan_calls(monkeypatch: pytest.MonkeyPatch, harness: ShardHarness) -> int:
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (placement, "tier")
     )
-    planning.plan(story.shard, story.now)
+    planning.plan(harness.shard, harness.now)
     return count.calls
 
 
@@ -92,59 +92,59 @@
 
 
 def test_wave_of_spot_losses_costs_only_the_lost_attempts(monkeypatch: pytest.MonkeyPatch) -> None:
-    story = _full_fleet()
+    harness = _full_fleet()
 
-    story.now += TIMING.lease_expiry_us // 2
+    harness.now += TIMING.lease_expiry_us // 2
     for number in range(0, MACHINES, 2):
-        story.heartbeat(_name(number), *_running(story, number))
-    story.now += TIMING.lease_expiry_us // 2 + US
+        harness.heartbeat(_name(number), *_running(harness, number))
+    harness.now += TIMING.lease_expiry_us // 2 + US
     removed = CallCounter(monkeypatch, (AttemptTable, "remove"))
     drained = CallCounter(monkeypatch, (Drainer, "drain"))
-    story.shard.advance(story.now)
+    harness.shard.advance(harness.now)
     assert removed.calls == PLACES * MACHINES // 2
     for _ in range(10):
-        story.shard.advance(story.now)
+        harness.shard.advance(harness.now)
 
     assert drained.calls <= 12 * MACHINES // 2
     assert removed.calls == PLACES * MACHINES // 2
-    assert _plan_calls(monkeypatch, story) < 8 * MACHINES
+    assert _plan_calls(monkeypatch, harness) < 8 * MACHINES
 
 
 def test_cancelling_a_thousand_jobs_costs_only_their_own_tasks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    story = _full_fleet(jobs=1600, tasks=10)
+    harness = _full_fleet(jobs=1600, tasks=10)
 
     stopped = CallCounter(monkeypatch, (AttemptTable, "stop"), (FailurePolicy, "clear"))
-    job_states = list(story.shard.job_states.values())[:1000]
+    job_states = list(harness.shard.job_states.values())[:1000]
     tasks = sum(len(job_state.live) for job_state in job_states)
     for job_state in job_states:
-        story.shard.close_job(job_state.job.ref)
+        harness.shard.close_job(job_state.job.ref)
 
     assert stopped.calls == tasks + len(job_states)
-    assert _plan_calls(monkeypatch, story) < 20 * MACHINES
+    assert _plan_calls(monkeypatch, harness) < 20 * MACHINES
 
 
 def test_plan_for_hundreds_of_services_in_a_full_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those that ask for the same are looked at once; those that find room cost a pass each."""
-    story = _full_fleet()
+    harness = _full_fleet()
 
     for number in range(1000, 1300):
-        story.shard.add_job(
+        harness.shard.add_job(
             make_job(number, shape=Shape.SERVICE, tasks=3, memory_gb=0.1, estimated_run_us=0),
             200,
-            story.now,
+            harness.now,
         )
     looked = CallCounter(monkeypatch, (replica_placement.ReplicaRanking, "_ranked"))
-    planning.plan(story.shard, story.now)
+    planning.plan(harness.shard, harness.now)
     assert looked.calls <= MACHINES + 300
-    high = story.shard.add_job(
+    high = harness.shard.add_job(
         make_job(2000, shape=Shape.SERVICE, tasks=6, rank=RANKS["production"], estimated_run_us=0),
         200,
-        story.now,
+        harness.now,
     )
     looked.calls = 0
-    planning.plan(story.shard, story.now)
+    planning.plan(harness.shard, harness.now)
 
     assert sum(a.stop_grace_s is None for a in high.live.values()) == 6
     assert looked.calls <= 2 * MACHINES + 300 + 12
@@ -213,15 +213,15 @@
 
 
 def test_fleet_grows_by_a_share_of_itself_and_remembers_returned_names() -> None:
-    story = _full_fleet()
+    harness = _full_fleet()
 
-    job_states = list(story.shard.job_states.values())
+    job_states = list(harness.shard.job_states.values())
     needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
-    machines: list[Machine] = list(story.shard.machines.values())
+    machines: list[Machine] = list(harness.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
     plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": MACHINE_TYPE}, offers, MACHINES // 16)
     assert len(plan.rentals) == MACHINES // 16
     for number in range(MACHINES):
-        story.shard.drop_machine(_name(number), story.now)
+        harness.shard.drop_machine(_name(number), harness.now)
 
-    assert len(story.shard.deleted_machines) == MACHINES < MAX_RETAINED_NAMES
+    assert len(harness.shard.deleted_machines) == MACHINES < MAX_RETAINED_NAMES
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -11,340 +11,342 @@
 
 
 def test_task_is_started_ends_and_is_forgotten_only_once_its_result_is_stored() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness()
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
-    assert story.heartbeat("m-0") == [("run", "req-000001/0")]
-    assert story.heartbeat("m-0", task_status(attempt, "running")) == []
-    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not stored yet
+    assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
+    assert harness.heartbeat("m-0", task_status(attempt, "running")) == []
+    assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not stored yet
     assert job_state.complete
-    story.shard.confirm_stored(job_state, [0])
+    harness.shard.confirm_stored(job_state, [0])
 
-    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == [
+    assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == [
         ("forget", "req-000001/0")
     ]
 
 
 def test_lost_start_command_is_repeated_with_the_same_attempt_number() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    token = story.attempt(job_state).attempt_number
+    harness = ShardHarness()
+    job_state = harness.submit()
+    token = harness.attempt(job_state).attempt_number
 
-    assert story.heartbeat("m-0") == [("run", "req-000001/0")]
-    assert story.heartbeat("m-0") == [("run", "req-000001/0")]
-    assert story.attempt(job_state).attempt_number == token
+    assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
+    assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
+    assert harness.attempt(job_state).attempt_number == token
 
 
 def test_late_copy_of_an_old_heartbeat_is_ignored() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
-    old = story.make_heartbeat("m-0")
+    harness = ShardHarness()
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
+    old = harness.make_heartbeat("m-0")
 
-    story.heartbeat("m-0")
-    story.heartbeat("m-0", task_status(attempt, "running"))
-    story.submit(2)
+    harness.heartbeat("m-0")
+    harness.heartbeat("m-0", task_status(attempt, "running"))
+    harness.submit(2)
 
-    assert story.shard.heartbeat(old, story.now) == []  # nobody waits for this answer any more
+    assert harness.shard.heartbeat(old, harness.now) == []  # nobody waits for this answer any more
     assert job_state.live[0] is attempt
     assert attempt.stage == "running"
 
 
 def test_heartbeats_of_an_expired_agent_epoch_are_ignored() -> None:
-    story = ShardHarness(machines=2)
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness(machines=2)
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
     name = attempt.machine.name
-    story.heartbeat(name)
-    held = story.make_heartbeat(name, task_status(attempt, "running"))
-    story.now += TIMING.lease_expiry_us + 1
-    story.shard.advance(story.now)
+    harness.heartbeat(name)
+    held = harness.make_heartbeat(name, task_status(attempt, "running"))
+    harness.now += TIMING.lease_expiry_us + 1
+    harness.shard.advance(harness.now)
 
     assert attempt.machine.lost
     assert not job_state.live
-    assert story.shard.heartbeat(held, story.now) is None  # it comes minutes later
+    assert harness.shard.heartbeat(held, harness.now) is None  # it comes minutes later
     assert attempt.machine.lost
-    assert not attempt.machine.usable(story.now)
+    assert not attempt.machine.usable(harness.now)
 
 
 def test_silent_machine_keeps_its_tasks_until_its_lease_has_provably_expired() -> None:
-    story = ShardHarness(machines=2)
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness(machines=2)
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
-    story.heartbeat(attempt.machine.name)
-    story.now += TIMING.lease_us
-    story.shard.advance(story.now)
+    harness.heartbeat(attempt.machine.name)
+    harness.now += TIMING.lease_us
+    harness.shard.advance(harness.now)
     assert job_state.live[0] is attempt
-    story.now += TIMING.lease_expiry_us - TIMING.lease_us + 1
-    story.shard.advance(story.now)
+    harness.now += TIMING.lease_expiry_us - TIMING.lease_us + 1
+    harness.shard.advance(harness.now)
 
     assert not job_state.live
 
 
 def test_new_agent_epoch_ends_all_attempts_on_the_machine() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness()
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
-    story.heartbeat("m-0")
-    story.heartbeat("m-0", task_status(attempt, "running"))
-    story.heartbeat("m-0", epoch=2, tick=1)
+    harness.heartbeat("m-0")
+    harness.heartbeat("m-0", task_status(attempt, "running"))
+    harness.heartbeat("m-0", epoch=2, tick=1)
 
     assert not job_state.live
     assert job_state.waiting == 1
 
 
 def test_heartbeat_without_our_fencing_token_does_not_sync_the_machine() -> None:
-    story = ShardHarness(machines=0)
-    story.add("m-9", loaded=True)
-    job_state = story.submit(version=50)  # accepted before the shard was ours
+    harness = ShardHarness(machines=0)
+    harness.add("m-9", loaded=True)
+    job_state = harness.submit(version=50)  # accepted before the shard was ours
 
     # May still get commands of the old shard leader
-    assert story.heartbeat("m-9", fencing_token=6) == []
-    story.add("m-8")
-    story.heartbeat("m-8")
-    plan(story.shard, story.now)
+    assert harness.heartbeat("m-9", fencing_token=6) == []
+    harness.add("m-8")
+    harness.heartbeat("m-8")
+    plan(harness.shard, harness.now)
     assert not job_state.live  # it might run on m-9
-    story.heartbeat("m-9", TaskStatus("req-000001/0", 12345, "running"))
+    harness.heartbeat("m-9", TaskStatus("req-000001/0", 12345, "running"))
 
     assert job_state.live[0].machine.name == "m-9"
     assert job_state.live[0].attempt_number == 12345
 
 
 def test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines() -> None:
-    story = ShardHarness(machines=1)
-    story.add("m-9", loaded=True)
-    old, new = story.submit(1, version=50), story.submit(2, version=150)
+    harness = ShardHarness(machines=1)
+    harness.add("m-9", loaded=True)
+    old, new = harness.submit(1, version=50), harness.submit(2, version=150)
 
     assert not old.live
     assert new.live
-    story.now += TIMING.lease_expiry_us + 1
-    story.heartbeat("m-0")
-    story.shard.advance(story.now)  # m-9 has been silent past its lease
-    plan(story.shard, story.now)
+    harness.now += TIMING.lease_expiry_us + 1
+    harness.heartbeat("m-0")
+    harness.shard.advance(harness.now)  # m-9 has been silent past its lease
+    plan(harness.shard, harness.now)
 
     assert old.live
 
 
 def test_unacknowledged_start_holds_its_task_until_it_is_resolved() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    machine = story.shard.machines["m-0"]
+    harness = ShardHarness()
+    job_state = harness.submit()
+    machine = harness.shard.machines["m-0"]
 
-    commands, pushed_starts = story.shard.take_push_commands(machine)
+    commands, pushed_starts = harness.shard.take_push_commands(machine)
     assert [w.verb for w in commands] == ["run"]
-    assert story.heartbeat("m-0") == []  # on its way: not sent twice
+    assert harness.heartbeat("m-0") == []  # on its way: not sent twice
     assert job_state.live, "a heartbeat that does not list it proves nothing"
-    story.shard.acknowledge_starts(pushed_starts, None)
-    assert story.heartbeat("m-0") == [("run", "req-000001/0")]
-    assert story.heartbeat("m-0") == [("run", "req-000001/0")]
+    harness.shard.acknowledge_starts(pushed_starts, None)
+    assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
+    assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
     assert job_state.live
-    attempt = story.attempt(job_state)
+    attempt = harness.attempt(job_state)
 
     # Never forgotten: a copy
-    assert story.heartbeat("m-0", task_status(attempt, "ended", "full")) == []
-    assert story.heartbeat("m-0", task_status(attempt, "ended", "full")) == []  # may still arrive
+    assert harness.heartbeat("m-0", task_status(attempt, "ended", "full")) == []
+    assert harness.heartbeat("m-0", task_status(attempt, "ended", "full")) == []  # may still arrive
 
 
 def test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
+    harness = ShardHarness()
+    job_state = harness.submit()
 
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
-    story.shard.acknowledge_starts(pushed_starts, None)
-    story.shard.close_job("req-000001")
-    assert story.heartbeat("m-0") == [("run", "req-000001/0"), ("halt", "req-000001/0")]
+    _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
+    harness.shard.acknowledge_starts(pushed_starts, None)
+    harness.shard.close_job("req-000001")
+    assert harness.heartbeat("m-0") == [("run", "req-000001/0"), ("halt", "req-000001/0")]
     assert job_state.live  # the command may still arrive: first it is made known, then ended
-    attempt = story.attempt(job_state)
-    story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
+    attempt = harness.attempt(job_state)
+    harness.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
 
     assert not job_state.live
 
 
 def test_refused_start_that_may_arrive_again_does_not_delay_the_task() -> None:
     """With a single machine such a task once waited for ever."""
-    story = ShardHarness()
-    job_state = story.submit()
-
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
-    story.shard.acknowledge_starts(pushed_starts, None)
-    first = story.attempt(job_state)
-    story.heartbeat("m-0", task_status(first, "ended", "full"))
-    story.now += 3 * US
-    plan(story.shard, story.now)
-
-    assert story.attempt(job_state).attempt_number != first.attempt_number
-    assert story.heartbeat("m-0", task_status(first, "ended", "full")) == [("run", "req-000001/0")]
+    harness = ShardHarness()
+    job_state = harness.submit()
+
+    _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
+    harness.shard.acknowledge_starts(pushed_starts, None)
+    first = harness.attempt(job_state)
+    harness.heartbeat("m-0", task_status(first, "ended", "full"))
+    harness.now += 3 * US
+    plan(harness.shard, harness.now)
+
+    assert harness.attempt(job_state).attempt_number != first.attempt_number
+    assert harness.heartbeat("m-0", task_status(first, "ended", "full")) == [
+        ("run", "req-000001/0")
+    ]
 
 
 def test_refused_push_returns_its_attempt_to_planned_at_once() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
+    harness = ShardHarness()
+    job_state = harness.submit()
 
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
-    story.shard.acknowledge_starts(pushed_starts, False)
+    _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
+    harness.shard.acknowledge_starts(pushed_starts, False)
 
-    assert story.attempt(job_state).stage == "planned"
+    assert harness.attempt(job_state).stage == "planned"
 
 
 def test_heartbeat_older_than_the_answer_to_a_push_does_not_end_the_attempt() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    before = story.make_heartbeat("m-0")  # sent before the worker had the command
-
-    _, pushed_starts = story.shard.take_push_commands(story.shard.machines["m-0"])
-    attempt = story.attempt(job_state)
-    answer = story.make_heartbeat("m-0", task_status(attempt, "fetching"))
-    story.shard.answer(answer, story.now, pushed_starts)
-    story.shard.acknowledge_starts(pushed_starts, True)
+    harness = ShardHarness()
+    job_state = harness.submit()
+    before = harness.make_heartbeat("m-0")  # sent before the worker had the command
+
+    _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
+    attempt = harness.attempt(job_state)
+    answer = harness.make_heartbeat("m-0", task_status(attempt, "fetching"))
+    harness.shard.answer(answer, harness.now, pushed_starts)
+    harness.shard.acknowledge_starts(pushed_starts, True)
     assert attempt.stage == "fetching"
-    story.shard.heartbeat(before, story.now)
+    harness.shard.heartbeat(before, harness.now)
 
     assert job_state.live[0] is attempt
 
 
 def test_stopped_task_starts_elsewhere_only_after_it_has_ended() -> None:
-    story = ShardHarness(machines=2)
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness(machines=2)
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
     name = attempt.machine.name
-    story.heartbeat(name)
-    story.heartbeat(name, task_status(attempt, "running"))
-    story.shard.stop(attempt, 0.0)
-    plan(story.shard, story.now)
+    harness.heartbeat(name)
+    harness.heartbeat(name, task_status(attempt, "running"))
+    harness.shard.stop(attempt, 0.0)
+    plan(harness.shard, harness.now)
     assert job_state.live[0] is attempt
-    assert story.heartbeat(name, task_status(attempt, "running")) == [("halt", "req-000001/0")]
-    story.heartbeat(name, task_status(attempt, "ended", "stopped"))
-    plan(story.shard, story.now)
+    assert harness.heartbeat(name, task_status(attempt, "running")) == [("halt", "req-000001/0")]
+    harness.heartbeat(name, task_status(attempt, "ended", "stopped"))
+    plan(harness.shard, harness.now)
 
     assert job_state.live[0] is not attempt
 
 
 def test_no_task_starts_on_a_machine_that_is_not_recorded() -> None:
-    story = ShardHarness(machines=0)
-    machine = story.add("m-0")
+    harness = ShardHarness(machines=0)
+    machine = harness.add("m-0")
 
     machine.recorded = False
-    job_state = story.submit()
-    story.heartbeat("m-0")
-    plan(story.shard, story.now)
+    job_state = harness.submit()
+    harness.heartbeat("m-0")
+    plan(harness.shard, harness.now)
     assert not job_state.live
     machine.recorded = True
-    plan(story.shard, story.now)
+    plan(harness.shard, harness.now)
 
     assert job_state.live
 
 
 def test_limited_team_waits_while_tasks_of_unknown_size_may_run() -> None:
-    story = ShardHarness(limits={"red": TeamQuota(cpus_max=2.0)})
-    story.add("m-9", loaded=True)
-    job_state = story.submit(tasks=3)
+    harness = ShardHarness(limits={"red": TeamQuota(cpus_max=2.0)})
+    harness.add("m-9", loaded=True)
+    job_state = harness.submit(tasks=3)
 
     assert not job_state.live
-    story.heartbeat("m-9", TaskStatus("req-000777/0", 5, "running"))  # of a job that is over
-    plan(story.shard, story.now)
+    harness.heartbeat("m-9", TaskStatus("req-000777/0", 5, "running"))  # of a job that is over
+    plan(harness.shard, harness.now)
     assert not job_state.live
-    assert ("halt", "req-000777/0") in (story.heartbeat("m-9") or [("halt", "req-000777/0")])
-    story.heartbeat("m-9")
-    plan(story.shard, story.now)
+    assert ("halt", "req-000777/0") in (harness.heartbeat("m-9") or [("halt", "req-000777/0")])
+    harness.heartbeat("m-9")
+    plan(harness.shard, harness.now)
 
     assert len(job_state.live) == 2  # and never a third
 
 
 def test_cancelled_job_is_halted_and_forgotten() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness()
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
-    story.heartbeat("m-0")
-    story.heartbeat("m-0", task_status(attempt, "running"))
-    story.shard.close_job("req-000001")
-    assert story.heartbeat("m-0", task_status(attempt, "running")) == [("halt", "req-000001/0")]
-    story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
+    harness.heartbeat("m-0")
+    harness.heartbeat("m-0", task_status(attempt, "running"))
+    harness.shard.close_job("req-000001")
+    assert harness.heartbeat("m-0", task_status(attempt, "running")) == [("halt", "req-000001/0")]
+    harness.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
 
-    assert "req-000001" not in story.shard.job_states
+    assert "req-000001" not in harness.shard.job_states
 
 
 def test_unsynced_machine_gets_halts_for_closed_jobs_in_the_first_answer() -> None:
     """Its answer renews the lease, and may be the last that arrives."""
-    story = ShardHarness()
-    story.add("m-9", loaded=True)
-    story.submit(number=2, version=50)
+    harness = ShardHarness()
+    harness.add("m-9", loaded=True)
+    harness.submit(number=2, version=50)
 
     tasks = [
         TaskStatus("req-000001/0", 5, "running"),
         TaskStatus("req-000001/1", 6, "ended", "done"),
         TaskStatus("req-000002/0", 7, "running"),
     ]
-    assert story.heartbeat("m-9", *tasks, fencing_token=6) == [("halt", "req-000001/0")]
-    story.shard.close_job("req-000002")
+    assert harness.heartbeat("m-9", *tasks, fencing_token=6) == [("halt", "req-000001/0")]
+    harness.shard.close_job("req-000002")
 
-    assert ("halt", "req-000002/0") in (story.heartbeat("m-9", *tasks, fencing_token=6) or [])
+    assert ("halt", "req-000002/0") in (harness.heartbeat("m-9", *tasks, fencing_token=6) or [])
 
 
 def test_machine_silent_for_half_a_lease_gets_no_new_tasks() -> None:
     """A machine without heartbeats takes pushed commands, which don't renew its lease."""
-    story = ShardHarness(machines=2)
+    harness = ShardHarness(machines=2)
 
-    story.now += TIMING.lease_us // 2 + 1
-    story.heartbeat("m-1")
-    job_state = story.submit(tasks=2)
+    harness.now += TIMING.lease_us // 2 + 1
+    harness.heartbeat("m-1")
+    job_state = harness.submit(tasks=2)
     assert {attempt.machine.name for attempt in job_state.live.values()} == {"m-1"}
-    story.heartbeat("m-0")
-    other = story.submit(number=2, cpus=3.0)
+    harness.heartbeat("m-0")
+    other = harness.submit(number=2, cpus=3.0)
 
     assert other.live[0].machine.name == "m-0"
 
 
 def test_broken_gang_restarts_only_after_all_its_attempts_have_ended() -> None:
-    story = ShardHarness(machines=2)
-    job_state = story.submit(shape=Shape.GANG, tasks=2, cpus=3.0)
-    first, second = story.attempt(job_state, 0), story.attempt(job_state, 1)
+    harness = ShardHarness(machines=2)
+    job_state = harness.submit(shape=Shape.GANG, tasks=2, cpus=3.0)
+    first, second = harness.attempt(job_state, 0), harness.attempt(job_state, 1)
 
     assert first.attempt_number == second.attempt_number
     assert first.machine is not second.machine
     for one in (first, second):
-        story.heartbeat(one.machine.name)
-        story.heartbeat(one.machine.name, task_status(one, "running"))
-    story.heartbeat(first.machine.name, task_status(first, "ended", "error"))
-    plan(story.shard, story.now)
+        harness.heartbeat(one.machine.name)
+        harness.heartbeat(one.machine.name, task_status(one, "running"))
+    harness.heartbeat(first.machine.name, task_status(first, "ended", "error"))
+    plan(harness.shard, harness.now)
     assert job_state.live == {1: second}
-    story.heartbeat(second.machine.name, task_status(second, "ended", "peers"))
-    story.now += 31 * US  # it is kept off the machine it failed on for a while
+    harness.heartbeat(second.machine.name, task_status(second, "ended", "peers"))
+    harness.now += 31 * US  # it is kept off the machine it failed on for a while
     for one in (first, second):
-        story.heartbeat(one.machine.name)
-    plan(story.shard, story.now)
+        harness.heartbeat(one.machine.name)
+    plan(harness.shard, harness.now)
 
     assert len(job_state.live) == 2
     assert job_state.live[0].attempt_number != first.attempt_number
 
 
 def test_one_zone_and_apart_hold_together() -> None:
-    story = ShardHarness(machines=3)
+    harness = ShardHarness(machines=3)
 
-    story.shard.machines["m-2"].zone = "b"
-    job_state = story.submit(tasks=4, one_zone=True, spread_zones=True)
+    harness.shard.machines["m-2"].zone = "b"
+    job_state = harness.submit(tasks=4, one_zone=True, spread_zones=True)
 
     assert len(job_state.live) == 2
     assert len({a.machine.zone for a in job_state.live.values()}) == 1
 
 
 def test_higher_rank_preempts_lower_rank_and_equal_rank_does_not() -> None:
-    story = ShardHarness()
-    low = story.submit(1, tasks=4, rank=0)
+    harness = ShardHarness()
+    low = harness.submit(1, tasks=4, rank=0)
 
     for attempt in list(low.live.values()):
         attempt.stage = "running"
-    assert not story.submit(2, rank=1).live
-    high = story.submit(3, shape=Shape.GANG, rank=2, cpus=3.0)
+    assert not harness.submit(2, rank=1).live
+    high = harness.submit(3, shape=Shape.GANG, rank=2, cpus=3.0)
     assert len(high.live) == 1
     assert sum(1 for a in low.live.values() if a.stop_grace_s is not None) == 3
     there = [task_status(attempt, "running") for attempt in low.live.values()]
-    commands = story.heartbeat("m-0", *there)
+    commands = harness.heartbeat("m-0", *there)
     assert commands is not None
     assert ("run", "req-000003/0") not in commands
     gone = [
@@ -352,21 +354,21 @@
     ]
     kept = [task_status(a, "running") for a in low.live.values() if a.stop_grace_s is None]
 
-    assert ("run", "req-000003/0") in (story.heartbeat("m-0", *gone, *kept) or [])
+    assert ("run", "req-000003/0") in (harness.heartbeat("m-0", *gone, *kept) or [])
 
 
 def test_task_on_a_machine_with_preemption_notice_checkpoints_in_time() -> None:
-    story = ShardHarness()
-    job_state = story.submit(checkpoint_interval_us=20 * US, checkpoint_duration_s=5.0)
-    attempt = story.attempt(job_state)
+    harness = ShardHarness()
+    job_state = harness.submit(checkpoint_interval_us=20 * US, checkpoint_duration_s=5.0)
+    attempt = harness.attempt(job_state)
 
-    story.heartbeat("m-0")
-    heartbeat = story.make_heartbeat("m-0", task_status(attempt, "running"))
+    harness.heartbeat("m-0")
+    heartbeat = harness.make_heartbeat("m-0", task_status(attempt, "running"))
     heartbeat.preemption_notice_s = 30.0
-    assert story.shard.heartbeat(heartbeat, story.now) == []  # there is time: it goes on
-    heartbeat = story.make_heartbeat("m-0", task_status(attempt, "running"))
+    assert harness.shard.heartbeat(heartbeat, harness.now) == []  # there is time: it goes on
+    heartbeat = harness.make_heartbeat("m-0", task_status(attempt, "running"))
     heartbeat.preemption_notice_s = 7.0
-    commands = story.shard.heartbeat(heartbeat, story.now)
+    commands = harness.shard.heartbeat(heartbeat, harness.now)
 
     assert commands
     assert commands[0].verb == "halt"
@@ -374,27 +376,27 @@
 
 
 def test_guarantee_preempts_work_beyond_another_teams_guarantee() -> None:
-    story = ShardHarness(limits={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
-    blue = story.submit(1, team="blue", tasks=4)
+    harness = ShardHarness(limits={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
+    blue = harness.submit(1, team="blue", tasks=4)
 
     for attempt in blue.live.values():
         attempt.stage = "running"
-    red = story.submit(2, tasks=1, cpus=2.0)
+    red = harness.submit(2, tasks=1, cpus=2.0)
     assert len(red.live) == 1
     assert sum(1 for a in blue.live.values() if a.stop_grace_s is not None) == 2
-    late = story.submit(3, team="blue", tasks=1, cpus=1.0)
+    late = harness.submit(3, team="blue", tasks=1, cpus=1.0)
 
     assert not late.live  # beyond its guarantee, blue takes nothing from red
 
 
 def test_waiting_gangs_are_placed_before_arrays_of_their_rank() -> None:
-    story = ShardHarness()
-    filler = story.submit(1, tasks=4)
-    array, gang = story.submit(2, tasks=4), story.submit(3, shape=Shape.GANG, tasks=2, cpus=2.0)
+    harness = ShardHarness()
+    filler = harness.submit(1, tasks=4)
+    array, gang = harness.submit(2, tasks=4), harness.submit(3, shape=Shape.GANG, tasks=2, cpus=2.0)
 
-    story.shard.close_job("req-000001")
+    harness.shard.close_job("req-000001")
     assert not filler.live
-    plan(story.shard, story.now)
+    plan(harness.shard, harness.now)
 
     assert len(gang.live) == 2
     assert not array.live
@@ -402,186 +404,192 @@
 
 def test_machine_whose_lease_expired_despite_answers_must_prove_it_is_reachable() -> None:
     """Its heartbeats arrive, answers and commands don't: its tasks move, no new ones come."""
-    story = ShardHarness(machines=2)
-    job_state = story.submit()
-    unreachable = story.attempt(job_state).machine
-
-    story.heartbeat(unreachable.name)
-    story.now += TIMING.lease_us
-    story.heartbeat(unreachable.name, epoch=2, tick=1)
-    for name in story.shard.machines:
+    harness = ShardHarness(machines=2)
+    job_state = harness.submit()
+    unreachable = harness.attempt(job_state).machine
+
+    harness.heartbeat(unreachable.name)
+    harness.now += TIMING.lease_us
+    harness.heartbeat(unreachable.name, epoch=2, tick=1)
+    for name in harness.shard.machines:
         if name != unreachable.name:
-            story.heartbeat(name)
-    plan(story.shard, story.now)
+            harness.heartbeat(name)
+    plan(harness.shard, harness.now)
     assert job_state.live[0].machine is not unreachable
-    assert not unreachable.usable(story.now)
-    story.shard.answer(story.make_heartbeat(unreachable.name, epoch=2, tick=2), story.now)
+    assert not unreachable.usable(harness.now)
+    harness.shard.answer(harness.make_heartbeat(unreachable.name, epoch=2, tick=2), harness.now)
 
-    assert unreachable.usable(story.now)
+    assert unreachable.usable(harness.now)
 
 
 def test_agent_epoch_longer_than_a_lease_proves_that_the_machine_is_reachable() -> None:
-    story = ShardHarness()
-    machine = story.shard.machines["m-0"]
+    harness = ShardHarness()
+    machine = harness.shard.machines["m-0"]
 
-    story.heartbeat("m-0", epoch=2, tick=1)
-    assert not machine.usable(story.now)
+    harness.heartbeat("m-0", epoch=2, tick=1)
+    assert not machine.usable(harness.now)
     for tick in range(2, 13):
-        story.now += US
-        story.heartbeat("m-0", epoch=2, tick=tick)
+        harness.now += US
+        harness.heartbeat("m-0", epoch=2, tick=tick)
 
-    assert machine.usable(story.now)
+    assert machine.usable(harness.now)
 
 
 def test_unacknowledged_push_keeps_new_tasks_off_until_a_command_takes_effect() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    machine = story.shard.machines["m-0"]
+    harness = ShardHarness()
+    job_state = harness.submit()
+    machine = harness.shard.machines["m-0"]
 
-    _, pushed_starts = story.shard.take_push_commands(machine)
-    story.shard.acknowledge_starts(pushed_starts, None)
-    story.shard.mark_unreachable(machine, story.now)
-    assert not machine.usable(story.now)
-    story.heartbeat("m-0")
-    assert not machine.usable(story.now)  # a heartbeat shows nothing about the way back
-    story.heartbeat("m-0", task_status(story.attempt(job_state), "fetching"))
+    _, pushed_starts = harness.shard.take_push_commands(machine)
+    harness.shard.acknowledge_starts(pushed_starts, None)
+    harness.shard.mark_unreachable(machine, harness.now)
+    assert not machine.usable(harness.now)
+    harness.heartbeat("m-0")
+    assert not machine.usable(harness.now)  # a heartbeat shows nothing about the way back
+    harness.heartbeat("m-0", task_status(harness.attempt(job_state), "fetching"))
 
-    assert machine.usable(story.now)
+    assert machine.usable(harness.now)
 
 
 def test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever() -> None:
     """After a failover heartbeats of an unreachable machine, or copies, may keep arriving."""
-    story = ShardHarness()
-    story.add("m-9", loaded=True)
-    job_state = story.submit(version=50)
+    harness = ShardHarness()
+    harness.add("m-9", loaded=True)
+    job_state = harness.submit(version=50)
 
     assert not job_state.live
     for tick in range(1, 40):
-        story.now += US
-        story.heartbeat("m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, tick=tick)
-        story.heartbeat("m-0")
-        story.shard.advance(story.now)
-        plan(story.shard, story.now)
+        harness.now += US
+        harness.heartbeat(
+            "m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, tick=tick
+        )
+        harness.heartbeat("m-0")
+        harness.shard.advance(harness.now)
+        plan(harness.shard, harness.now)
         if job_state.live:
             break
-    waited = story.now - story.shard.acquired_at
+    waited = harness.now - harness.shard.acquired_at
 
     assert TIMING.lease_expiry_us < waited <= TIMING.lease_us + TIMING.lease_expiry_us + 2 * US
     assert job_state.live[0].machine.name == "m-0"
 
 
 def test_heartbeat_copies_do_not_restore_a_lost_machine() -> None:
-    story = ShardHarness()
-    lost = story.add("m-9", loaded=True)
+    harness = ShardHarness()
+    lost = harness.add("m-9", loaded=True)
 
-    story.now += TIMING.lease_expiry_us + 1
-    story.heartbeat("m-0")
-    story.shard.advance(story.now)
+    harness.now += TIMING.lease_expiry_us + 1
+    harness.heartbeat("m-0")
+    harness.shard.advance(harness.now)
     assert lost.lost
-    story.submit()
+    harness.submit()
     assert (
-        story.heartbeat("m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, epoch=3)
+        harness.heartbeat("m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, epoch=3)
         == []
     )
     # One of a job that is over must go, whoever listens; that proves no more than the other.
     over = TaskStatus("req-000009/0", 5, "running")
-    assert story.heartbeat("m-9", over, fencing_token=6, epoch=3) == [("halt", "req-000009/0")]
+    assert harness.heartbeat("m-9", over, fencing_token=6, epoch=3) == [("halt", "req-000009/0")]
     assert lost.lost
     assert not lost.up
     assert not lost.attempts
     assert not lost.last_heartbeat_at
-    story.heartbeat("m-9", epoch=4, tick=1)  # it shows our fencing token: it lives
+    harness.heartbeat("m-9", epoch=4, tick=1)  # it shows our fencing token: it lives
 
     assert not lost.lost
     assert lost.synced
 
 
 def test_stragglers_move_off_a_slow_machine_but_a_job_slow_everywhere_stays() -> None:
-    story = ShardHarness(machines=3)
-    job_state = story.submit(tasks=9)
+    harness = ShardHarness(machines=3)
+    job_state = harness.submit(tasks=9)
 
     slow = job_state.live[0].machine
     for attempt in list(job_state.live.values()):
-        story.heartbeat(attempt.machine.name)
+        harness.heartbeat(attempt.machine.name)
     for name in ("m-0", "m-1", "m-2"):
-        there = [task_status(a, "running") for a in story.shard.machines[name].attempts.values()]
-        story.heartbeat(name, *there)
-    story.now += 5 * US
+        there = [task_status(a, "running") for a in harness.shard.machines[name].attempts.values()]
+        harness.heartbeat(name, *there)
+    harness.now += 5 * US
     for name in ("m-0", "m-1", "m-2"):
         if name != slow.name:
             ended = [
                 task_status(a, "ended", "done")
-                for a in story.shard.machines[name].attempts.values()
+                for a in harness.shard.machines[name].attempts.values()
             ]
-            story.heartbeat(name, *ended)
+            harness.heartbeat(name, *ended)
     assert job_state.ran_count >= 3
     for _ in range(80):
-        story.now += US
+        harness.now += US
         for name in ("m-0", "m-1", "m-2"):
-            story.heartbeat(name, *(task_status(a, "running") for a in _attempts_on(story, name)))
-        story.shard.advance(story.now)
+            harness.heartbeat(
+                name, *(task_status(a, "running") for a in _attempts_on(harness, name))
+            )
+        harness.shard.advance(harness.now)
     assert all(a.stop_grace_s is not None for a in slow.attempts.values())
     gone = [task_status(a, "ended", "stopped") for a in slow.attempts.values()]
-    story.heartbeat(slow.name, *gone)
+    harness.heartbeat(slow.name, *gone)
     for name in ("m-0", "m-1", "m-2"):
-        story.heartbeat(name)
-    plan(story.shard, story.now)
+        harness.heartbeat(name)
+    plan(harness.shard, harness.now)
     assert job_state.live
     assert all(a.machine is not slow for a in job_state.live.values())
-    everywhere = story.submit(2, tasks=1)
+    everywhere = harness.submit(2, tasks=1)
     for _ in range(10):
         attempt = everywhere.live[0]
-        attempt.stage, attempt.running_since = "running", story.now
-        story.now += 400 * US
-        story.shard._stragglers.stop_stragglers(everywhere, story.now)
+        attempt.stage, attempt.running_since = "running", harness.now
+        harness.now += 400 * US
+        harness.shard._stragglers.stop_stragglers(everywhere, harness.now)
         if attempt.stop_grace_s is None:
             break
-        story.shard._attempts.remove(attempt, story.now)
-        for machine in story.shard.machines.values():
+        harness.shard._attempts.remove(attempt, harness.now)
+        for machine in harness.shard.machines.values():
             machine.draining = False
-        story.now += 301 * US
-        for name in story.shard.machines:
-            story.heartbeat(name)
-        plan(story.shard, story.now)
+        harness.now += 301 * US
+        for name in harness.shard.machines:
+            harness.heartbeat(name)
+        plan(harness.shard, harness.now)
 
     assert everywhere.history.stragglers_stopped == 4
     assert attempt.stop_grace_s is None
 
 
 def test_job_returns_to_the_only_machine_although_it_was_slow() -> None:
-    story = ShardHarness()
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness()
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
-    attempt.stage, attempt.running_since = "running", story.now
-    story.now += 400 * US
-    story.shard._stragglers.stop_stragglers(job_state, story.now)
+    attempt.stage, attempt.running_since = "running", harness.now
+    harness.now += 400 * US
+    harness.shard._stragglers.stop_stragglers(job_state, harness.now)
     assert attempt.stop_grace_s is not None
-    story.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
-    plan(story.shard, story.now)
+    harness.heartbeat("m-0", task_status(attempt, "ended", "stopped"))
+    plan(harness.shard, harness.now)
     assert not job_state.live  # anywhere else would be better
     for _ in range(75):
-        story.now += US
-        story.heartbeat("m-0")
-        plan(story.shard, story.now)
+        harness.now += US
+        harness.heartbeat("m-0")
+        plan(harness.shard, harness.now)
 
     assert job_state.live
 
 
 def test_room_is_reserved_for_a_large_waiting_gang() -> None:
     """Single tasks of its own rank would else take each place as it falls free."""
-    story = ShardHarness(machines=2)
+    harness = ShardHarness(machines=2)
 
-    running = [story.submit(number, cpus=2.0, shape=Shape.GANG) for number in range(1, 5)]
-    large = story.submit(9, tasks=2, cpus=4.0, shape=Shape.GANG, one_zone=True)
+    running = [harness.submit(number, cpus=2.0, shape=Shape.GANG) for number in range(1, 5)]
+    large = harness.submit(9, tasks=2, cpus=4.0, shape=Shape.GANG, one_zone=True)
     for number in range(10, 40):  # always one goes and another comes
-        story.now += 10 * US
+        harness.now += 10 * US
         for name in ("m-0", "m-1"):
-            story.heartbeat(name, *(task_status(a, "running") for a in _attempts_on(story, name)))
+            harness.heartbeat(
+                name, *(task_status(a, "running") for a in _attempts_on(harness, name))
+            )
         first = running.pop(0).live[0]
-        story.heartbeat(first.machine.name, task_status(first, "ended", "done"))
-        story.shard.close_job(first.job_state.job.ref)
-        running.append(story.submit(number, cpus=2.0, shape=Shape.GANG))
+        harness.heartbeat(first.machine.name, task_status(first, "ended", "done"))
+        harness.shard.close_job(first.job_state.job.ref)
+        running.append(harness.submit(number, cpus=2.0, shape=Shape.GANG))
         running = [job_state for job_state in running if job_state.live]
         if large.live:
             break
@@ -589,51 +597,55 @@
     assert len(large.live) == 2
 
 
-def _attempts_on(story: ShardHarness, name: str) -> list[Attempt]:
-    return list(story.shard.machines[name].attempts.values())
+def _attempts_on(harness: ShardHarness, name: str) -> list[Attempt]:
+    return list(harness.shard.machines[name].attempts.values())
 
 
 def test_machine_is_settled_although_an_orphaned_attempt_stays_listed() -> None:
     """A pushed start that was never answered may arrive again, so its number is not forgotten.
     That is no reason to keep the machine once the result is stored."""
-    story = ShardHarness()
-    machine = story.shard.machines["m-0"]
-    job_state = story.submit()
-    attempt = story.attempt(job_state)
+    harness = ShardHarness()
+    machine = harness.shard.machines["m-0"]
+    job_state = harness.submit()
+    attempt = harness.attempt(job_state)
 
-    _, pushed_starts = story.shard.take_push_commands(machine)
-    assert not story.shard.is_settled(machine)
-    story.shard.acknowledge_starts(pushed_starts, None)
-    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
-    assert not story.shard.is_settled(machine)  # its list is the only record of the result
-    story.shard.confirm_stored(job_state, [0])
+    _, pushed_starts = harness.shard.take_push_commands(machine)
+    assert not harness.shard.is_settled(machine)
+    harness.shard.acknowledge_starts(pushed_starts, None)
+    assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
+    assert not harness.shard.is_settled(machine)  # its list is the only record of the result
+    harness.shard.confirm_stored(job_state, [0])
 
-    assert story.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not forgotten
-    assert story.shard.is_settled(machine)
+    assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not forgotten
+    assert harness.shard.is_settled(machine)
 
 
 def test_machine_with_a_running_task_of_a_closed_job_is_not_settled() -> None:
-    story = ShardHarness()
-    machine = story.shard.machines["m-0"]
+    harness = ShardHarness()
+    machine = harness.shard.machines["m-0"]
 
     belongs_to_other_shard = TaskStatus("req-000009/0", 3, "running")
 
-    assert story.heartbeat("m-0", belongs_to_other_shard) == [("halt", "req-000009/0")]
-    assert not story.shard.is_settled(machine)
+    assert harness.heartbeat("m-0", belongs_to_other_shard) == [("halt", "req-000009/0")]
+    assert not harness.shard.is_settled(machine)
 
 
 def test_job_with_objective_reclaims_its_share_from_checkpointed_work_without() -> None:
-    story = ShardHarness()
+    harness = ShardHarness()
 
-    story.shard.machines["m-0"].images["img"] = 1.0
-    low = story.submit(1, tasks=4, rank=0, checkpoint_interval_us=5 * US, checkpoint_duration_s=2.0)
+    harness.shard.machines["m-0"].images["img"] = 1.0
+    low = harness.submit(
+        1, tasks=4, rank=0, checkpoint_interval_us=5 * US, checkpoint_duration_s=2.0
+    )
     low.has_objective = False
     attempts = list(low.live.values())
-    story.heartbeat("m-0")
-    story.heartbeat("m-0", *(task_status(a, "running") for a in attempts))
-    job_state = story.shard.add_job(make_job(2, tasks=3, rank=1, due_us=100 * US), 200, story.now)
+    harness.heartbeat("m-0")
+    harness.heartbeat("m-0", *(task_status(a, "running") for a in attempts))
+    job_state = harness.shard.add_job(
+        make_job(2, tasks=3, rank=1, due_us=100 * US), 200, harness.now
+    )
     job_state.slots, low.slots = 2, 2
-    plan(story.shard, story.now)
+    plan(harness.shard, harness.now)
 
     assert len(job_state.live) == 2  # its share, and no more
     assert sorted(a.stop_grace_s for a in attempts if a.stop_grace_s is not None) == [2.0, 2.0]
@@ -643,22 +655,24 @@
     "case", ["no checkpoint", "other has objective", "same rank", "no objective", "no share"]
 )
 def test_job_with_objective_preempts_nothing_else(case: str) -> None:
-    story = ShardHarness()
+    harness = ShardHarness()
     saves = (
         {}
         if case == "no checkpoint"
         else {"checkpoint_interval_us": 5 * US, "checkpoint_duration_s": 2.0}
     )
-    low = story.submit(1, tasks=4, rank=1 if case == "same rank" else 0, **saves)
+    low = harness.submit(1, tasks=4, rank=1 if case == "same rank" else 0, **saves)
 
     low.has_objective = case == "other has objective"
     attempts = list(low.live.values())
-    story.heartbeat("m-0")
-    story.heartbeat("m-0", *(task_status(a, "running") for a in attempts))
-    job_state = story.shard.add_job(make_job(2, tasks=3, rank=1, due_us=100 * US), 200, story.now)
+    harness.heartbeat("m-0")
+    harness.heartbeat("m-0", *(task_status(a, "running") for a in attempts))
+    job_state = harness.shard.add_job(
+        make_job(2, tasks=3, rank=1, due_us=100 * US), 200, harness.now
+    )
     job_state.has_objective = case != "no objective"
     job_state.slots, low.slots = 0 if case == "no share" else 2, 2
-    plan(story.shard, story.now)
+    plan(harness.shard, harness.now)
 
     assert not job_state.live
     assert all(a.stop_grace_s is None for a in attempts)
@@ -666,22 +680,22 @@
 
 def test_jobs_that_fail_everywhere_do_not_count_against_a_machine() -> None:
     """Four of them, still open, would else have a healthy machine taken for faulty."""
-    story = ShardHarness(machines=2)
+    harness = ShardHarness(machines=2)
 
     for number in range(1, 5):
-        job_state = story.submit(number)
+        job_state = harness.submit(number)
         for _ in range(2):
-            attempt = story.attempt(job_state)
+            attempt = harness.attempt(job_state)
             assert ("run", f"{job_state.job.ref}/0") in (
-                story.heartbeat(attempt.machine.name) or []
+                harness.heartbeat(attempt.machine.name) or []
             )
-            story.heartbeat(attempt.machine.name, task_status(attempt, "ended", "error"))
-            story.now += 5 * US
+            harness.heartbeat(attempt.machine.name, task_status(attempt, "ended", "error"))
+            harness.now += 5 * US
             for name in ("m-0", "m-1"):
-                story.heartbeat(name)
-            plan(story.shard, story.now)
+                harness.heartbeat(name)
+            plan(harness.shard, harness.now)
         assert not job_state.live  # both are avoided for a while
-    machines = story.shard.machines.values()
+    machines = harness.shard.machines.values()
 
     assert not any(machine.draining for machine in machines)
     assert all(not machine.failed_jobs for machine in machines)
--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -39,84 +39,86 @@
 from tests.simulation import Loop, poll_until, simulated
 
 
-def _push_starts(story: ShardHarness, machine: Machine) -> list[Attempt]:
+def _push_starts(harness: ShardHarness, machine: Machine) -> list[Attempt]:
     """Push what is due for a machine; the starts, which stay in flight."""
-    return story.shard.take_push_commands(machine)[1]
+    return harness.shard.take_push_commands(machine)[1]
 
 
-def _answer_push(story: ShardHarness, starts: list[Attempt], epoch: int, executed: bool) -> None:
+def _answer_push(harness: ShardHarness, starts: list[Attempt], epoch: int, executed: bool) -> None:
     """The machine answers a push, and shows its epoch and, if it executed them, the starts."""
     machine = starts[0].machine.name
     tasks = [task_status(attempt, "running") for attempt in starts] if executed else []
-    story.shard.answer(
-        story.make_heartbeat(machine, *tasks, epoch=epoch), story.now, starts if executed else ()
+    harness.shard.answer(
+        harness.make_heartbeat(machine, *tasks, epoch=epoch),
+        harness.now,
+        starts if executed else (),
     )
-    story.shard.acknowledge_starts(starts, executed)
+    harness.shard.acknowledge_starts(starts, executed)
 
 
-def _probe(story: ShardHarness, machine: str, epoch: int) -> None:
+def _probe(harness: ShardHarness, machine: str, epoch: int) -> None:
     """A probe is answered, without a task."""
-    story.shard.answer(story.make_heartbeat(machine, epoch=epoch), story.now)
+    harness.shard.answer(harness.make_heartbeat(machine, epoch=epoch), harness.now)
 
 
-def _start_in_new_epoch(story: ShardHarness, machine: Machine, job_state: JobState) -> Attempt:
+def _start_in_new_epoch(harness: ShardHarness, machine: Machine, job_state: JobState) -> Attempt:
     """A start is refused, since the machine has begun epoch 2, and is executed there."""
-    _answer_push(story, _push_starts(story, machine), epoch=2, executed=False)
-    plan(story.shard, story.now)
-    _answer_push(story, _push_starts(story, machine), epoch=2, executed=True)
-    return story.attempt(job_state)
+    _answer_push(harness, _push_starts(harness, machine), epoch=2, executed=False)
+    plan(harness.shard, harness.now)
+    _answer_push(harness, _push_starts(harness, machine), epoch=2, executed=True)
+    return harness.attempt(job_state)
 
 
 def test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch() -> None:
     # Given a machine that an earlier shard leader used, and that hears us but is not heard
-    story = ShardHarness(machines=0)
-    machine = story.add("m-0", loaded=True)
+    harness = ShardHarness(machines=0)
+    machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
-    _probe(story, "m-0", epoch=1)
-    story.now += TIMING.lease_us // 2 - US
+    _probe(harness, "m-0", epoch=1)
+    harness.now += TIMING.lease_us // 2 - US
 
     # When its epoch ends, and a new job is started in the next one
-    job_state = story.submit()
-    attempt = _start_in_new_epoch(story, machine, job_state)
-    epoch_began = story.now
-    story.add("m-1")
+    job_state = harness.submit()
+    attempt = _start_in_new_epoch(harness, machine, job_state)
+    epoch_began = harness.now
+    harness.add("m-1")
 
     # Then the task stays there when a lease has passed since the grant
-    story.now = story.shard.acquired_at + TIMING.lease_expiry_us + US
-    story.heartbeat("m-1")
-    story.shard.advance(story.now)
-    plan(story.shard, story.now)
-    assert story.attempt(job_state) is attempt
+    harness.now = harness.shard.acquired_at + TIMING.lease_expiry_us + US
+    harness.heartbeat("m-1")
+    harness.shard.advance(harness.now)
+    plan(harness.shard, harness.now)
+    assert harness.attempt(job_state) is attempt
     assert not machine.lost
 
     # and until the lease of its own epoch has passed
-    story.now = epoch_began + TIMING.lease_expiry_us
-    story.shard.advance(story.now)
-    assert story.attempt(job_state) is attempt
-    story.now += US
-    story.heartbeat("m-1")
-    story.shard.advance(story.now)
+    harness.now = epoch_began + TIMING.lease_expiry_us
+    harness.shard.advance(harness.now)
+    assert harness.attempt(job_state) is attempt
+    harness.now += US
+    harness.heartbeat("m-1")
+    harness.shard.advance(harness.now)
     assert machine.lost
-    plan(story.shard, story.now)
-    assert story.attempt(job_state).machine.name == "m-1"
+    plan(harness.shard, harness.now)
+    assert harness.attempt(job_state).machine.name == "m-1"
 
 
 def test_machine_that_shows_itself_again_is_not_lost_again_at_once() -> None:
     # Given a machine that was lost
-    story = ShardHarness()
-    machine = story.shard.machines["m-0"]
-    story.now += TIMING.lease_expiry_us + US
-    story.shard.advance(story.now)
+    harness = ShardHarness()
+    machine = harness.shard.machines["m-0"]
+    harness.now += TIMING.lease_expiry_us + US
+    harness.shard.advance(harness.now)
     assert machine.lost
 
     # When it shows itself again in its next epoch, but only by an answer to a probe
-    _probe(story, "m-0", epoch=2)
-    story.now += US // 10
-    story.shard.advance(story.now)
+    _probe(harness, "m-0", epoch=2)
+    harness.now += US // 10
+    harness.shard.advance(harness.now)
 
     # Then it is not lost, and its heartbeats are answered
     assert not machine.lost
-    assert story.heartbeat("m-0", epoch=2) is not None
+    assert harness.heartbeat("m-0", epoch=2) is not None
 
 
 async def _replace_shard_leader(deployment: Deployment) -> float:
@@ -171,17 +173,17 @@
 
 
 def test_log_tells_since_what_the_lease_of_a_lost_machine_was_counted() -> None:
-    story = ShardHarness(machines=0)
-    machine = story.add("m-0", loaded=True)
+    harness = ShardHarness(machines=0)
+    machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
-    _probe(story, "m-0", epoch=1)
-    job_state = story.submit(tasks=7, cpus=0.5)
-    _start_in_new_epoch(story, machine, job_state)
-    story.now += TIMING.lease_expiry_us + US
-    story.shard.advance(story.now)
+    _probe(harness, "m-0", epoch=1)
+    job_state = harness.submit(tasks=7, cpus=0.5)
+    _start_in_new_epoch(harness, machine, job_state)
+    harness.now += TIMING.lease_expiry_us + US
+    harness.shard.advance(harness.now)
 
     first_tasks = ", ".join(f"req-000001/{index}" for index in range(5))
-    assert story.logged == [
+    assert harness.logged == [
         "machine m-0 began epoch 2 (fencing token 7, 0.0 s since the first message of its epoch): "
         f"7 tasks lost: {first_tasks}, ...",
         "job req-000001 (reports, 7 tasks): first task running after 0.0 s on m-0",
@@ -194,15 +196,15 @@
 def test_debug_log_tells_what_was_known_when_a_command_was_sent(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    story = ShardHarness()
-    machine = story.shard.machines["m-0"]
-    story.submit()
-    story.now += 2 * US
-    commands, _ = story.shard.take_push_commands(machine)
+    harness = ShardHarness()
+    machine = harness.shard.machines["m-0"]
+    harness.submit()
+    harness.now += 2 * US
+    commands, _ = harness.shard.take_push_commands(machine)
     forget = TaskCommand(FORGET, "req-000009", 0, 1)
 
     with caplog.at_level("DEBUG", "basaltlead"):
-        log_commands(story.shard, machine, [*commands, forget], pushed=True, now=story.now)
+        log_commands(harness.shard, machine, [*commands, forget], pushed=True, now=harness.now)
 
     number = commands[0].attempt_number
     assert caplog.messages == [
@@ -248,18 +250,18 @@
 
 def test_epoch_that_only_a_push_has_shown_does_not_make_a_silent_machine_usable() -> None:
     # Given a machine that was silent for more than half a lease
-    story = ShardHarness()
-    story.now += TIMING.lease_us // 2 + US
+    harness = ShardHarness()
+    harness.now += TIMING.lease_us // 2 + US
 
     # When an answer to a probe shows its next epoch
-    _probe(story, "m-0", epoch=2)
+    _probe(harness, "m-0", epoch=2)
 
     # Then no task is started there until a heartbeat is answered
-    job_state = story.submit()
+    job_state = harness.submit()
     assert not job_state.live
-    story.heartbeat("m-0", epoch=2)
-    plan(story.shard, story.now)
-    assert story.attempt(job_state).machine.name == "m-0"
+    harness.heartbeat("m-0", epoch=2)
+    plan(harness.shard, harness.now)
+    assert harness.attempt(job_state).machine.name == "m-0"
 
 
 @simulated
