--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -268,7 +268,7 @@
         return _Listener(self.net, (host, port))
 
 
-def play(scenario: Callable[[Loop], Coroutine[Any, Any, None]], seed: int = 1) -> None:
+def run_scenario(scenario: Callable[[Loop], Coroutine[Any, Any, None]], seed: int = 1) -> None:
     """Run a scenario to its end on a fresh loop and clock."""
     loop = Loop(seed)
     failures: list[str] = []
@@ -307,7 +307,7 @@
 
     @functools.wraps(test)
     def run(**values: Any) -> None:
-        play(lambda loop: test(loop, **values), values.get("seed", 1))
+        run_scenario(lambda loop: test(loop, **values), values.get("seed", 1))
 
     # Without this pytest would look for a fixture called `loop`.
     run.__signature__ = signature.replace(parameters=others, return_annotation=None)  # type: ignore[attr-defined]
@@ -329,4 +329,4 @@
     return asyncio.get_running_loop().create_task(coroutine, context=context)
 
 
-__all__ = ["HOST", "PEER", "Loop", "Network", "on_host", "play", "poll_until", "simulated"]
+__all__ = ["HOST", "PEER", "Loop", "Network", "on_host", "poll_until", "run_scenario", "simulated"]
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -7,7 +7,7 @@
 
 from basaltlead.duties.model import Duty
 from tests.fakes import Deployment
-from tests.simulation import Loop, play, poll_until
+from tests.simulation import Loop, poll_until, run_scenario
 
 
 async def _users(deployment: Deployment, rng: random.Random, jobs: int) -> None:
@@ -335,4 +335,4 @@
         await deployment.wait_until_done(*jobs, seconds=400)
         deployment.assert_no_violation()
 
-    play(scenario, seed)
+    run_scenario(scenario, seed)
--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.fakes import Deployment, FakeWorker
-from tests.simulation import Loop, play
+from tests.simulation import Loop, run_scenario
 
 SEEDS = 40
 # A longer soak is started by hand, with the number of its seeds in this variable.
@@ -190,4 +190,4 @@
 
 @pytest.mark.parametrize("seed", range(SOAK_SEEDS))
 def test_rules_hold_while_machines_are_out_of_contact(seed: int) -> None:
-    play(lambda loop: _play_day(loop, seed), seed)
+    run_scenario(lambda loop: _play_day(loop, seed), seed)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -28,5 +28,5 @@
     await asyncio.sleep(2.0)
     loop.thaw(HOST)
 
-    # Then the wait ends, and the timeout does nothing (`play` fails on errors in callbacks)
+    # Then the wait ends, and the timeout does nothing (`run_scenario` fails on errors in callbacks)
     await waiting
--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -10,7 +10,7 @@
 from basaltlead.runtime.logs import log
 from tests.builders import job_refs
 from tests.fakes import Deployment
-from tests.simulation import Loop, play, simulated
+from tests.simulation import Loop, run_scenario, simulated
 
 
 @simulated
@@ -196,7 +196,7 @@
 
     log.addHandler(caplog.handler)
     try:
-        play(scenario)
+        run_scenario(scenario)
     finally:
         log.removeHandler(caplog.handler)
 
--- a/tests/tools/measure_duties.py
+++ b/tests/tools/measure_duties.py
@@ -13,7 +13,7 @@
 from basaltlead.duties.model import Duty
 from tests.fakes import Deployment
 from tests.fakes.store import FakeKeyValueStore
-from tests.simulation import Loop, play, poll_until
+from tests.simulation import Loop, poll_until, run_scenario
 
 SEEDS = range(1, 11)
 RESOLUTION_S = 0.01  # of the measured times
@@ -50,7 +50,7 @@
         await poll_until(lambda: deployment.holder(duty) not in (None, name), 0.01)
         took.append(loop.time() - at)
 
-    play(scenario, seed)
+    run_scenario(scenario, seed)
     return took[0]
 
 
@@ -76,7 +76,7 @@
         await asyncio.sleep(60)
         machines.append(deployment.cloud.rented_count)
 
-    play(scenario)
+    run_scenario(scenario)
     prefixes = ("hire", "mach", "return", "history")
     each = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
     return each | {"machines": machines[0], "all": round(sum(each.values()), 2)}
@@ -95,7 +95,7 @@
         rates["requests"] = round((deployment.store.requests - requests) / 300, 2)
         rates["changes"] = round((deployment.store.writes - writes) / 300, 2)
 
-    play(scenario)
+    run_scenario(scenario)
     return rates
 
 
