--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -84,7 +84,7 @@
         self.loop = loop
         self.rng = rng
         self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
-        self.taken: set[tuple[str, int]] = set()  # ports that somebody else uses
+        self.ports_in_use: set[tuple[str, int]] = set()  # ports that somebody else uses
         self.refusing: set[tuple[str, int]] = set()  # a packet filter before these
         self.cuts: set[frozenset[str]] = set()
         self.held: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
@@ -256,7 +256,7 @@
         return await self.net.connect(factory, host, port)
 
     async def create_server(self, factory: Any, host: Any = None, port: Any = None, **_: Any):  # type: ignore[override,no-untyped-def]
-        if (host, port) in self.net.taken:
+        if (host, port) in self.net.ports_in_use:
             raise OSError(errno.EADDRINUSE, "address in use")
         context = contextvars.copy_context()
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -271,11 +271,11 @@
 async def test_controller_waits_for_a_port_in_use(loop: Loop) -> None:
     deployment = Deployment(loop)
 
-    deployment.net.taken.add(("10.0.0.2", 8081))
+    deployment.net.ports_in_use.add(("10.0.0.2", 8081))
     await deployment.start()
     await asyncio.sleep(3)
     assert (await deployment.request("node-1", "GET", "/healthz"))[0] == 503
-    deployment.net.taken.clear()
+    deployment.net.ports_in_use.clear()
     await asyncio.sleep(3)
 
     assert (await deployment.request("node-1", "GET", "/healthz"))[0] == 200
