--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -175,7 +175,7 @@
         self.cloud.answer_delay_s = 0.02
         self.store.slowness = 1.0
         self.net.slow.clear()
-        self.net.refusing.clear()
+        self.net.refusing_addresses.clear()
         if self.store.down:
             self.store.end_outage()
         self.rule_checker.all_faults_over()
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -85,7 +85,7 @@
         self.rng = rng
         self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
         self.ports_in_use: set[tuple[str, int]] = set()  # ports that somebody else uses
-        self.refusing: set[tuple[str, int]] = set()  # a packet filter before these
+        self.refusing_addresses: set[tuple[str, int]] = set()  # a packet filter before these
         self.cuts: set[frozenset[str]] = set()
         self.held: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
         self.order: dict[int, float] = {}
@@ -153,7 +153,7 @@
         if frozenset((here, host)) in self.cuts:
             await asyncio.sleep(3600)
         make = self.listeners.get((host, port))
-        if make is None or (host, port) in self.refusing:
+        if make is None or (host, port) in self.refusing_addresses:
             raise ConnectionRefusedError(f"{host}:{port}")
         near, far = Transport(self, here, host), Transport(self, host, here)
         near.other, far.other = far, near
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -134,9 +134,9 @@
 
     async def peers_refuse(seconds: float) -> None:
         internal = {(deployment.host(name), 8081) for name in deployment.nodes}
-        deployment.net.refusing |= internal
+        deployment.net.refusing_addresses |= internal
         await asyncio.sleep(seconds)
-        deployment.net.refusing -= internal
+        deployment.net.refusing_addresses -= internal
 
     async def refused_alone(name: str, seconds: float) -> None:
         deployment.store.refused_hosts.add(deployment.host(name))
