--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -91,7 +91,9 @@
         self.order: dict[int, float] = {}
         self.ends: dict[str, set[Transport]] = {}
         self.slow: dict[str, float] = {}  # hosts that take so much longer for all they hear
-        self.halving: dict[str, float] = {}  # hosts to which the later half of all comes so late
+        self.second_half_delay_s: dict[
+            str, float
+        ] = {}  # hosts to which the later half of all comes so late
 
     def cut(self, a: str, b: str) -> None:
         """Hold back all that two hosts send to each other."""
@@ -110,7 +112,7 @@
     def carry(self, end: Transport, data: bytes | None) -> None:
         """Send bytes, or the end of the connection (None), from one end to the other."""
         link = frozenset((end.here, end.there))
-        late = self.halving.get(end.there)
+        late = self.second_half_delay_s.get(end.there)
         if data is not None and late is not None and link not in self.cuts:
             middle = len(data) // 2
             self._later(end, data[:middle])
--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -22,7 +22,7 @@
 async def _freeze_at(deployment: Deployment, when: str, prefix: str, name: str) -> None:
     """The holder of a duty stands still when its next intent is recorded, or sent."""
     if when == "half sent":
-        deployment.net.halving[FakeCloud.HOST] = 90.0
+        deployment.net.second_half_delay_s[FakeCloud.HOST] = 90.0
     if when == "before the check":
         when_recorded(deployment, prefix, lambda: deployment.freeze(name))
         await deployment.wait_until(
@@ -59,7 +59,7 @@
         lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
     )
     deployment.cloud.answer_delay_s = 0.02
-    deployment.net.halving.clear()
+    deployment.net.second_half_delay_s.clear()
     await asyncio.sleep(60)
     rented = len(deployment.cloud.scale_outs)
     deployment.thaw(holder)
