--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -89,7 +89,7 @@
         self.cuts: set[frozenset[str]] = set()
         self.held: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
         self.order: dict[int, float] = {}
-        self.ends: dict[str, set[Transport]] = {}
+        self.transports: dict[str, set[Transport]] = {}
         self.slow: dict[str, float] = {}  # hosts that take so much longer for all they hear
         self.second_half_delay_s: dict[
             str, float
@@ -164,14 +164,14 @@
         far.protocol.connection_made(far)
         near.protocol.connection_made(near)
         for end in (near, far):
-            self.ends.setdefault(end.here, set()).add(end)
+            self.transports.setdefault(end.here, set()).add(end)
         return near, near.protocol
 
     def power_off(self, host: str) -> None:
         """The host stops: its listeners are gone, its connections are reset."""
         for address in [address for address in self.listeners if address[0] == host]:
             del self.listeners[address]
-        for end in self.ends.pop(host, set()):
+        for end in self.transports.pop(host, set()):
             if not end.closed:
                 end.closed = True
                 end.protocol = None
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -457,5 +457,5 @@
     assert not failed.value.sent
     await asyncio.sleep(0.1)
     del failed, pool  # nothing may hold the reply any more
-    loop.net.ends.clear()
+    loop.net.transports.clear()
     gc.collect()
