--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -56,7 +56,7 @@
 
     def write(self, data: Any) -> None:
         if not self.closed and self.other is not None:
-            self.net.carry(self, bytes(data))
+            self.net.send(self, bytes(data))
 
     def is_closing(self) -> bool:
         return self.closed
@@ -74,7 +74,7 @@
         if self.protocol is not None:
             self.net.loop.call_soon(self.protocol.connection_lost, None)
         if self.other is not None:
-            self.net.carry(self, None)
+            self.net.send(self, None)
 
 
 class Network:
@@ -109,7 +109,7 @@
             elif end.other is not None and not end.other.closed:
                 end.other.abort()
 
-    def carry(self, end: Transport, data: bytes | None) -> None:
+    def send(self, end: Transport, data: bytes | None) -> None:
         """Send bytes, or the end of the connection (None), from one end to the other."""
         link = frozenset((end.here, end.there))
         late = self.second_half_delay_s.get(end.there)
@@ -175,7 +175,7 @@
             if not end.closed:
                 end.closed = True
                 end.protocol = None
-                self.carry(end, None)
+                self.send(end, None)
 
 
 class _Listener:
