--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -86,7 +86,7 @@
         self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
         self.ports_in_use: set[tuple[str, int]] = set()  # ports that somebody else uses
         self.refusing_addresses: set[tuple[str, int]] = set()  # a packet filter before these
-        self.cuts: set[frozenset[str]] = set()
+        self.cut_links: set[frozenset[str]] = set()
         self.held: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
         self.order: dict[int, float] = {}
         self.transports: dict[str, set[Transport]] = {}
@@ -97,12 +97,12 @@
 
     def cut(self, a: str, b: str) -> None:
         """Hold back all that two hosts send to each other."""
-        self.cuts.add(frozenset((a, b)))
+        self.cut_links.add(frozenset((a, b)))
 
     def heal(self, a: str, b: str, deliver: bool = True) -> None:
         """Ends a cut. What was sent meanwhile arrives late, or is reset."""
         link = frozenset((a, b))
-        self.cuts.discard(link)
+        self.cut_links.discard(link)
         for end, data in self.held.pop(link, []):
             if deliver:
                 self._later(end, data)
@@ -113,11 +113,11 @@
         """Send bytes, or the end of the connection (None), from one end to the other."""
         link = frozenset((end.here, end.there))
         late = self.second_half_delay_s.get(end.there)
-        if data is not None and late is not None and link not in self.cuts:
+        if data is not None and late is not None and link not in self.cut_links:
             middle = len(data) // 2
             self._later(end, data[:middle])
             self.loop.call_later(late, self._later, end, data[middle:])
-        elif link in self.cuts:
+        elif link in self.cut_links:
             self.held.setdefault(link, []).append((end, data))
         else:
             self._later(end, data)
@@ -152,7 +152,7 @@
         """Open a connection from the current host."""
         here = HOST.get()
         await asyncio.sleep(self.rng.uniform(0.0003, 0.003))
-        if frozenset((here, host)) in self.cuts:
+        if frozenset((here, host)) in self.cut_links:
             await asyncio.sleep(3600)
         make = self.listeners.get((host, port))
         if make is None or (host, port) in self.refusing_addresses:
