--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -87,7 +87,7 @@
         self.ports_in_use: set[tuple[str, int]] = set()  # ports that somebody else uses
         self.refusing_addresses: set[tuple[str, int]] = set()  # a packet filter before these
         self.cut_links: set[frozenset[str]] = set()
-        self.held: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
+        self.held_back: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
         self.order: dict[int, float] = {}
         self.transports: dict[str, set[Transport]] = {}
         self.slow: dict[str, float] = {}  # hosts that take so much longer for all they hear
@@ -103,7 +103,7 @@
         """Ends a cut. What was sent meanwhile arrives late, or is reset."""
         link = frozenset((a, b))
         self.cut_links.discard(link)
-        for end, data in self.held.pop(link, []):
+        for end, data in self.held_back.pop(link, []):
             if deliver:
                 self._later(end, data)
             elif end.other is not None and not end.other.closed:
@@ -118,7 +118,7 @@
             self._later(end, data[:middle])
             self.loop.call_later(late, self._later, end, data[middle:])
         elif link in self.cut_links:
-            self.held.setdefault(link, []).append((end, data))
+            self.held_back.setdefault(link, []).append((end, data))
         else:
             self._later(end, data)
 
@@ -237,16 +237,16 @@
     def call_soon(  # type: ignore[override]  # any callback and any arguments
         self, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        held = _HostCallback(self, callback)
-        held.handle = super().call_soon(held, *args, context=context)
-        return held.handle
+        wrapped = _HostCallback(self, callback)
+        wrapped.handle = super().call_soon(wrapped, *args, context=context)
+        return wrapped.handle
 
     def call_at(  # type: ignore[override]  # any callback and any arguments
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        held = _HostCallback(self, callback)
-        held.handle = super().call_at(when, held, *args, context=context)
-        return held.handle
+        wrapped = _HostCallback(self, callback)
+        wrapped.handle = super().call_at(when, wrapped, *args, context=context)
+        return wrapped.handle
 
     def _process_events(self, event_list: Any) -> None:
         pass
