--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -88,7 +88,7 @@
         self.refusing_addresses: set[tuple[str, int]] = set()  # a packet filter before these
         self.cut_links: set[frozenset[str]] = set()
         self.held_back: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
-        self.order: dict[int, float] = {}
+        self.next_arrival_at: dict[int, float] = {}
         self.transports: dict[str, set[Transport]] = {}
         self.slow: dict[str, float] = {}  # hosts that take so much longer for all they hear
         self.second_half_delay_s: dict[
@@ -124,8 +124,8 @@
 
     def _later(self, end: Transport, data: bytes | None) -> None:
         takes = self.rng.uniform(0.0003, 0.003) + self.slow.get(end.there, 0.0)
-        at = max(self.loop.time() + takes, self.order.get(id(end), 0.0))
-        self.order[id(end)] = at + 1e-7
+        at = max(self.loop.time() + takes, self.next_arrival_at.get(id(end), 0.0))
+        self.next_arrival_at[id(end)] = at + 1e-7
         self.loop.call_at(at, self._arrive, end, data)
 
     def _arrive(self, end: Transport, data: bytes | None) -> None:
