--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -215,7 +215,7 @@
         super().__init__()
         self._selector = _Selector()
         self.net = Network(self, random.Random(seed))
-        self.wall_off: dict[str, float] = {}  # how wrong a host's time of day is, in s
+        self.wall_clock_offset_s: dict[str, float] = {}  # how wrong a host's time of day is, in s
         self.steady_off: dict[str, float] = {}  # by how much its steady clock has jumped
         self.frozen: dict[str, list[tuple[_HostCallback, Any, contextvars.Context]]] = {}
 
@@ -278,7 +278,7 @@
     asyncio.set_event_loop(loop)
 
     def time_of_day() -> int:
-        return int((loop.time() + 1.7e9 + loop.wall_off.get(HOST.get(), 0.0)) * 1e9)
+        return int((loop.time() + 1.7e9 + loop.wall_clock_offset_s.get(HOST.get(), 0.0)) * 1e9)
 
     def steady() -> int:
         return int((loop.time() + loop.steady_off.get(HOST.get(), 0.0)) * 1e9)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -136,7 +136,7 @@
 
     for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
         holder = deployment.acting_holder(duty)
-        loop.wall_off[deployment.host(holder)] = wall
+        loop.wall_clock_offset_s[deployment.host(holder)] = wall
         loop.steady_off[deployment.host(holder)] = steady
         await asyncio.sleep(4)
         await wait_for_all_holders(deployment)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -231,7 +231,7 @@
     deployment = Deployment(loop)
 
     for name, sign in zip(deployment.nodes, signs, strict=True):
-        loop.wall_off[deployment.host(name)] = sign * off
+        loop.wall_clock_offset_s[deployment.host(name)] = sign * off
     await deployment.start()
     asked = loop.time()
     await deployment.submit(deployment.job(1, Pieces=3, RunS=40.0, GuessS=40.0, DueS=100.0))
