--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -216,7 +216,7 @@
         self._selector = _Selector()
         self.net = Network(self, random.Random(seed))
         self.wall_clock_offset_s: dict[str, float] = {}  # how wrong a host's time of day is, in s
-        self.steady_off: dict[str, float] = {}  # by how much its steady clock has jumped
+        self.steady_clock_offset_s: dict[str, float] = {}  # by how much its steady clock has jumped
         self.frozen: dict[str, list[tuple[_HostCallback, Any, contextvars.Context]]] = {}
 
     def time(self) -> float:
@@ -281,7 +281,7 @@
         return int((loop.time() + 1.7e9 + loop.wall_clock_offset_s.get(HOST.get(), 0.0)) * 1e9)
 
     def steady() -> int:
-        return int((loop.time() + loop.steady_off.get(HOST.get(), 0.0)) * 1e9)
+        return int((loop.time() + loop.steady_clock_offset_s.get(HOST.get(), 0.0)) * 1e9)
 
     clock.replace_clocks(steady, time_of_day, seed)
     try:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -137,7 +137,7 @@
     for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
         holder = deployment.acting_holder(duty)
         loop.wall_clock_offset_s[deployment.host(holder)] = wall
-        loop.steady_off[deployment.host(holder)] = steady
+        loop.steady_clock_offset_s[deployment.host(holder)] = steady
         await asyncio.sleep(4)
         await wait_for_all_holders(deployment)
     await finish(deployment)
@@ -152,7 +152,7 @@
     deployment.freeze(holder)
     await deployment.submit(deployment.job(1, Pieces=8, RunS=60.0), deployment.other_node(holder))
     await asyncio.sleep(60)
-    loop.steady_off[deployment.host(holder)] = -60.0
+    loop.steady_clock_offset_s[deployment.host(holder)] = -60.0
     stale = deployment.controllers[holder].duties.holders[Duty.RENT]
     lease_checks: list[bool] = []
 
