--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -30,7 +30,7 @@
         nodes: int = 3,
         limits: dict[str, float] | None = None,
         operator: dict[str, Any] | None = None,
-        lease: float = FakeWorker.LEASE,
+        lease: float = FakeWorker.LEASE_S,
         cancel: float = CANCEL,
         announced_limits: dict[str, float] | None = None,
     ) -> None:
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -19,7 +19,7 @@
     """A machine: boots, sends heartbeats, runs tasks, respects fencing tokens and its lease."""
 
     REPORT = 1.0
-    LEASE = 6.0
+    LEASE_S = 6.0
     FETCH = 0.5  # s that an image takes to arrive
 
     def __init__(
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -54,7 +54,7 @@
 
     deployment.isolate(first, store=False)  # it still reaches the key-value store
     await deployment.wait_until(
-        lambda: deployment.shard_leader() not in (None, first), seconds=FakeWorker.LEASE
+        lambda: deployment.shard_leader() not in (None, first), seconds=FakeWorker.LEASE_S
     )
     await deployment.wait_until_done("req-000001")
     deployment.rejoin(first)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -9,7 +9,10 @@
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
-LEASE, CANCEL = 10.0, 30.0  # s; with a session lease of a third of LEASE they leave little slack
+LEASE_S, CANCEL = (
+    10.0,
+    30.0,
+)  # s; with a session lease of a third of LEASE_S they leave little slack
 
 
 async def _run_checked(deployment: Deployment, seconds: float) -> None:
@@ -80,7 +83,7 @@
     await _confirmed_at_once(deployment, shard_leader, ref)
     for machine in deployment.cloud.machines.values():
         machine.hung = True
-        deployment.loop.call_later(0.8 * LEASE, setattr, machine, "hung", False)
+        deployment.loop.call_later(0.8 * LEASE_S, setattr, machine, "hung", False)
 
 
 Confirm = Callable[[Deployment, str, str], Awaitable[None]]
@@ -101,7 +104,7 @@
 async def test_cancellation_holds_when_the_store_refuses_the_leader_and_then_everybody(
     loop: Loop, confirm: Confirm, wait: float
 ) -> None:
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
     await deployment.start_with_running_job(6, 500.0)
 
     for number in (1, 2):  # twice in a row
@@ -129,7 +132,7 @@
 ) -> None:
     """All controllers end after a cancellation that the shard leader did not see. The next one is
     leased the shard, and the key-value store is out before it has read which jobs are open."""
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
     shard_leader = await deployment.start_with_running_job(6, 500.0)
 
     await _confirmed_at_once(deployment, shard_leader, "req-000001")
@@ -147,7 +150,7 @@
 
 @simulated
 async def test_shard_leader_that_has_not_loaded_open_jobs_stops_nothing(loop: Loop) -> None:
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=12, Cores=4.0, Grades=["small"], RunS=40.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 12)
@@ -168,7 +171,7 @@
 @simulated
 async def test_refused_shard_leader_starts_no_task_of_a_cancelled_job(loop: Loop) -> None:
     """Others notify it directly; its lease lasts for a while yet, and more tasks than room wait."""
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
     deployment.cloud.capacity = 2
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=1000, RunS=500.0, Grades=["large"]))
@@ -298,7 +301,7 @@
     assert await deployment.cancel("req-000001", deployment.other_node(shard_leader)) == "withdrawn"
     since = loop.time()
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000002")) > 0, seconds=30)
-    assert loop.time() - since < 3 * FakeWorker.LEASE  # nobody waits for ever
+    assert loop.time() - since < 3 * FakeWorker.LEASE_S  # nobody waits for ever
     await _run_checked(deployment, 5)
     for name in deployment.nodes:
         deployment.net.heal(silent.host, deployment.host(name))
@@ -368,7 +371,7 @@
     await _run_checked(deployment, 3)
     await deployment.request(second, "POST", "/agent/beat", old)
     machine.hung = True  # until its lease and with it its agent epoch has ended
-    await _run_checked(deployment, 2.5 * FakeWorker.LEASE)
+    await _run_checked(deployment, 2.5 * FakeWorker.LEASE_S)
     machine.hung = False
     await _run_checked(deployment, 3)
     for _ in range(3):
@@ -411,7 +414,7 @@
 
     for machine in silent:
         machine.sends_no_heartbeats = True
-    await _run_checked(deployment, FakeWorker.LEASE / 2 + 2)
+    await _run_checked(deployment, FakeWorker.LEASE_S / 2 + 2)
     ran = deployment.rule_checker.starts
     refs = job_refs(2, 7)
     for ref in refs:
@@ -587,7 +590,7 @@
 
     for name in deployment.nodes:
         deployment.crash(name)
-    await _run_checked(deployment, 2 * FakeWorker.LEASE)
+    await _run_checked(deployment, 2 * FakeWorker.LEASE_S)
     assert deployment.running_tasks("req-000001") == []  # their leases have run out
     for name in deployment.nodes:
         deployment.start_controller(name)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -23,7 +23,7 @@
         lambda: deployment.rule_checker.running_on.get("req-000001/0") not in (None, unreachable),
         seconds=40,
     )
-    assert loop.time() - since < 4 * FakeWorker.LEASE
+    assert loop.time() - since < 4 * FakeWorker.LEASE_S
     await deployment.submit(deployment.job(2, Pieces=4, RunS=20.0))
     await deployment.wait_until(
         lambda: unreachable.name not in deployment.cloud.machines, seconds=60
@@ -49,7 +49,7 @@
         lambda: deployment.rule_checker.running_on.get("req-000001/0") not in (None, unreachable),
         seconds=60,
     )
-    assert loop.time() - since < 6 * FakeWorker.LEASE
+    assert loop.time() - since < 6 * FakeWorker.LEASE_S
     deployment.start_controller(shard_leader)
 
     await deployment.wait_until_done("req-000001", seconds=200)
@@ -79,7 +79,7 @@
 
     deployment.cut_from_store_and_peers(first)
     await deployment.wait_until(
-        lambda: deployment.shard_leader() not in (None, first), seconds=FakeWorker.LEASE
+        lambda: deployment.shard_leader() not in (None, first), seconds=FakeWorker.LEASE_S
     )
     status, _ = await deployment.request(first, "GET", "/healthz")
     assert status == 503  # users go elsewhere
@@ -211,7 +211,7 @@
     await deployment.wait_until(
         lambda: deployment.shard_leader() not in (None, shard_leader), seconds=20
     )
-    await asyncio.sleep(3 * FakeWorker.LEASE)
+    await asyncio.sleep(3 * FakeWorker.LEASE_S)
     assert not any(m.tasks for m in inside)  # nobody renews their leases
     for near in hosts:
         for far in outside:
@@ -233,7 +233,7 @@
     rented = set(deployment.cloud.machines)
     assert len(rented) > 1
     deployment.isolate("node-0", store=False, cloud=False)
-    await asyncio.sleep(2.5 * FakeWorker.LEASE)
+    await asyncio.sleep(2.5 * FakeWorker.LEASE_S)
     assert set(deployment.cloud.machines) == rented  # nor does it rent what it would not hear
     deployment.rejoin("node-0")
     await asyncio.sleep(15)
@@ -257,7 +257,7 @@
     for machine in dark:
         for name in deployment.nodes:
             deployment.net.cut(machine.host, deployment.host(name))
-    await asyncio.sleep(FakeWorker.LEASE)
+    await asyncio.sleep(FakeWorker.LEASE_S)
     rented = set(deployment.cloud.machines)
     for number in range(6, 10):
         await deployment.submit(deployment.job(number, Cores=4.0, RunS=5.0))
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -56,7 +56,7 @@
         del deployment.cloud.machines[machine.name]
     before = deployment.cloud.rented_count
     at = loop.time()
-    while loop.time() < at + 1.5 * FakeWorker.LEASE:
+    while loop.time() < at + 1.5 * FakeWorker.LEASE_S:
         assert all(m.name in deployment.cloud.machines for m in well if m.tasks)
         await asyncio.sleep(0.5)
     assert all(m.epoch == 1 for m in well if m.name in deployment.cloud.machines)
@@ -84,7 +84,7 @@
             deployment.start_controller(name)
         await asyncio.sleep(0.2)
     await deployment.wait_until(
-        lambda: deployment.shard_leader() is not None, seconds=FakeWorker.LEASE
+        lambda: deployment.shard_leader() is not None, seconds=FakeWorker.LEASE_S
     )
 
     await deployment.wait_until_done(*refs, seconds=300)
@@ -194,7 +194,7 @@
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
 
-    for number, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE), start=2):
+    for number, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE_S), start=2):
         holder = deployment.shard_leader() or shard_leader
         for more in range(4):
             await deployment.submit(deployment.job(10 * number + more, Pieces=3, RunS=5.0))
--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -92,7 +92,7 @@
     deployment.cloud.machines.pop(name).stop()
     died = loop.time()
 
-    await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE + 10)
+    await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE_S + 10)
     assert loop.time() > died
     deployment.assert_no_violation()
 
@@ -104,11 +104,11 @@
     machine = deployment.cloud.machines[_machines_of(deployment, "req-000001")[0]]
 
     machine.hung = True
-    await asyncio.sleep(FakeWorker.LEASE * 0.8)
+    await asyncio.sleep(FakeWorker.LEASE_S * 0.8)
     machine.hung = False
     await deployment.wait_until_served("req-000001")
     machine.hung = True
-    await asyncio.sleep(FakeWorker.LEASE * 4)
+    await asyncio.sleep(FakeWorker.LEASE_S * 4)
     machine.hung = False
 
     await deployment.wait_until_served("req-000001")
@@ -160,11 +160,11 @@
     machine.hung = True
     deployment.crash(shard_leader)
     await deployment.wait_until(lambda: deployment.shard_leader() not in (None, shard_leader))
-    await asyncio.sleep(FakeWorker.LEASE / 2)
+    await asyncio.sleep(FakeWorker.LEASE_S / 2)
     machine.hung = False
     deployment.start_controller(shard_leader)
 
-    await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE + 10)
+    await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE_S + 10)
     deployment.assert_no_violation()
 
 
@@ -285,7 +285,7 @@
             if deployment.cloud.machines[n].zone == "a"
         ]
         deployment.cloud.machines.pop(zone_a[0]).stop()
-        await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE + 20)
+        await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE_S + 20)
 
     deployment.assert_no_violation()
 
--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -82,7 +82,7 @@
             deployment.net.heal(host, deployment.host(name), True)
     await deployment.wait_until(
         lambda: any(m.zone == "b" and m.tasks for m in deployment.cloud.machines.values()),
-        seconds=60 + FakeWorker.LEASE,
+        seconds=60 + FakeWorker.LEASE_S,
     )
 
     deployment.assert_no_violation()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -329,7 +329,7 @@
     deployment.start_controller(other)
     await deployment.wait_until(lambda: deployment.shard_leader() == other, seconds=20)
     deployment.start_controller(shard_leader)
-    await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE + 20)
+    await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE_S + 20)
     for name in deployment.nodes:
         assert await deployment.poll("req-000001", name) == "running"
     assert await deployment.cancel("req-000001", back) == "withdrawn"
