--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -102,7 +102,7 @@
                     for team in ("red", "blue")
                 ],
                 "workers": {
-                    "report_s": FakeWorker.REPORT,
+                    "report_s": FakeWorker.HEARTBEAT_INTERVAL_S,
                     "lease_s": self.lease,
                     "gang_wait_s": 20.0,
                     "gang_peer_s": 4.0,
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -18,7 +18,7 @@
 class FakeWorker:
     """A machine: boots, sends heartbeats, runs tasks, respects fencing tokens and its lease."""
 
-    REPORT = 1.0
+    HEARTBEAT_INTERVAL_S = 1.0
     LEASE_S = 6.0
     FETCH = 0.5  # s that an image takes to arrive
 
@@ -163,7 +163,9 @@
         self.change.clear()
         await asyncio.sleep(0.5)
         try:
-            async with asyncio.timeout(self.REPORT * self.deployment.rng.uniform(0.75, 1.25) - 0.5):
+            async with asyncio.timeout(
+                self.HEARTBEAT_INTERVAL_S * self.deployment.rng.uniform(0.75, 1.25) - 0.5
+            ):
                 await self.change.wait()
         except TimeoutError:
             pass
