--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -20,7 +20,7 @@
 
     HEARTBEAT_INTERVAL_S = 1.0
     LEASE_S = 6.0
-    FETCH = 0.5  # s that an image takes to arrive
+    IMAGE_FETCH_S = 0.5  # s that an image takes to arrive
 
     def __init__(
         self,
@@ -239,7 +239,7 @@
         if self.deployment.caches_images and image in self.images:
             return 0.0
         self.images.add(image)
-        return self.FETCH
+        return self.IMAGE_FETCH_S
 
     def has_room_for(self, job: dict[str, Any]) -> bool:
         """Might a task of the job be started here now?"""
