--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -20,7 +20,7 @@
 class Deployment:
     """Three controllers, the key-value store, the cloud with its workers, and the users."""
 
-    CANCEL = 20.0  # s: `cancel_s`
+    CANCEL_S = 20.0  # s: `cancel_s`
     NETWORK = "10"  # first part of all addresses
 
     def __init__(
@@ -31,7 +31,7 @@
         limits: dict[str, float] | None = None,
         operator: dict[str, Any] | None = None,
         lease: float = FakeWorker.LEASE_S,
-        cancel: float = CANCEL,
+        cancel: float = CANCEL_S,
         announced_limits: dict[str, float] | None = None,
     ) -> None:
         self.loop = loop
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -104,7 +104,7 @@
 
     deployment.net.cut(deployment.host(shard_leader), deployment.store.HOST)
     assert await deployment.cancel("req-000001", other) == "withdrawn"
-    await asyncio.sleep(Deployment.CANCEL + 0.1)
+    await asyncio.sleep(Deployment.CANCEL_S + 0.1)
 
     assert deployment.running_tasks("req-000001") == []
     assert await deployment.poll("req-000001", other) == "withdrawn"
@@ -216,7 +216,7 @@
     """A watch that lasted longer than the lease it renews once left a shard leader inactive."""
     deployment = Deployment(loop)
 
-    deployment.CANCEL = 11.0
+    deployment.CANCEL_S = 11.0
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=4))
     await asyncio.sleep(8)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -64,7 +64,7 @@
     for machine in deployment.cloud.machines.values():
         machine.unreachable = True
     assert await deployment.cancel("req-000001") == "withdrawn"
-    await asyncio.sleep(Deployment.CANCEL + 0.1)
+    await asyncio.sleep(Deployment.CANCEL_S + 0.1)
 
     assert deployment.running_tasks("req-000001") == []
     deployment.assert_no_violation()
--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -177,7 +177,7 @@
     deployment.cloud.machines[name].preemption_at = loop.time() + 15
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) < 3, seconds=15)
     assert await deployment.cancel("req-000001") == "withdrawn"
-    await asyncio.sleep(Deployment.CANCEL)
+    await asyncio.sleep(Deployment.CANCEL_S)
 
     assert deployment.running_tasks("req-000001") == []
     deployment.assert_no_violation()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -333,7 +333,7 @@
     for name in deployment.nodes:
         assert await deployment.poll("req-000001", name) == "running"
     assert await deployment.cancel("req-000001", back) == "withdrawn"
-    await asyncio.sleep(Deployment.CANCEL)
+    await asyncio.sleep(Deployment.CANCEL_S)
 
     assert deployment.running_tasks("req-000001") == []
     deployment.assert_no_violation()
