--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -28,7 +28,7 @@
         loop: Loop,
         seed: int = 1,
         nodes: int = 3,
-        limits: dict[str, float] | None = None,
+        team_cpus_max: dict[str, float] | None = None,
         operator: dict[str, Any] | None = None,
         lease: float = FakeWorker.LEASE_S,
         cancel: float = CANCEL_S,
@@ -39,7 +39,7 @@
         self.lease = lease
         self.cancel_s = cancel
         self.rng = random.Random(seed)
-        self.limits = limits or {}
+        self.team_cpus_max = team_cpus_max or {}
         self.nodes = [f"node-{i}" for i in range(nodes)]
         self.operator = operator or {}
         self.announced_limits = announced_limits  # hold once `apply_announced_limits` is called
@@ -98,7 +98,7 @@
                 "nodes": len(self.nodes),
                 "zones": ["a", "b"],
                 "teams": [
-                    {"name": team, "cpus_max": float(self.limits.get(team, 0))}
+                    {"name": team, "cpus_max": float(self.team_cpus_max.get(team, 0))}
                     for team in ("red", "blue")
                 ],
                 "workers": {
--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -68,7 +68,7 @@
             if self.deployment.jobs[t.partition("/")[0]]["Crew"] == job["Crew"]
         ]
         used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team)
-        most = self.deployment.limits.get(job["Crew"], 0)
+        most = self.deployment.team_cpus_max.get(job["Crew"], 0)
         if most and used > most + 1e-9:
             self.add_violation(f"quota {job['Crew']}: {used}")
         if ref in self.cancelled_at:
@@ -142,7 +142,7 @@
                 self.waiting_since[ref] = now
 
     def _has_room(self, job: dict[str, Any]) -> bool:
-        most = self.deployment.limits.get(job["Crew"], 0)
+        most = self.deployment.team_cpus_max.get(job["Crew"], 0)
         team = [
             t
             for t in self.running_on
@@ -160,7 +160,7 @@
         """Lacks it no field, and can it run at all?"""
         if any(job.get(field) is None for field in self.FIELDS):
             return False
-        most = self.deployment.limits.get(job["Crew"], 0)
+        most = self.deployment.team_cpus_max.get(job["Crew"], 0)
         count = 1 if job["Shape"] == "batch" else job["Pieces"]
         return (not most or job["Cores"] * count <= most + 1e-9) and any(
             job["Cores"] <= machine_type["Cores"]
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -130,7 +130,7 @@
 
 @simulated
 async def test_team_never_uses_more_than_its_limit(loop: Loop) -> None:
-    deployment = Deployment(loop, limits={"red": 5})
+    deployment = Deployment(loop, team_cpus_max={"red": 5})
     await deployment.start()
 
     for number in range(1, 5):
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -236,7 +236,7 @@
 
 @simulated
 async def test_overload_with_two_ranks_over_slow_links(loop: Loop) -> None:
-    deployment = Deployment(loop, limits={"red": 30})
+    deployment = Deployment(loop, team_cpus_max={"red": 30})
     deployment.cloud.capacity = 3
     await deployment.start()
 
@@ -284,7 +284,7 @@
 
 @simulated
 async def test_team_at_its_limit_with_failover_silent_machine_and_cancellation(loop: Loop) -> None:
-    deployment = Deployment(loop, limits={"red": 8})
+    deployment = Deployment(loop, team_cpus_max={"red": 8})
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=8, RunS=100.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 8)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -291,11 +291,15 @@
 ) -> None:
     async def scenario(loop: Loop) -> None:
         rng = random.Random(seed)
-        limits = {"blue": machines / 2} if seed % 2 else None
+        team_cpus_max = {"blue": machines / 2} if seed % 2 else None
         announced_limits = {"value_kb": 1.0, "txn_ops": 4, "write_rps": 60.0} if services else None
         operator = {"blocks": shards, "duties": duties}
         deployment = Deployment(
-            loop, seed, limits=limits, operator=operator, announced_limits=announced_limits
+            loop,
+            seed,
+            team_cpus_max=team_cpus_max,
+            operator=operator,
+            announced_limits=announced_limits,
         )
         deployment.old_version_nodes = set(deployment.nodes) if services else set()
         deployment.heartbeat_copy_rate = 0.1
@@ -321,11 +325,11 @@
         left = [ref for ref in deployment.jobs if ref not in deployment.rule_checker.cancelled_at]
         service_refs = [ref for ref in left if deployment.jobs[ref]["Shape"] == "service"]
         jobs = set(left) - set(service_refs)
-        if limits is None:
+        if team_cpus_max is None:
             await deployment.wait_until_done(*jobs, seconds=400)
         # Services hold a team's limit for as long as they stand: others of it wait for that.
         unlimited = [
-            ref for ref in service_refs if deployment.jobs[ref]["Crew"] not in (limits or {})
+            ref for ref in service_refs if deployment.jobs[ref]["Crew"] not in (team_cpus_max or {})
         ]
         await deployment.wait_until_served(*unlimited, seconds=120)
         for ref in service_refs:
--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -218,7 +218,7 @@
 
 @simulated
 async def test_service_beyond_the_team_limit_is_refused_or_waits(loop: Loop) -> None:
-    deployment = Deployment(loop, limits={"red": 4.0})
+    deployment = Deployment(loop, team_cpus_max={"red": 4.0})
     await deployment.start()
 
     assert await deployment.submit(deployment.service(1, Pieces=5)) == 422
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -163,7 +163,7 @@
 async def test_rule_checker_reports_violation(
     loop: Loop, what: Callable[[Deployment], None], rule: str
 ) -> None:
-    deployment = Deployment(loop, limits={"red": 5} if what is _quota else None)
+    deployment = Deployment(loop, team_cpus_max={"red": 5} if what is _quota else None)
     what(deployment)
     assert any(rule in text for text in deployment.rule_checker.violations), (
         deployment.rule_checker.violations
--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -160,10 +160,10 @@
 
 async def _play_day(loop: Loop, seed: int) -> None:
     rng = random.Random(seed)
-    limits = {"blue": 6.0} if seed % 3 == 0 else None
+    team_cpus_max = {"blue": 6.0} if seed % 3 == 0 else None
     operator = {"blocks": 3 if seed % 5 == 0 else 1}
     deployment = Deployment(
-        loop, seed, limits=limits, operator=operator, lease=rng.choice(LEASES_S)
+        loop, seed, team_cpus_max=team_cpus_max, operator=operator, lease=rng.choice(LEASES_S)
     )
     deployment.heartbeat_copy_rate = 0.1
     deployment.cloud.capacity = MACHINES
