--- a/tests/builders.py
+++ b/tests/builders.py
@@ -47,11 +47,11 @@
 class ShardHarness:
     """A shard with fencing token 7, granted at revision 100, and one synced machine, m-0."""
 
-    def __init__(self, machines: int = 1, limits: dict[str, TeamQuota] | None = None) -> None:
+    def __init__(self, machines: int = 1, quotas: dict[str, TeamQuota] | None = None) -> None:
         self.now = 1000 * US
         self.logged: list[str] = []
         self.shard = Shard(
-            7, 100, self.now, TIMING, limits or {"red": TeamQuota()}, self.logged.append
+            7, 100, self.now, TIMING, quotas or {"red": TeamQuota()}, self.logged.append
         )
         self.ticks: dict[str, int] = {}
         for number in range(machines):
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -36,7 +36,7 @@
 
 
 def _idle_fleet() -> ShardHarness:
-    harness = ShardHarness(machines=0, limits={"red": TeamQuota()})
+    harness = ShardHarness(machines=0, quotas={"red": TeamQuota()})
     for number in range(MACHINES):
         harness.add(f"m-{number:03d}", zone="abc"[number % 3])
         harness.heartbeat(f"m-{number:03d}")
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -38,7 +38,7 @@
 
 def _full_fleet(jobs: int = 160, tasks: int = 100) -> ShardHarness:
     """Every machine is full of running tasks of as many jobs as it takes."""
-    harness = ShardHarness(machines=0, limits={"red": TeamQuota()})
+    harness = ShardHarness(machines=0, quotas={"red": TeamQuota()})
     for number in range(MACHINES):
         harness.add(_name(number), zone="abc"[number % 3])
         harness.heartbeat(_name(number))
@@ -68,7 +68,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     before = _full_fleet()
-    after = ShardHarness(machines=0, limits={"red": TeamQuota()})
+    after = ShardHarness(machines=0, quotas={"red": TeamQuota()})
 
     after.shard = Shard(8, 300, after.now, TIMING, {"red": TeamQuota()})
     for number in range(160):
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -242,7 +242,7 @@
 
 
 def test_limited_team_waits_while_tasks_of_unknown_size_may_run() -> None:
-    harness = ShardHarness(limits={"red": TeamQuota(cpus_max=2.0)})
+    harness = ShardHarness(quotas={"red": TeamQuota(cpus_max=2.0)})
     harness.add("m-9", loaded=True)
     job_state = harness.submit(tasks=3)
 
@@ -376,7 +376,7 @@
 
 
 def test_guarantee_preempts_work_beyond_another_teams_guarantee() -> None:
-    harness = ShardHarness(limits={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
+    harness = ShardHarness(quotas={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
     blue = harness.submit(1, team="blue", tasks=4)
 
     for attempt in blue.live.values():
