--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -173,7 +173,7 @@
         self.store.corrupt_reply = self.cloud.corrupt_reply = None
         self.cloud.error_status = 0
         self.cloud.answer_delay_s = 0.02
-        self.store.slowness = 1.0
+        self.store.latency_factor = 1.0
         self.net.slow.clear()
         self.net.refusing_addresses.clear()
         if self.store.down:
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -42,7 +42,7 @@
         self.write_rps: float | None = None  # changes a second; None: any number
         self.write_burst_at = 0.0  # when its burst would be full again
         self.refused_writes = 0  # how many transactions were answered with 429
-        self.slowness = 1.0  # how many times as long as usual its answers take
+        self.latency_factor = 1.0  # how many times as long as usual its answers take
         self.rng = random.Random(1)
 
     async def start(self) -> None:
@@ -96,7 +96,7 @@
 
     async def _answer(self, request: Request) -> Response:
         rare = 0.2 if self.rng.random() < 0.01 else 0.002
-        await asyncio.sleep((rare if self.slowness > 1 else 0.002) * self.slowness)
+        await asyncio.sleep((rare if self.latency_factor > 1 else 0.002) * self.latency_factor)
         query = {k: v[0] for k, v in parse_qs(request.query).items()}
         path = request.path
         self.requests += 1
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -157,11 +157,11 @@
     shard_leader = deployment.acting_shard_leader()
     starts = deployment.rule_checker.starts
 
-    deployment.store.slowness = 250.0  # each answer takes half a second
+    deployment.store.latency_factor = 250.0  # each answer takes half a second
     deployment.crash(shard_leader)
     deployment.start_controller(shard_leader)
     await _run_checked(deployment, 8)
-    deployment.store.slowness = 1.0
+    deployment.store.latency_factor = 1.0
 
     await deployment.wait_until_done("req-000001", seconds=100)
     assert deployment.rule_checker.starts == starts
@@ -535,7 +535,7 @@
 
     for number in range(2, 7):
         await deployment.submit(deployment.job(number, Pieces=2, RunS=200.0))
-    deployment.store.slowness = 8.0
+    deployment.store.latency_factor = 8.0
     await _run_checked(deployment, 3)
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
     cancels = []
@@ -548,7 +548,7 @@
     await _run_checked(deployment, Deployment.CANCEL_S + 5)
     deployment.store.refused_hosts.clear()
     deployment.store.end_outage()
-    deployment.store.slowness = 1.0
+    deployment.store.latency_factor = 1.0
     await asyncio.gather(*cancels)
     await _run_checked(deployment, Deployment.CANCEL_S)
 
@@ -670,7 +670,7 @@
     await deployment.start_with_running_job(2, 100.0)
     asked, other = deployment.nodes[:2]
 
-    deployment.store.slowness = 10.0  # 20 ms for an answer
+    deployment.store.latency_factor = 10.0  # 20 ms for an answer
     question = loop.create_task(deployment.request(asked, "GET", "/api/jobs/req-000001"))
     await asyncio.sleep(0.01)  # the read has reached the key-value store
     deployment.net.cut(deployment.host(asked), deployment.store.HOST)
@@ -692,7 +692,7 @@
     other = deployment.other_node(shard_leader)
     leader_host = deployment.host(shard_leader)
 
-    deployment.store.slowness = 10.0  # 20 ms for an answer
+    deployment.store.latency_factor = 10.0  # 20 ms for an answer
     await asyncio.sleep(0.5)
     deployment.net.cut(leader_host, deployment.store.HOST)
     await deployment.submit(deployment.job(2, Pieces=2, RunS=50.0), other)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -181,12 +181,12 @@
     starts = deployment.rule_checker.starts
 
     deployment.net.refusing_addresses = {(deployment.host(name), 8081) for name in deployment.nodes}
-    deployment.store.slowness = 10.0
+    deployment.store.latency_factor = 10.0
     for number in range(2, 12):
         await deployment.submit(deployment.job(number, RunS=2.0))
         await asyncio.sleep(3)
         assert deployment.shard_leader() == shard_leader
-    deployment.store.slowness = 1.0
+    deployment.store.latency_factor = 1.0
     deployment.net.refusing_addresses.clear()
 
     await deployment.wait_until_done(*job_refs(1, 11), seconds=100)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -128,9 +128,9 @@
         deployment.net.slow.pop(deployment.host(name), None)
 
     async def slow_state(seconds: float) -> None:
-        deployment.store.slowness = 10.0
+        deployment.store.latency_factor = 10.0
         await asyncio.sleep(seconds)
-        deployment.store.slowness = 1.0
+        deployment.store.latency_factor = 1.0
 
     async def peers_refuse(seconds: float) -> None:
         internal = {(deployment.host(name), 8081) for name in deployment.nodes}
