--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -40,7 +40,7 @@
         self.operations = 8  # puts and deletes in one transaction
         self.oversized: list[str] = []  # what was refused for its size
         self.write_rps: float | None = None  # changes a second; None: any number
-        self.write_burst_at = 0.0  # when its burst would be full again
+        self.write_burst_restored_at = 0.0  # when its burst would be full again
         self.refused_writes = 0  # how many transactions were answered with 429
         self.latency_factor = 1.0  # how many times as long as usual its answers take
         self.rng = random.Random(1)
@@ -142,10 +142,10 @@
         """Above the rate, with a burst of a second's worth, changes are refused."""
         if self.write_rps is None:
             return True
-        full_at = max(self.write_burst_at, self.loop.time()) + changes / self.write_rps
+        full_at = max(self.write_burst_restored_at, self.loop.time()) + changes / self.write_rps
         if full_at - self.loop.time() > 1.0:
             return False
-        self.write_burst_at = full_at
+        self.write_burst_restored_at = full_at
         return True
 
     def _excess(self, body: dict[str, Any]) -> str:
