--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -33,7 +33,7 @@
         self.late_key_prefix = ""  # of which only those that change a key with this prefix
         self.corrupt_reply: Callable[[Response], Response] | None = None
         self.on_accept: Callable[[list[dict[str, Any]]], None] = lambda changes: None
-        self.event = asyncio.Event()
+        self.keys_changed = asyncio.Event()
         self.writes = 0
         self.requests = 0
         self.value_bytes = 8 * 1024
@@ -71,8 +71,8 @@
             self._notify_watches()
 
     def _notify_watches(self) -> None:
-        self.event.set()
-        self.event = asyncio.Event()
+        self.keys_changed.set()
+        self.keys_changed = asyncio.Event()
 
     def is_unavailable_to(self, host: str) -> bool:
         """Is there an outage, for all or for this one alone?"""
@@ -208,6 +208,6 @@
                     return reply(200, {"Ledger": self.revision, "Log": log})
             try:
                 async with asyncio.timeout(max(0.01, min(0.5, end - self.loop.time()))):
-                    await self.event.wait()
+                    await self.keys_changed.wait()
             except TimeoutError:
                 pass
