--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -23,7 +23,7 @@
         self.loop = loop
         self.revision = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
-        self.log: list[dict[str, Any]] = []
+        self.change_log: list[dict[str, Any]] = []
         self.leases: dict[int, tuple[float, float]] = {}
         self.next_lease = 0
         self.down = False
@@ -67,7 +67,7 @@
             self.revision += 1
             for key in gone:
                 del self.keys[key]
-                self.log.append({"Drop": key, "Stamp": self.revision})
+                self.change_log.append({"Drop": key, "Stamp": self.revision})
             self._notify_watches()
 
     def _notify_watches(self) -> None:
@@ -186,9 +186,11 @@
             if "Put" in change:
                 entry = (change["V"], self.revision, change.get("Permit"))
                 self.keys[change["Put"]] = entry
-                self.log.append({"Put": change["Put"], "V": change["V"], "Stamp": self.revision})
+                self.change_log.append(
+                    {"Put": change["Put"], "V": change["V"], "Stamp": self.revision}
+                )
             elif self.keys.pop(change["Drop"], None) is not None:
-                self.log.append({"Drop": change["Drop"], "Stamp": self.revision})
+                self.change_log.append({"Drop": change["Drop"], "Stamp": self.revision})
         self._notify_watches()
         return reply(200, {"Ledger": self.revision})
 
@@ -199,13 +201,13 @@
             return reply(503, {"error": "trouble"})
         while True:
             if not self.is_unavailable_to(host):
-                log = [
+                change_log = [
                     change
-                    for change in self.log
+                    for change in self.change_log
                     if change["Stamp"] > since and key_of(change).startswith(query["Starts"])
                 ]
-                if log or self.loop.time() >= end:
-                    return reply(200, {"Ledger": self.revision, "Log": log})
+                if change_log or self.loop.time() >= end:
+                    return reply(200, {"Ledger": self.revision, "Log": change_log})
             try:
                 async with asyncio.timeout(max(0.01, min(0.5, end - self.loop.time()))):
                     await self.keys_changed.wait()
