--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -138,7 +138,9 @@
         if "value_kb" in self.announced_limits:
             self.store.value_bytes = int(self.announced_limits["value_kb"] * 1024)
         self.store.write_rps = self.announced_limits.get("write_rps")
-        self.store.operations = int(self.announced_limits.get("txn_ops", self.store.operations))
+        self.store.max_operations = int(
+            self.announced_limits.get("txn_ops", self.store.max_operations)
+        )
 
     def crash(self, name: str) -> None:
         """The process ends at once, without releasing anything."""
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -37,7 +37,7 @@
         self.writes = 0
         self.requests = 0
         self.value_bytes = 8 * 1024
-        self.operations = 8  # puts and deletes in one transaction
+        self.max_operations = 8  # puts and deletes in one transaction
         self.oversized: list[str] = []  # what was refused for its size
         self.write_rps: float | None = None  # changes a second; None: any number
         self.write_burst_restored_at = 0.0  # when its burst would be full again
@@ -154,7 +154,10 @@
         values = [json.dumps(c["V"], separators=(",", ":")) for c in changes if "Put" in c]
         if max(map(len, values), default=0) > self.value_bytes:
             return f"value of {max(map(len, values))} bytes: {[c.get('Put') for c in changes]}"
-        if len(changes) > self.operations or len(body.get("Guards", [])) > 4 * self.operations:
+        if (
+            len(changes) > self.max_operations
+            or len(body.get("Guards", [])) > 4 * self.max_operations
+        ):
             return f"{len(changes)} changes, {len(body.get('Guards', []))} guards"
         return "over 64 KiB" if len(json.dumps(body)) > 64 * 1024 else ""
 
