--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -27,7 +27,7 @@
         self.requested: dict[str, dict[str, Any]] = {}  # every request that was ever recorded
         self.to_return: set[str] = set()  # every machine that was ever recorded as to be returned
         self.actions = 0  # that were checked
-        self.repeats = 0  # calls for what was carried out already
+        self.repeated_calls = 0  # calls for what was carried out already
         store.on_accept = self.check_transaction
         cloud.on_accept = self.check_cloud_call
 
@@ -103,4 +103,4 @@
         if recorded is not None:
             same = recorded["number"] == body["Number"] and recorded["kind"] == body["Grade"]
             self._check(same, f"rented other than recorded: {name}")
-        self.repeats += f"{SCALE_OUT}{name}" not in self.store.keys
+        self.repeated_calls += f"{SCALE_OUT}{name}" not in self.store.keys
--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -181,7 +181,7 @@
         "jobs": len(deployment.jobs),
         "machines rented": deployment.cloud.rented_count,
         "actions checked": checker.actions,
-        "calls repeated": checker.repeats,
+        "calls repeated": checker.repeated_calls,
         "stale": checker.stale,
         "rules broken": deployment.rule_checker.violations,
         "unfinished": unfinished,
