--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -26,7 +26,7 @@
         self.stale: list[str] = []  # what was accepted from a stale holder
         self.requested: dict[str, dict[str, Any]] = {}  # every request that was ever recorded
         self.to_return: set[str] = set()  # every machine that was ever recorded as to be returned
-        self.actions = 0  # that were checked
+        self.checked_actions = 0  # that were checked
         self.repeated_calls = 0  # calls for what was carried out already
         store.on_accept = self.check_transaction
         cloud.on_accept = self.check_cloud_call
@@ -61,7 +61,7 @@
                 self._check(key[len(MACHINE) :] in self.to_return, f"record dropped: {key}")
 
     def _check(self, holds: bool, text: str) -> None:
-        self.actions += 1
+        self.checked_actions += 1
         if not holds:
             self.stale.append(f"{self.store.loop.time():.2f} {text}")
 
--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -180,7 +180,7 @@
         "duties taken up": acquisitions(deployment),
         "jobs": len(deployment.jobs),
         "machines rented": deployment.cloud.rented_count,
-        "actions checked": checker.actions,
+        "actions checked": checker.checked_actions,
         "calls repeated": checker.repeated_calls,
         "stale": checker.stale,
         "rules broken": deployment.rule_checker.violations,
