--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -94,7 +94,7 @@
         if self.deployment.loop.time() > self.cancelled_at[ref] + self.deployment.cancel_s:
             self.add_violation(f"ran_cancelled {task}")
 
-    def task_left(self, task: str, worker: FakeWorker) -> None:
+    def task_stopped(self, task: str, worker: FakeWorker) -> None:
         """A task runs no more on a worker."""
         if self.running_on.get(task) is worker:
             del self.running_on[task]
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -82,7 +82,7 @@
     def _kill_all(self) -> None:
         for (task, _), entry in self.tasks.items():
             if entry["Stage"] != "ended":
-                self.deployment.rule_checker.task_left(task, self)
+                self.deployment.rule_checker.task_stopped(task, self)
         self.tasks.clear()
 
     def begin_next_epoch(self) -> None:
@@ -262,7 +262,7 @@
 
     def _end(self, key: tuple[str, int], why: str) -> None:
         if self.tasks[key]["Stage"] != "fetching":
-            self.deployment.rule_checker.task_left(key[0], self)
+            self.deployment.rule_checker.task_stopped(key[0], self)
         self.tasks[key] = {"Stage": "ended", "Cause": why}
         self.change.set()
 
