--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -39,7 +39,7 @@
         self.answered_at: dict[str, float] = {}
         self.waiting_since: dict[str, float] = {}  # since when a job waits beside room
         self.checked_at = 0.0
-        self.started_cancelled: list[tuple[str, float]] = []  # and how long after the user knew
+        self.started_after_cancel: list[tuple[str, float]] = []  # and how long after the user knew
         self.running_on: dict[str, FakeWorker] = {}
         self.results: set[str] = set()
         self.last_stage: dict[str, str] = {}
@@ -73,7 +73,7 @@
             self.add_violation(f"quota {job['Crew']}: {used}")
         if ref in self.cancelled_at:
             late = self.deployment.loop.time() - self.cancelled_at[ref]
-            self.started_cancelled.append((task, late))
+            self.started_after_cancel.append((task, late))
             self._check_cancelled(task)
 
     def _check_placement(self, ref: str, job: dict[str, Any], worker: FakeWorker) -> None:
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -706,6 +706,6 @@
     deployment.net.heal(leader_host, deployment.store.HOST)
     await _run_checked(deployment, 3)
 
-    assert deployment.rule_checker.started_cancelled == []
+    assert deployment.rule_checker.started_after_cancel == []
     assert deployment.shard_leader() == shard_leader
     deployment.assert_no_violation()
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -180,5 +180,5 @@
     loop._selector.now += 2.0
     deployment.rule_checker.task_started("req-000001/0", _add_worker(deployment, 1), 1)
 
-    assert deployment.rule_checker.started_cancelled == [("req-000001/0", 2.0)]
+    assert deployment.rule_checker.started_after_cancel == [("req-000001/0", 2.0)]
     assert deployment.rule_checker.violations == []
