--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -54,7 +54,7 @@
         self.corrupt_reply: Callable[[Response], Response] | None = None
         self.rented_count = 0
         self.capacity = 12
-        self.page_rows = 500  # rows of a page of the list at most
+        self.max_page_rows = 500  # rows of a page of the list at most
         self.list_lag_s = 2.0  # how old a page of the list is, at least; some are twice that old
         # that many scale-out requests will be executed without an answer
         self.unanswered_rentals = 0
@@ -127,5 +127,5 @@
             if created_at <= at < gone
         }
         names = sorted(name for name in rows if name > query.get("Since", ""))
-        shown = names[: min(self.page_rows, int(query.get("Most", "500")))]
+        shown = names[: min(self.max_page_rows, int(query.get("Most", "500")))]
         return reply(200, {"Anvils": [rows[n] for n in shown], "HasNext": len(names) > len(shown)})
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -170,7 +170,7 @@
 async def test_list_pages_of_different_age_lose_no_machine(loop: Loop) -> None:
     deployment = Deployment(loop)
     deployment.cloud.capacity = 30
-    deployment.cloud.page_rows = 4
+    deployment.cloud.max_page_rows = 4
     deployment.cloud.list_lag_s = 4.0
     await deployment.start()
     deployment.cloud.unanswered_rentals = (
