--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -93,7 +93,7 @@
                     self.deleted[name] = (
                         worker.created_at,
                         self.deployment.loop.time(),
-                        worker.listed(),
+                        worker.list_row(),
                     )
                     worker.stop()
             return reply(200, {})
@@ -120,7 +120,7 @@
         """Each page shows the machines of a moment of its own: new ones are missing, and those
         that are gone still stand there."""
         at = self.deployment.loop.time() - self.list_lag_s * self.deployment.rng.uniform(1.0, 2.0)
-        rows = {name: w.listed() for name, w in self.machines.items() if w.created_at <= at}
+        rows = {name: w.list_row() for name, w in self.machines.items() if w.created_at <= at}
         rows |= {
             name: row
             for name, (created_at, gone, row) in self.deleted.items()
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -61,7 +61,7 @@
         """Seconds since it was rented."""
         return self.loop.time() - self.created_at
 
-    def listed(self) -> dict[str, Any]:
+    def list_row(self) -> dict[str, Any]:
         """Its row in the cloud's list."""
         return {
             "Ref": self.name,
