--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -57,7 +57,7 @@
         self.lease_from = self.created_at
         self.task = on_host(self.host, self._boot_and_serve())
 
-    def age(self) -> float:
+    def age_s(self) -> float:
         """Seconds since it was rented."""
         return self.loop.time() - self.created_at
 
@@ -69,7 +69,7 @@
             "Grade": self.machine_type["Label"],
             "Yard": self.zone,
             "Loaners": self.spot,
-            "HeldS": self.age(),
+            "HeldS": self.age_s(),
             "Stage": "failed" if self.failed else "running" if self.up else "starting",
         }
 
