--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -54,7 +54,7 @@
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.images: set[str] = set()  # those that were fetched once
         self.change = asyncio.Event()
-        self.lease_from = self.created_at
+        self.lease_started_at = self.created_at
         self.task = on_host(self.host, self._boot_and_serve())
 
     def age_s(self) -> float:
@@ -90,7 +90,7 @@
         self._kill_all()
         self.epoch += 1
         self.tick = 0
-        self.lease_from = self.loop.time()
+        self.lease_started_at = self.loop.time()
         self.change.set()
 
     async def _boot_and_serve(self) -> None:
@@ -98,7 +98,7 @@
         server = self.deployment.servers[self.host] = Server(self.handle, 100)
         await server.start(self.address)
         self.up = True
-        self.lease_from = self.loop.time()
+        self.lease_started_at = self.loop.time()
         task_clock = self.loop.create_task(self._advance_tasks())
         try:
             await self._send_heartbeats()
@@ -200,7 +200,7 @@
         if answer["Baton"] > self.fencing_token:
             self.fencing_token = answer["Baton"]
             self.change.set()
-        self.lease_from = sent
+        self.lease_started_at = sent
         self._execute(answer["Orders"])
 
     def _execute(self, commands: list[dict[str, Any]]) -> None:
@@ -271,7 +271,7 @@
         while True:
             await asyncio.sleep(0.1)
             now = self.loop.time()
-            if now - self.lease_from > self.deployment.lease:
+            if now - self.lease_started_at > self.deployment.lease:
                 self.begin_next_epoch()
             for key, entry in list(self.tasks.items()):
                 if self.hung:
