--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -53,7 +53,7 @@
         self.sends_no_heartbeats = False  # it reaches no controller, while pushed commands reach it
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.images: set[str] = set()  # those that were fetched once
-        self.change = asyncio.Event()
+        self.state_changed = asyncio.Event()
         self.lease_started_at = self.created_at
         self.task = on_host(self.host, self._boot_and_serve())
 
@@ -91,7 +91,7 @@
         self.epoch += 1
         self.tick = 0
         self.lease_started_at = self.loop.time()
-        self.change.set()
+        self.state_changed.set()
 
     async def _boot_and_serve(self) -> None:
         await asyncio.sleep(self.machine_type["ReadyS"])
@@ -160,13 +160,13 @@
             pool.close()
 
     async def _pause(self) -> None:
-        self.change.clear()
+        self.state_changed.clear()
         await asyncio.sleep(0.5)
         try:
             async with asyncio.timeout(
                 self.HEARTBEAT_INTERVAL_S * self.deployment.rng.uniform(0.75, 1.25) - 0.5
             ):
-                await self.change.wait()
+                await self.state_changed.wait()
         except TimeoutError:
             pass
 
@@ -199,7 +199,7 @@
             return
         if answer["Baton"] > self.fencing_token:
             self.fencing_token = answer["Baton"]
-            self.change.set()
+            self.state_changed.set()
         self.lease_started_at = sent
         self._execute(answer["Orders"])
 
@@ -215,7 +215,7 @@
             elif key in self.tasks and self.tasks[key]["Stage"] != "ended":
                 self._end(key, "stopped")
         if commands:
-            self.change.set()
+            self.state_changed.set()
 
     def _start(self, key: tuple[str, int]) -> None:
         if key in self.tasks:
@@ -264,7 +264,7 @@
         if self.tasks[key]["Stage"] != "fetching":
             self.deployment.rule_checker.task_stopped(key[0], self)
         self.tasks[key] = {"Stage": "ended", "Cause": why}
-        self.change.set()
+        self.state_changed.set()
 
     async def _advance_tasks(self) -> None:
         """Tasks go on, and the lease runs out, unless the machine hangs."""
@@ -284,11 +284,11 @@
                     whole = job["Shape"] == "group"
                     entry["Stage"] = "gathering" if whole else "running"
                     entry["at"] = now + self._run_s(job)
-                    self.change.set()
+                    self.state_changed.set()
                 if entry["Stage"] == "gathering" and self.deployment.gang_complete(task, key[1]):
                     entry["Stage"] = "running"
                     entry["at"] = now + job["RunS"]
-                    self.change.set()
+                    self.state_changed.set()
                 if entry["Stage"] == "running" and now >= entry["at"]:
                     if job["Shape"] == "group":
                         self.deployment.end_gang(task, key[1])
@@ -316,7 +316,7 @@
             return reply(409, self.heartbeat())
         if body["Baton"] > self.fencing_token:
             self.fencing_token = body["Baton"]
-            self.change.set()
+            self.state_changed.set()
         self._execute(body["Orders"])
         await poll_until(lambda: not (self.answers_lost and body["Orders"]), 0.2)
         return reply(200, self.heartbeat())
