--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -131,7 +131,7 @@
                 await asyncio.sleep(max(0.0, sent + 4 - self.loop.time()))
                 status = 0
             if status == 200:
-                self._obey(json.loads(answer), sent, epoch)
+                self._apply_response(json.loads(answer), sent, epoch)
                 await self._pause()
             elif status == 421:
                 pool.close()
@@ -194,7 +194,7 @@
             "Pieces": tasks,
         }
 
-    def _obey(self, answer: dict[str, Any], sent: float, epoch: int) -> None:
+    def _apply_response(self, answer: dict[str, Any], sent: float, epoch: int) -> None:
         if epoch != self.epoch or answer.get("Baton", -1) < self.fencing_token or self.hung:
             return
         if answer["Baton"] > self.fencing_token:
