--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
 class KnownRed(NamedTuple):
@@ -29,8 +29,8 @@
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
             raise BadFile(f"line {number}: not '<test id> | <cause> | <issue>'")
         entries.append(KnownRed(*parts))
-    if len(entries) > MOST:
-        raise BadFile(f"{len(entries)} entries, {MOST} are allowed")
+    if len(entries) > MAX_ENTRIES:
+        raise BadFile(f"{len(entries)} entries, {MAX_ENTRIES} are allowed")
     return entries
 
 
