--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -15,7 +15,7 @@
     issue: str
 
 
-class BadFile(Exception):
+class MalformedFile(Exception):
     """The file is not as it must be."""
 
 
@@ -27,10 +27,10 @@
             continue
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise BadFile(f"line {number}: not '<test id> | <cause> | <issue>'")
+            raise MalformedFile(f"line {number}: not '<test id> | <cause> | <issue>'")
         entries.append(KnownRed(*parts))
     if len(entries) > MAX_ENTRIES:
-        raise BadFile(f"{len(entries)} entries, {MAX_ENTRIES} are allowed")
+        raise MalformedFile(f"{len(entries)} entries, {MAX_ENTRIES} are allowed")
     return entries
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -18,7 +18,7 @@
     ids=["no issue", "no test", "empty cause", "four entries"],
 )
 def test_malformed_file_is_refused(text: str) -> None:
-    with pytest.raises(known_red.BadFile):
+    with pytest.raises(known_red.MalformedFile):
         known_red.parse(text)
 
 
