--- a/tests/duty_support.py
+++ b/tests/duty_support.py
@@ -54,7 +54,7 @@
     deployment.assert_no_violation()
 
 
-def when_recorded(deployment: Deployment, prefix: str, action: Callable[[], None]) -> None:
+def call_when_recorded(deployment: Deployment, prefix: str, action: Callable[[], None]) -> None:
     """Act in the very moment in which an intent is recorded."""
     before = deployment.store.on_accept
 
--- a/tests/test_duty_checker.py
+++ b/tests/test_duty_checker.py
@@ -9,7 +9,7 @@
 from basaltlead.scaling.scale_in import ScaleIn
 from basaltlead.scaling.scale_out import ScaleOut
 from basaltlead.storage.records import StoredScaleOut
-from tests.duty_support import start_with_duties, when_recorded
+from tests.duty_support import call_when_recorded, start_with_duties
 from tests.simulation import Loop, simulated
 
 
@@ -25,7 +25,7 @@
     stale = deployment.store.keys["c/duty/rent"][0]["name"]
     deployment.cloud.error_status = 503
 
-    when_recorded(deployment, "hire/", lambda: deployment.freeze(stale))
+    call_when_recorded(deployment, "hire/", lambda: deployment.freeze(stale))
     await deployment.submit(deployment.job(1, Pieces=8, RunS=30.0), deployment.other_node(stale))
     await asyncio.sleep(30)
     deployment.freeze(deployment.store.keys["c/duty/rent"][0]["name"])
--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -8,11 +8,11 @@
 from basaltlead.scaling.scale_in import ScaleIn
 from tests.duty_support import (
     FAILOVER_S,
+    call_when_recorded,
     finish,
     open_intents,
     recorded_events,
     start_with_duties,
-    when_recorded,
 )
 from tests.fakes import Deployment
 from tests.fakes.cloud import FakeCloud
@@ -24,14 +24,14 @@
     if when == "half sent":
         deployment.net.second_half_delay_s[FakeCloud.HOST] = 90.0
     if when == "before the check":
-        when_recorded(deployment, prefix, lambda: deployment.freeze(name))
+        call_when_recorded(deployment, prefix, lambda: deployment.freeze(name))
         await deployment.wait_until(
             lambda: deployment.host(name) in deployment.loop.frozen, seconds=120.0
         )
         return
     deployment.cloud.answer_delay_s = 5.0
     recorded = asyncio.Event()
-    when_recorded(deployment, prefix, recorded.set)
+    call_when_recorded(deployment, prefix, recorded.set)
     await deployment.wait_until(recorded.is_set, seconds=120.0)
     await asyncio.sleep(0.6)
     deployment.freeze(name)
@@ -111,7 +111,9 @@
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
-    when_recorded(deployment, "return/", lambda: setattr(deployment.cloud, "error_status", 503))
+    call_when_recorded(
+        deployment, "return/", lambda: setattr(deployment.cloud, "error_status", 503)
+    )
     await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
     going = {
         name
@@ -146,7 +148,7 @@
     await asyncio.sleep(8)
     deployment.cloud.error_status = 0
     await deployment.wait_until_done("req-000001")
-    when_recorded(
+    call_when_recorded(
         deployment, "return/", lambda: setattr(deployment.cloud, "error_status", error_status)
     )
     await deployment.wait_until(
