--- a/tests/duty_support.py
+++ b/tests/duty_support.py
@@ -43,7 +43,7 @@
     return [event for page in pages for event in page["events"] if event["action"] == action]
 
 
-async def finish(deployment: Deployment) -> None:
+async def finish_and_check(deployment: Deployment) -> None:
     """All jobs are done, and no machine is left that anybody has to pay for."""
     deployment.end_all_faults()
     await deployment.wait_until_done(*deployment.jobs, seconds=200.0)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,7 +10,7 @@
 from tests.duty_support import (
     DUTIES_ON,
     FAILOVER_S,
-    finish,
+    finish_and_check,
     open_intents,
     recorded_events,
     start_with_duties,
@@ -140,7 +140,7 @@
         loop.steady_clock_offset_s[deployment.host(holder)] = steady
         await asyncio.sleep(4)
         await wait_for_all_holders(deployment)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -164,7 +164,7 @@
     await deployment.wait_until(lambda: bool(lease_checks))
 
     assert lease_checks == [True]
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("duty", list(Duty))
@@ -182,7 +182,7 @@
     await deployment.wait_until(
         lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
     )
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -207,7 +207,7 @@
         lambda: not requested & set(open_intents(deployment, "hire/")), seconds=30.0
     )
     assert {f"hire/{name}" for name in deployment.cloud.scale_outs} >= requested
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
@@ -225,7 +225,7 @@
     )
     await asyncio.sleep(20)
     deployment.net.heal(deployment.host(holder), FakeKeyValueStore.HOST)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -243,7 +243,7 @@
     await asyncio.sleep(120)
     assert len(recorded_events(deployment, "taken up")) <= moves + 3  # it does not go to and fro
     deployment.net.heal(deployment.host(holder), FakeCloud.HOST)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -274,4 +274,4 @@
         deployment.start_controller(name)
     await wait_for_all_holders(deployment)
     await deployment.submit(deployment.job(3, Pieces=8, RunS=5.0))
-    await finish(deployment)
+    await finish_and_check(deployment)
--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -8,7 +8,7 @@
 from basaltlead.wire.cloud import RentedMachine
 from tests.duty_support import (
     DUTIES_ON,
-    finish,
+    finish_and_check,
     open_intents,
     recorded_events,
     start_with_duties,
@@ -65,7 +65,7 @@
     )
     late.task.cancel()  # it never comes up, so nobody hears of it but by the list
     await deployment.wait_until(lambda: bool(recorded_events(deployment, "adopted")), seconds=60.0)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -89,7 +89,7 @@
     await deployment.wait_until(lambda: failed.name not in deployment.cloud.machines, seconds=60.0)
     await deployment.wait_until(lambda: not open_intents(deployment, "return/"))
     assert f"mach/{failed.name}" not in deployment.store.keys
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -9,7 +9,7 @@
 from tests.duty_support import (
     FAILOVER_S,
     call_when_recorded,
-    finish,
+    finish_and_check,
     open_intents,
     recorded_events,
     start_with_duties,
@@ -65,7 +65,7 @@
     deployment.thaw(holder)
     await asyncio.sleep(10)
     assert len(deployment.cloud.scale_outs) == rented
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -89,7 +89,7 @@
     assert left.items() <= settled.items()  # none was written again
     assert len(recorded_events(deployment, "rented")) == len(settled)
     deployment.start_controller(holder)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -134,7 +134,7 @@
     assert going <= set(deployment.cloud.machines)
     assert at_first[-1] == going
     deployment.start_controller(shard_leader)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("error_status", [429, 503])
@@ -155,7 +155,7 @@
         lambda: deployment.cloud.error_status == error_status, seconds=120.0
     )
     await asyncio.sleep(8)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -173,7 +173,7 @@
     deployment.cloud.answer_delay_s = 0.02
     machines = [name for names in deployment.cloud.scale_outs.values() for name in names]
     assert len(machines) == len(set(machines)) == deployment.cloud.rented_count
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
@@ -198,7 +198,7 @@
     await asyncio.sleep(150)
     deployment.net.heal(deployment.host(holder), FakeCloud.HOST, deliver=True)
     deployment.start_controller(holder)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -242,4 +242,4 @@
     await deployment.wait_until(lambda: set(deployment.cloud.machines) == {victim}, seconds=200.0)
     await deployment.wait_until(lambda: bool(recorded_events(deployment, "refused")))
     deployment.cloud.refused_names.clear()
-    await finish(deployment)
+    await finish_and_check(deployment)
