--- a/tests/test_duty_checker.py
+++ b/tests/test_duty_checker.py
@@ -22,15 +22,17 @@
     monkeypatch.setattr(DutyHolder, "stop", lambda holder: None)
 
     deployment = await start_with_duties(loop)
-    stale = deployment.store.keys["c/duty/rent"][0]["name"]
+    stale_holder = deployment.store.keys["c/duty/rent"][0]["name"]
     deployment.cloud.error_status = 503
 
-    call_when_recorded(deployment, "hire/", lambda: deployment.freeze(stale))
-    await deployment.submit(deployment.job(1, Pieces=8, RunS=30.0), deployment.other_node(stale))
+    call_when_recorded(deployment, "hire/", lambda: deployment.freeze(stale_holder))
+    await deployment.submit(
+        deployment.job(1, Pieces=8, RunS=30.0), deployment.other_node(stale_holder)
+    )
     await asyncio.sleep(30)
     deployment.freeze(deployment.store.keys["c/duty/rent"][0]["name"])
     deployment.cloud.error_status = 0
-    deployment.thaw(stale)
+    deployment.thaw(stale_holder)
     await asyncio.sleep(5)
 
     assert any("rent: rented" in one for one in deployment.duty_checker.stale)
