--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -412,5 +412,5 @@
         self.rule_checker.check()
         assert not self.rule_checker.violations, "; ".join(self.rule_checker.violations)
         assert not self.store.oversized, self.store.oversized[:3]
-        assert not self.duty_checker.stale, self.duty_checker.stale[:3]
+        assert not self.duty_checker.violations, self.duty_checker.violations[:3]
         assert self.rule_checker.starts > 0
--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -23,7 +23,7 @@
 
     def __init__(self, store: FakeKeyValueStore, cloud: FakeCloud) -> None:
         self.store = store
-        self.stale: list[str] = []  # what was accepted from a stale holder
+        self.violations: list[str] = []  # what was accepted from a stale holder
         self.requested: dict[str, dict[str, Any]] = {}  # every request that was ever recorded
         self.to_return: set[str] = set()  # every machine that was ever recorded as to be returned
         self.checked_actions = 0  # that were checked
@@ -63,7 +63,7 @@
     def _check(self, holds: bool, text: str) -> None:
         self.checked_actions += 1
         if not holds:
-            self.stale.append(f"{self.store.loop.time():.2f} {text}")
+            self.violations.append(f"{self.store.loop.time():.2f} {text}")
 
     def _check_event(self, key: str, page: dict[str, Any]) -> None:
         duty = key.split("/")[1]
--- a/tests/test_duty_checker.py
+++ b/tests/test_duty_checker.py
@@ -35,7 +35,7 @@
     deployment.thaw(stale_holder)
     await asyncio.sleep(5)
 
-    assert any("rent: rented" in one for one in deployment.duty_checker.stale)
+    assert any("rent: rented" in one for one in deployment.duty_checker.violations)
 
 
 async def _delete_at_once(scale_ins: ScaleIn, names: list[str]) -> None:
@@ -63,5 +63,5 @@
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until(
-        lambda: any(found in one for one in deployment.duty_checker.stale), seconds=120.0
+        lambda: any(found in one for one in deployment.duty_checker.violations), seconds=120.0
     )
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -199,7 +199,7 @@
     newest = max(rows, key=lambda page: page["number"])
 
     assert newest["first"] + len(newest["events"]) == 401  # with the taking up
-    assert not deployment.duty_checker.stale
+    assert not deployment.duty_checker.violations
 
 
 # Quiet times
--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -182,7 +182,7 @@
         "machines rented": deployment.cloud.rented_count,
         "actions checked": checker.checked_actions,
         "calls repeated": checker.repeated_calls,
-        "stale": checker.stale,
+        "stale": checker.violations,
         "rules broken": deployment.rule_checker.violations,
         "unfinished": unfinished,
         "failed loops": sum(map(is_failed_task, logs.splitlines())),
