--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -45,17 +45,17 @@
 class Transport(asyncio.Transport):
     """One end of a connection in memory."""
 
-    def __init__(self, net: "Network", here: str, there: str) -> None:
+    def __init__(self, net: "Network", local_host: str, remote_host: str) -> None:
         super().__init__()
         self.net = net
-        self.here = here
-        self.there = there
-        self.other: Transport | None = None
+        self.local_host = local_host
+        self.remote_host = remote_host
+        self.peer: Transport | None = None
         self.protocol: asyncio.Protocol | None = None
         self.closed = False
 
     def write(self, data: Any) -> None:
-        if not self.closed and self.other is not None:
+        if not self.closed and self.peer is not None:
             self.net.send(self, bytes(data))
 
     def is_closing(self) -> bool:
@@ -73,7 +73,7 @@
         self.closed = True
         if self.protocol is not None:
             self.net.loop.call_soon(self.protocol.connection_lost, None)
-        if self.other is not None:
+        if self.peer is not None:
             self.net.send(self, None)
 
 
@@ -103,79 +103,81 @@
         """Ends a cut. What was sent meanwhile arrives late, or is reset."""
         link = frozenset((a, b))
         self.cut_links.discard(link)
-        for end, data in self.held_back.pop(link, []):
+        for transport, data in self.held_back.pop(link, []):
             if deliver:
-                self._later(end, data)
-            elif end.other is not None and not end.other.closed:
-                end.other.abort()
+                self._schedule_delivery(transport, data)
+            elif transport.peer is not None and not transport.peer.closed:
+                transport.peer.abort()
 
-    def send(self, end: Transport, data: bytes | None) -> None:
+    def send(self, transport: Transport, data: bytes | None) -> None:
         """Send bytes, or the end of the connection (None), from one end to the other."""
-        link = frozenset((end.here, end.there))
-        late = self.second_half_delay_s.get(end.there)
-        if data is not None and late is not None and link not in self.cut_links:
+        link = frozenset((transport.local_host, transport.remote_host))
+        second_half_delay = self.second_half_delay_s.get(transport.remote_host)
+        if data is not None and second_half_delay is not None and link not in self.cut_links:
             middle = len(data) // 2
-            self._later(end, data[:middle])
-            self.loop.call_later(late, self._later, end, data[middle:])
+            self._schedule_delivery(transport, data[:middle])
+            self.loop.call_later(
+                second_half_delay, self._schedule_delivery, transport, data[middle:]
+            )
         elif link in self.cut_links:
-            self.held_back.setdefault(link, []).append((end, data))
+            self.held_back.setdefault(link, []).append((transport, data))
         else:
-            self._later(end, data)
+            self._schedule_delivery(transport, data)
 
-    def _later(self, end: Transport, data: bytes | None) -> None:
-        takes = self.rng.uniform(0.0003, 0.003) + self.slow.get(end.there, 0.0)
-        at = max(self.loop.time() + takes, self.next_arrival_at.get(id(end), 0.0))
-        self.next_arrival_at[id(end)] = at + 1e-7
-        self.loop.call_at(at, self._arrive, end, data)
+    def _schedule_delivery(self, transport: Transport, data: bytes | None) -> None:
+        delay_s = self.rng.uniform(0.0003, 0.003) + self.slow.get(transport.remote_host, 0.0)
+        at = max(self.loop.time() + delay_s, self.next_arrival_at.get(id(transport), 0.0))
+        self.next_arrival_at[id(transport)] = at + 1e-7
+        self.loop.call_at(at, self._deliver_on_host, transport, data)
 
-    def _arrive(self, end: Transport, data: bytes | None) -> None:
+    def _deliver_on_host(self, transport: Transport, data: bytes | None) -> None:
         """What arrives is the receiver's to deal with: on its host, and when it is awake."""
         context = contextvars.copy_context()
-        context.run(HOST.set, end.there)
-        context.run(PEER.set, end.here)
-        self.loop.call_soon(self._take, end, data, context=context)
+        context.run(HOST.set, transport.remote_host)
+        context.run(PEER.set, transport.local_host)
+        self.loop.call_soon(self._deliver, transport, data, context=context)
 
     @staticmethod
-    def _take(end: Transport, data: bytes | None) -> None:
-        other = end.other
-        if other is None or other.closed or other.protocol is None:
+    def _deliver(transport: Transport, data: bytes | None) -> None:
+        peer = transport.peer
+        if peer is None or peer.closed or peer.protocol is None:
             return
         if data is None:
-            other.closed = True
-            other.protocol.connection_lost(None)
+            peer.closed = True
+            peer.protocol.connection_lost(None)
         else:
-            other.protocol.data_received(data)
+            peer.protocol.data_received(data)
 
     async def connect(
         self, factory: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> tuple[Transport, asyncio.Protocol]:
         """Open a connection from the current host."""
-        here = HOST.get()
+        local_host = HOST.get()
         await asyncio.sleep(self.rng.uniform(0.0003, 0.003))
-        if frozenset((here, host)) in self.cut_links:
+        if frozenset((local_host, host)) in self.cut_links:
             await asyncio.sleep(3600)
-        make = self.listeners.get((host, port))
-        if make is None or (host, port) in self.refusing_addresses:
+        create_protocol = self.listeners.get((host, port))
+        if create_protocol is None or (host, port) in self.refusing_addresses:
             raise ConnectionRefusedError(f"{host}:{port}")
-        near, far = Transport(self, here, host), Transport(self, host, here)
-        near.other, far.other = far, near
-        far.protocol = make()
+        near, far = Transport(self, local_host, host), Transport(self, host, local_host)
+        near.peer, far.peer = far, near
+        far.protocol = create_protocol()
         near.protocol = factory()
         far.protocol.connection_made(far)
         near.protocol.connection_made(near)
-        for end in (near, far):
-            self.transports.setdefault(end.here, set()).add(end)
+        for transport in (near, far):
+            self.transports.setdefault(transport.local_host, set()).add(transport)
         return near, near.protocol
 
     def power_off(self, host: str) -> None:
         """The host stops: its listeners are gone, its connections are reset."""
         for address in [address for address in self.listeners if address[0] == host]:
             del self.listeners[address]
-        for end in self.transports.pop(host, set()):
-            if not end.closed:
-                end.closed = True
-                end.protocol = None
-                self.send(end, None)
+        for transport in self.transports.pop(host, set()):
+            if not transport.closed:
+                transport.closed = True
+                transport.protocol = None
+                self.send(transport, None)
 
 
 class _Listener:
@@ -262,11 +264,11 @@
             raise OSError(errno.EADDRINUSE, "address in use")
         context = contextvars.copy_context()
 
-        def make() -> asyncio.Protocol:
+        def create_protocol() -> asyncio.Protocol:
             protocol: asyncio.Protocol = context.run(factory)
             return protocol
 
-        self.net.listeners[(host, port)] = make
+        self.net.listeners[(host, port)] = create_protocol
         return _Listener(self.net, (host, port))
 
 
@@ -289,10 +291,10 @@
     finally:
         for host in list(loop.frozen):  # what stands still can't be ended
             loop.thaw(host)
-        left = asyncio.all_tasks(loop)
-        for task in left:
+        tasks = asyncio.all_tasks(loop)
+        for task in tasks:
             task.cancel()
-        loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        loop.run_until_complete(asyncio.gather(*tasks, return_exceptions=True))
         asyncio.set_event_loop(None)
         loop.close()
     assert not failures, failures
