--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,7 +1,7 @@
-"""A simulation in memory: a fake clock, a fake network, and an event loop that runs on both.
+"""An in-memory simulation: a fake clock, a fake network, and an event loop that uses both.
 
-Controllers run in it unchanged. Time passes only when nobody has anything left to do, so a
-day takes as long as its code takes, and the same seed gives the same day.
+Controllers run in it unchanged. Time advances only when no callback is ready, so a simulated day
+takes only as long as its code needs, and the same seed gives the same run.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 from basaltlead.runtime import clock
 
 HOST: contextvars.ContextVar[str] = contextvars.ContextVar("host", default="10.9.9.9")
-PEER: contextvars.ContextVar[str] = contextvars.ContextVar("peer", default="")  # who is heard
+PEER: contextvars.ContextVar[str] = contextvars.ContextVar("peer", default="")  # sender of the data
 
 
 class _Selector(selectors.BaseSelector):
-    """Instead of waiting, advances the clock."""
+    """Advances the simulated clock instead of waiting."""
 
     def __init__(self) -> None:
         self.now = 1000.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("everybody waits for ever")
+            raise RuntimeError("deadlock: no callback is ready or scheduled")
         self.now += max(0.0, timeout)
         return []
 
@@ -43,7 +43,7 @@
 
 
 class Transport(asyncio.Transport):
-    """One end of a connection in memory."""
+    """One end of an in-memory connection."""
 
     def __init__(self, net: "Network", local_host: str, remote_host: str) -> None:
         super().__init__()
@@ -78,29 +78,32 @@
 
 
 class Network:
-    """Listeners by address; links between hosts that can be cut."""
+    """Connections between hosts, with injected faults: cut links, delays and refused addresses."""
 
     def __init__(self, loop: "Loop", rng: random.Random) -> None:
         self.loop = loop
         self.rng = rng
         self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
-        self.ports_in_use: set[tuple[str, int]] = set()  # ports that somebody else uses
-        self.refusing_addresses: set[tuple[str, int]] = set()  # a packet filter before these
+        self.ports_in_use: set[tuple[str, int]] = set()  # ports that another process listens on
+        self.refusing_addresses: set[tuple[str, int]] = (
+            set()
+        )  # refuse connections, as a packet filter does
         self.cut_links: set[frozenset[str]] = set()
+        # What was sent over cut links, by link
         self.held_back: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
+        # Per transport, the earliest time of the next delivery, which keeps the bytes in order
         self.next_arrival_at: dict[int, float] = {}
-        self.transports: dict[str, set[Transport]] = {}
-        self.slow: dict[str, float] = {}  # hosts that take so much longer for all they hear
-        self.second_half_delay_s: dict[
-            str, float
-        ] = {}  # hosts to which the later half of all comes so late
+        self.transports: dict[str, set[Transport]] = {}  # by local host
+        self.slow: dict[str, float] = {}  # added delay in s of all data to a host
+        # By host, the delay in s of the second half of all data sent to it
+        self.second_half_delay_s: dict[str, float] = {}
 
     def cut(self, a: str, b: str) -> None:
-        """Hold back all that two hosts send to each other."""
+        """Cut the link between two hosts: what they send to each other is held back."""
         self.cut_links.add(frozenset((a, b)))
 
     def heal(self, a: str, b: str, deliver: bool = True) -> None:
-        """Ends a cut. What was sent meanwhile arrives late, or is reset."""
+        """Restore a cut link. What was held back is delivered now, or its connections are reset."""
         link = frozenset((a, b))
         self.cut_links.discard(link)
         for transport, data in self.held_back.pop(link, []):
@@ -110,7 +113,7 @@
                 transport.peer.abort()
 
     def send(self, transport: Transport, data: bytes | None) -> None:
-        """Send bytes, or the end of the connection (None), from one end to the other."""
+        """Send data, or the end of the connection (None), to the peer of a transport."""
         link = frozenset((transport.local_host, transport.remote_host))
         second_half_delay = self.second_half_delay_s.get(transport.remote_host)
         if data is not None and second_half_delay is not None and link not in self.cut_links:
@@ -131,7 +134,7 @@
         self.loop.call_at(at, self._deliver_on_host, transport, data)
 
     def _deliver_on_host(self, transport: Transport, data: bytes | None) -> None:
-        """What arrives is the receiver's to deal with: on its host, and when it is awake."""
+        """Process the data in the receiver's context: later, if the receiving host is frozen."""
         context = contextvars.copy_context()
         context.run(HOST.set, transport.remote_host)
         context.run(PEER.set, transport.local_host)
@@ -170,7 +173,7 @@
         return near, near.protocol
 
     def power_off(self, host: str) -> None:
-        """The host stops: its listeners are gone, its connections are reset."""
+        """Stop a host: its listeners close and its connections are reset."""
         for address in [address for address in self.listeners if address[0] == host]:
             del self.listeners[address]
         for transport in self.transports.pop(host, set()):
@@ -190,15 +193,18 @@
 
 
 class _HostCallback:
-    """A callback that waits while its host stands still, and is not run if it is cancelled until
-    its turn comes (test_timeout_that_fell_due_on_a_frozen_host_does_not_fire_once_it_is_over)."""
+    """A callback that is delayed while its host is frozen.
+
+    It does not run if it is cancelled before its turn
+    (test_timeout_that_fell_due_on_a_frozen_host_does_not_fire_once_it_is_over).
+    """
 
     __slots__ = ("callback", "handle", "loop")
 
     def __init__(self, loop: "Loop", callback: Any) -> None:
         self.loop = loop
         self.callback = callback
-        self.handle: asyncio.Handle | None = None  # by which whoever scheduled it may cancel it
+        self.handle: asyncio.Handle | None = None  # returned to the caller, who may cancel it
 
     def __call__(self, *args: Any) -> None:
         waiting = self.loop.frozen.get(HOST.get())
@@ -211,28 +217,29 @@
 
 
 class Loop(asyncio.base_events.BaseEventLoop):
-    """An event loop without sockets."""
+    """An event loop on simulated time, whose connections are those of a `Network`."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__()
         self._selector = _Selector()
         self.net = Network(self, random.Random(seed))
-        self.wall_clock_offset_s: dict[str, float] = {}  # how wrong a host's time of day is, in s
-        self.steady_clock_offset_s: dict[str, float] = {}  # by how much its steady clock has jumped
+        # Errors of the wall clock and of the monotonic clock, by host
+        self.wall_clock_offset_s: dict[str, float] = {}
+        self.steady_clock_offset_s: dict[str, float] = {}
         self.frozen: dict[str, list[tuple[_HostCallback, Any, contextvars.Context]]] = {}
 
     def time(self) -> float:
-        """Simulated seconds."""
+        """Return the simulated time in seconds."""
         return self._selector.now
 
-    # Hosts that stand still: their clocks run on, and all that falls due waits
+    # Frozen hosts: their clocks run on, and callbacks that become due are delayed
 
     def freeze(self, host: str) -> None:
-        """A host stands still."""
+        """Suspend a host: its callbacks are delayed until it is thawed."""
         self.frozen.setdefault(host, [])
 
     def thaw(self, host: str) -> None:
-        """A host goes on with all that fell due meanwhile."""
+        """Resume a frozen host, with all callbacks that became due in the meantime."""
         for callback, args, context in self.frozen.pop(host, []):
             super().call_soon(callback, *args, context=context)
 
@@ -273,7 +280,7 @@
 
 
 def run_scenario(scenario: Callable[[Loop], Coroutine[Any, Any, None]], seed: int = 1) -> None:
-    """Run a scenario to its end on a fresh loop and clock."""
+    """Run a scenario to its end on a new loop; fails if any callback raised an exception."""
     loop = Loop(seed)
     failures: list[str] = []
     loop.set_exception_handler(lambda _, context: failures.append(str(context)))
@@ -289,7 +296,7 @@
     try:
         loop.run_until_complete(scenario(loop))
     finally:
-        for host in list(loop.frozen):  # what stands still can't be ended
+        for host in list(loop.frozen):  # tasks of a frozen host can't be cancelled
             loop.thaw(host)
         tasks = asyncio.all_tasks(loop)
         for task in tasks:
@@ -301,10 +308,9 @@
 
 
 def simulated(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an async test on a simulated loop, which it gets as its first argument.
+    """Run an async test on a simulated loop, which is passed as its first argument.
 
-    The other parameters come from pytest as usual. One that is called `seed` also seeds the delays
-    of the network.
+    The other arguments come from pytest as usual. One named `seed` also seeds the network's delays.
     """
     signature = inspect.signature(test)
     _, *others = signature.parameters.values()
@@ -313,13 +319,13 @@
     def run(**values: Any) -> None:
         run_scenario(lambda loop: test(loop, **values), values.get("seed", 1))
 
-    # Without this pytest would look for a fixture called `loop`.
+    # Otherwise pytest would look for a fixture named `loop`.
     run.__signature__ = signature.replace(parameters=others, return_annotation=None)  # type: ignore[attr-defined]
     return run
 
 
 async def poll_until(condition: Callable[[], bool], interval_s: float) -> None:
-    """Wait for a condition on plain attributes, which no event signals. Simulated time is free."""
+    """Wait for a condition that no event signals. Polling costs little in simulated time."""
     while True:
         if condition():
             return
@@ -327,7 +333,7 @@
 
 
 def on_host(host: str, coroutine: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
-    """A task on one of the hosts: its connections come from there."""
+    """Start a task on a host: its connections are opened from that host."""
     context = contextvars.copy_context()
     context.run(HOST.set, host)
     return asyncio.get_running_loop().create_task(coroutine, context=context)
