--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of what several test files start from: jobs, machines, and a shard of its own."""
+"""Builders that several test files share: jobs, machines, task statuses, and a shard to drive."""
 
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import US, Job, MachineType, Shape
@@ -13,12 +13,12 @@
 
 
 def job_refs(first: int, last: int) -> list[str]:
-    """The references of the jobs with these numbers, both included."""
+    """Return the references of the jobs from number `first` to number `last`, inclusive."""
     return [f"req-{number:06d}" for number in range(first, last + 1)]
 
 
 def make_job(number: int = 1, **fields: object) -> Job:
-    """A job of one small task of team red; `fields` replace its values."""
+    """Return a job of team red with one small task; `fields` override its values."""
     values: dict[str, object] = {
         "ref": f"req-{number:06d}",
         "job_class": "reports",
@@ -45,7 +45,10 @@
 
 
 class ShardHarness:
-    """A shard with fencing token 7, granted at revision 100, and one synced machine, m-0."""
+    """A shard that a test drives by heartbeats and jobs, without a shard leader.
+
+    Its fencing token is 7, granted at revision 100. It starts with synced machines m-0, m-1, ...
+    """
 
     def __init__(self, machines: int = 1, quotas: dict[str, TeamQuota] | None = None) -> None:
         self.now = 1000 * US
@@ -59,7 +62,7 @@
             self.heartbeat(f"m-{number}")
 
     def add(self, name: str, zone: str = "a", loaded: bool = False) -> Machine:
-        """Add a recorded machine, or one `loaded` from an earlier shard leader's records."""
+        """Add a new, recorded machine, or one `loaded` from the records of an earlier leader."""
         machine = Machine(name, MACHINE_TYPE, zone, False, self.now)
         if loaded:
             self.shard.load_machine(machine)
@@ -76,7 +79,7 @@
         epoch: int = 1,
         tick: int | None = None,
     ) -> Heartbeat:
-        """A heartbeat of a machine, by default the next one in sequence."""
+        """Return a heartbeat of a machine, by default the next one in sequence."""
         if tick is None:
             tick = self.ticks[name] = self.ticks.get(name, 0) + 1
         return Heartbeat(
@@ -86,23 +89,24 @@
     def heartbeat(
         self, name: str, *tasks: TaskStatus, **fields: int
     ) -> list[tuple[str, str]] | None:
-        """Send a heartbeat; the commands in its answer as (verb, task), None if it is ignored."""
+        """Send a heartbeat; return the commands in the response as (verb, task) pairs, or None if
+        it is ignored."""
         commands = self.shard.heartbeat(self.make_heartbeat(name, *tasks, **fields), self.now)
         return None if commands is None else [(w.verb, f"{w.ref}/{w.index}") for w in commands]
 
     def submit(self, number: int = 1, version: int = 200, **fields: object) -> JobState:
-        """Accept a job at a version of the store, and plan."""
+        """Accept a job that was stored at this version, and plan."""
         job_state = self.shard.add_job(make_job(number, **fields), version, self.now)
         plan(self.shard, self.now)
         return job_state
 
     def attempt(self, job_state: JobState, index: int = 0) -> Attempt:
-        """The live attempt of one task of a job."""
+        """Return the live attempt of one task of a job."""
         return job_state.live[index]
 
 
 def task_status(attempt: Attempt, stage: str, why: str | None = None) -> TaskStatus:
-    """What a worker reports about an attempt: its stage and, if it ended, why."""
+    """Return a worker's report about an attempt: its stage and, if it has ended, the reason."""
     return TaskStatus(
         f"{attempt.job_state.job.ref}/{attempt.index}", attempt.attempt_number, stage, why
     )
