--- a/tests/duty_support.py
+++ b/tests/duty_support.py
@@ -1,4 +1,4 @@
-"""What the tests of duties share: a deployment with duties granted, its records, and its end."""
+"""Shared by the tests of duties: start a deployment with duties, read its records, finish it."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,27 +9,27 @@
 from tests.simulation import Loop
 
 DUTIES_ON = {"duties": True}
-FAILOVER_S = 6.0  # s: a session lease of 1.8 s, its end noticed, and the grant
+FAILOVER_S = 6.0  # allows for a session lease of 1.8 s, the detection of its end and the grant
 
 
 async def wait_for_all_holders(deployment: Deployment) -> None:
-    """Every duty has a holder that acts."""
+    """Wait until every duty has an acting holder."""
     await deployment.wait_until(
         lambda: all(deployment.holder(duty) for duty in Duty), seconds=FAILOVER_S
     )
 
 
 async def start_with_duties(loop: Loop, seed: int = 1, **more: Any) -> Deployment:
-    """Start a deployment with duties switched on, and wait until each has a holder."""
+    """Start a deployment with duties enabled, and wait until each has an acting holder."""
     deployment = Deployment(loop, seed, operator=DUTIES_ON, **more)
     await deployment.start()
     await wait_for_all_holders(deployment)
-    await asyncio.sleep(2)  # every controller knows the machine types
+    await asyncio.sleep(2)  # until every controller knows the machine types
     return deployment
 
 
 def open_intents(deployment: Deployment, prefix: str) -> list[str]:
-    """Intents that are recorded and not carried out."""
+    """Return the keys of intents that are recorded and not yet carried out."""
     return [
         key
         for key, (value, _, _) in deployment.store.keys.items()
@@ -38,13 +38,14 @@
 
 
 def recorded_events(deployment: Deployment, action: str) -> list[dict[str, Any]]:
-    """The events of this action in the recorded history of all duties."""
+    """Return the events with this action from the recorded history of all duties."""
     pages = [v for k, (v, _, _) in deployment.store.keys.items() if k.startswith("history/")]
     return [event for page in pages for event in page["events"] if event["action"] == action]
 
 
 async def finish_and_check(deployment: Deployment) -> None:
-    """All jobs are done, and no machine is left that anybody has to pay for."""
+    """End all faults, wait until all jobs are done and all machines returned, and check that no
+    rule was violated."""
     deployment.end_all_faults()
     await deployment.wait_until_done(*deployment.jobs, seconds=200.0)
     await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=250.0)
@@ -55,7 +56,7 @@
 
 
 def call_when_recorded(deployment: Deployment, prefix: str, action: Callable[[], None]) -> None:
-    """Act in the very moment in which an intent is recorded."""
+    """Call `action` once, at the moment the store accepts a record with this key prefix."""
     before = deployment.store.on_accept
 
     def on_accept(changes: list[dict[str, Any]]) -> None:
