--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets exactly the tests that KNOWN-RED.txt lists fail, and prints them."""
+"""Pytest hooks: the tests listed in KNOWN-RED.txt may fail, and the summary prints them."""
 
 import pytest
 
@@ -6,7 +6,10 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """A listed test still runs and may fail. One that is not there is an error."""
+    """Mark the listed tests as expected failures; they still run.
+
+    Raises UsageError if a listed test does not exist in a file that was collected whole.
+    """
     entries = {entry.test: entry for entry in known_red.read()}
     found = [item for item in items if item.nodeid in entries]
     for item in found:
@@ -20,7 +23,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list, and which of it passed after all and is to be taken out."""
+    """Print the listed tests, and which of them passed and must be removed from the list."""
     entries = known_red.read()
     passed = {report.nodeid for report in terminalreporter.stats.get("xpassed", [])}
     terminalreporter.write_line(f"known red: {len(entries)} listed")
