--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: tests that may fail for a fault that is known and not mended yet."""
+"""Reads KNOWN-RED.txt, the list of tests that may fail because of a known, unfixed fault."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class KnownRed(NamedTuple):
-    """A test, why it fails, and the issue that is to mend it."""
+    """An entry: the test's id, why it fails, and the issue that tracks the fault."""
 
     test: str
     cause: str
@@ -16,11 +16,11 @@
 
 
 class MalformedFile(Exception):
-    """The file is not as it must be."""
+    """The file has a malformed line or too many entries."""
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The entries of the file."""
+    """Parse the entries of the file; raises MalformedFile."""
     entries: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
@@ -35,5 +35,5 @@
 
 
 def read() -> list[KnownRed]:
-    """The entries of the repository's file; none if it is not there."""
+    """Return the entries of the repository's file, or none if there is no file."""
     return parse(FILE.read_text()) if FILE.exists() else []
