--- a/tests/builders.py
+++ b/tests/builders.py
@@ -77,13 +77,13 @@
         *tasks: TaskStatus,
         fencing_token: int = 7,
         epoch: int = 1,
-        tick: int | None = None,
+        sequence: int | None = None,
     ) -> Heartbeat:
         """Return a heartbeat of a machine, by default the next one in sequence."""
-        if tick is None:
-            tick = self.ticks[name] = self.ticks.get(name, 0) + 1
+        if sequence is None:
+            sequence = self.ticks[name] = self.ticks.get(name, 0) + 1
         return Heartbeat(
-            name, "10.1.0.1:9", "k", "a", False, epoch, tick, fencing_token, list(tasks)
+            name, "10.1.0.1:9", "k", "a", False, epoch, sequence, fencing_token, list(tasks)
         )
 
     def heartbeat(
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -41,7 +41,7 @@
         self.address = f"{self.host}:9000"
         self.created_at = self.loop.time()
         self.epoch = 1
-        self.tick = 0
+        self.sequence = 0
         self.fencing_token = 0
         self.preemption_at: float | None = None
         self.up = False
@@ -89,7 +89,7 @@
         """Its lease has expired."""
         self._kill_all()
         self.epoch += 1
-        self.tick = 0
+        self.sequence = 0
         self.lease_started_at = self.loop.time()
         self.state_changed.set()
 
@@ -172,7 +172,7 @@
 
     def heartbeat(self) -> dict[str, Any]:
         """The next heartbeat, as it is sent."""
-        self.tick += 1
+        self.sequence += 1
         tasks = [
             {"Piece": task, "Try": token, "Stage": e["Stage"]}
             | ({"Cause": e["Cause"], "Saved": False} if e["Stage"] == "ended" else {})
@@ -188,7 +188,7 @@
             "Yard": self.zone,
             "Loaners": self.spot,
             "Shift": self.epoch,
-            "Tick": self.tick,
+            "Tick": self.sequence,
             "Baton": self.fencing_token,
             "RecallS": preemption_at,
             "Pieces": tasks,
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -117,10 +117,10 @@
     harness.now += TIMING.lease_expiry_us + 1
     harness.shard.advance(harness.now)
     assert _state(harness) is MachineState.LOST
-    harness.heartbeat("m-0", epoch=2, tick=1, fencing_token=7)
+    harness.heartbeat("m-0", epoch=2, sequence=1, fencing_token=7)
     assert not harness.shard.machines["m-0"].lost
     assert _state(harness) is MachineState.CORDONED
-    harness.shard.answer(harness.make_heartbeat("m-0", epoch=2, tick=2), harness.now)
+    harness.shard.answer(harness.make_heartbeat("m-0", epoch=2, sequence=2), harness.now)
 
     assert _state(harness) is MachineState.READY
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -91,7 +91,7 @@
 
     harness.heartbeat("m-0")
     harness.heartbeat("m-0", task_status(attempt, "running"))
-    harness.heartbeat("m-0", epoch=2, tick=1)
+    harness.heartbeat("m-0", epoch=2, sequence=1)
 
     assert not job_state.live
     assert job_state.waiting == 1
@@ -410,14 +410,14 @@
 
     harness.heartbeat(unreachable.name)
     harness.now += TIMING.lease_us
-    harness.heartbeat(unreachable.name, epoch=2, tick=1)
+    harness.heartbeat(unreachable.name, epoch=2, sequence=1)
     for name in harness.shard.machines:
         if name != unreachable.name:
             harness.heartbeat(name)
     plan(harness.shard, harness.now)
     assert job_state.live[0].machine is not unreachable
     assert not unreachable.usable(harness.now)
-    harness.shard.answer(harness.make_heartbeat(unreachable.name, epoch=2, tick=2), harness.now)
+    harness.shard.answer(harness.make_heartbeat(unreachable.name, epoch=2, sequence=2), harness.now)
 
     assert unreachable.usable(harness.now)
 
@@ -426,11 +426,11 @@
     harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
 
-    harness.heartbeat("m-0", epoch=2, tick=1)
+    harness.heartbeat("m-0", epoch=2, sequence=1)
     assert not machine.usable(harness.now)
-    for tick in range(2, 13):
+    for sequence in range(2, 13):
         harness.now += US
-        harness.heartbeat("m-0", epoch=2, tick=tick)
+        harness.heartbeat("m-0", epoch=2, sequence=sequence)
 
     assert machine.usable(harness.now)
 
@@ -458,10 +458,10 @@
     job_state = harness.submit(version=50)
 
     assert not job_state.live
-    for tick in range(1, 40):
+    for sequence in range(1, 40):
         harness.now += US
         harness.heartbeat(
-            "m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, tick=tick
+            "m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, sequence=sequence
         )
         harness.heartbeat("m-0")
         harness.shard.advance(harness.now)
@@ -494,7 +494,7 @@
     assert not lost.up
     assert not lost.attempts
     assert not lost.last_heartbeat_at
-    harness.heartbeat("m-9", epoch=4, tick=1)  # it shows our fencing token: it lives
+    harness.heartbeat("m-9", epoch=4, sequence=1)  # it shows our fencing token: it lives
 
     assert not lost.lost
     assert lost.synced
