--- a/tests/builders.py
+++ b/tests/builders.py
@@ -56,7 +56,7 @@
         self.shard = Shard(
             7, 100, self.now, TIMING, quotas or {"red": TeamQuota()}, self.logged.append
         )
-        self.ticks: dict[str, int] = {}
+        self.sequences: dict[str, int] = {}
         for number in range(machines):
             self.add(f"m-{number}")
             self.heartbeat(f"m-{number}")
@@ -81,7 +81,7 @@
     ) -> Heartbeat:
         """Return a heartbeat of a machine, by default the next one in sequence."""
         if sequence is None:
-            sequence = self.ticks[name] = self.ticks.get(name, 0) + 1
+            sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
         return Heartbeat(
             name, "10.1.0.1:9", "k", "a", False, epoch, sequence, fencing_token, list(tasks)
         )
