--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -260,18 +260,18 @@
         await self.wait_until(lambda: len(self.running_tasks("req-000001")) == pieces)
         return self.acting_shard_leader()
 
-    def gang_complete(self, task: str, token: int) -> bool:
+    def gang_complete(self, task: str, attempt_number: int) -> bool:
         """Whether all tasks of a gang's attempt are on their machines."""
         ref = task.partition("/")[0]
         pieces: int = self.jobs[ref]["Pieces"]
         ready = 0
         for worker in self.cloud.machines.values():
             for (one, number), entry in worker.tasks.items():
-                if one.partition("/")[0] == ref and number == token:
+                if one.partition("/")[0] == ref and number == attempt_number:
                     ready += entry["Stage"] in ("gathering", "running")
         return ready == pieces
 
-    def end_gang(self, task: str, token: int) -> None:
+    def end_gang(self, task: str, attempt_number: int) -> None:
         """A gang's tasks complete together, or notice that one of them is missing."""
         ref = task.partition("/")[0]
         found = [
@@ -279,7 +279,7 @@
             for worker in list(self.cloud.machines.values())
             for key, entry in list(worker.tasks.items())
             if key[0].partition("/")[0] == ref
-            and key[1] == token
+            and key[1] == attempt_number
             and entry["Stage"] in ("gathering", "running")
         ]
         whole = len(found) == self.jobs[ref]["Pieces"] and not any(w.hung for w, _ in found)
--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -52,7 +52,7 @@
         """Note that a rule was violated."""
         self.violations.append(f"{self.deployment.loop.time():.2f} {text}")
 
-    def task_started(self, task: str, worker: FakeWorker, token: int) -> None:
+    def task_started(self, task: str, worker: FakeWorker, attempt_number: int) -> None:
         """A worker starts to run a task."""
         self.starts += 1
         self.started.append(task)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -174,9 +174,9 @@
         """The next heartbeat, as it is sent."""
         self.sequence += 1
         tasks = [
-            {"Piece": task, "Try": token, "Stage": e["Stage"]}
+            {"Piece": task, "Try": attempt_number, "Stage": e["Stage"]}
             | ({"Cause": e["Cause"], "Saved": False} if e["Stage"] == "ended" else {})
-            for (task, token), e in self.tasks.items()
+            for (task, attempt_number), e in self.tasks.items()
         ]
         preemption_at = (
             None if self.preemption_at is None else max(0.0, self.preemption_at - self.loop.time())
