--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -70,10 +70,10 @@
 
     async def handle(self, request: Request) -> Response:
         """Answer a request, or corrupt the answer if a test asks for it."""
-        answer = await self._answer(request)
-        return answer if self.corrupt_reply is None else self.corrupt_reply(answer)
+        response = await self._handle(request)
+        return response if self.corrupt_reply is None else self.corrupt_reply(response)
 
-    async def _answer(self, request: Request) -> Response:
+    async def _handle(self, request: Request) -> Response:
         await asyncio.sleep(self.answer_delay_s)
         path = request.path
         if self.error_status:
@@ -98,11 +98,11 @@
                     worker.stop()
             return reply(200, {})
         if body["Hire"] not in self.scale_outs:
-            free = min(body["Number"], self.capacity - len(self.machines))
-            if free <= 0:
+            count = min(body["Number"], self.capacity - len(self.machines))
+            if count <= 0:
                 return reply(503, {"error": "no capacity"})
             names = []
-            for _ in range(free):
+            for _ in range(count):
                 name = f"m-{self.rented_count:06d}"
                 self.rented_count += 1
                 machine_type = next(t for t in self.TYPES if t["Label"] == body["Grade"])
@@ -119,13 +119,17 @@
     def _list(self, query: dict[str, str]) -> Response:
         """Each page shows the machines of a moment of its own: new ones are missing, and those
         that are gone still stand there."""
-        at = self.deployment.loop.time() - self.list_lag_s * self.deployment.rng.uniform(1.0, 2.0)
-        rows = {name: w.list_row() for name, w in self.machines.items() if w.created_at <= at}
+        snapshot_at = self.deployment.loop.time() - self.list_lag_s * self.deployment.rng.uniform(
+            1.0, 2.0
+        )
+        rows = {
+            name: w.list_row() for name, w in self.machines.items() if w.created_at <= snapshot_at
+        }
         rows |= {
             name: row
-            for name, (created_at, gone, row) in self.deleted.items()
-            if created_at <= at < gone
+            for name, (created_at, deleted_at, row) in self.deleted.items()
+            if created_at <= snapshot_at < deleted_at
         }
         names = sorted(name for name in rows if name > query.get("Since", ""))
-        shown = names[: min(self.max_page_rows, int(query.get("Most", "500")))]
-        return reply(200, {"Anvils": [rows[n] for n in shown], "HasNext": len(names) > len(shown)})
+        page = names[: min(self.max_page_rows, int(query.get("Most", "500")))]
+        return reply(200, {"Anvils": [rows[n] for n in page], "HasNext": len(names) > len(page)})
