--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -76,10 +76,10 @@
     def stop(self) -> None:
         """The machine is deleted or dies."""
         self.task.cancel()
-        self._kill_all()
+        self._stop_all_tasks()
         self.deployment.net.power_off(self.host)
 
-    def _kill_all(self) -> None:
+    def _stop_all_tasks(self) -> None:
         for (task, _), entry in self.tasks.items():
             if entry["Stage"] != "ended":
                 self.deployment.rule_checker.task_stopped(task, self)
@@ -87,7 +87,7 @@
 
     def begin_next_epoch(self) -> None:
         """Its lease has expired."""
-        self._kill_all()
+        self._stop_all_tasks()
         self.epoch += 1
         self.sequence = 0
         self.lease_started_at = self.loop.time()
@@ -99,52 +99,52 @@
         await server.start(self.address)
         self.up = True
         self.lease_started_at = self.loop.time()
-        task_clock = self.loop.create_task(self._advance_tasks())
+        task_runner = self.loop.create_task(self._advance_tasks())
         try:
             await self._send_heartbeats()
         finally:
-            task_clock.cancel()
+            task_runner.cancel()
 
     async def _send_heartbeats(self) -> None:
         nodes = self.deployment.front_addresses()
-        at = self.deployment.rng.randrange(len(nodes))
+        node_index = self.deployment.rng.randrange(len(nodes))
         pools: dict[str, ConnectionPool] = {}
         while True:
             await poll_until(lambda: not self.hung, 0.1)
-            _, address = nodes[at % len(nodes)]
+            _, address = nodes[node_index % len(nodes)]
             pool = pools.setdefault(address, ConnectionPool(address, 2))
-            sent, epoch = self.loop.time(), self.epoch
+            sent_at, epoch = self.loop.time(), self.epoch
             if self.sends_no_heartbeats:
                 pool.close()
-                at += 1
+                node_index += 1
                 await asyncio.sleep(1)
                 continue
             body = json.dumps(self.heartbeat()).encode()
             if self.deployment.rng.random() < self.deployment.heartbeat_copy_rate:
                 on_host(self.host, self._send_copy(body))
             try:
-                status, answer = await pool.request("POST", "/agent/beat", body, 4_000_000)
+                status, response = await pool.request("POST", "/agent/beat", body, 4_000_000)
             except RequestFailed:
-                status, answer = 0, b""
+                status, response = 0, b""
             if self.unreachable:
                 pool.close()
-                await asyncio.sleep(max(0.0, sent + 4 - self.loop.time()))
+                await asyncio.sleep(max(0.0, sent_at + 4 - self.loop.time()))
                 status = 0
             if status == 200:
-                self._apply_response(json.loads(answer), sent, epoch)
-                await self._pause()
+                self._apply_response(json.loads(response), sent_at, epoch)
+                await self._wait_for_interval()
             elif status == 421:
                 pool.close()
-                shard_leader = json.loads(answer).get("Foreman")
-                found = [i for i, node in enumerate(nodes) if node[0] == shard_leader]
-                if found and found[0] != at % len(nodes):
-                    at = found[0]
+                shard_leader = json.loads(response).get("Foreman")
+                matching = [i for i, node in enumerate(nodes) if node[0] == shard_leader]
+                if matching and matching[0] != node_index % len(nodes):
+                    node_index = matching[0]
                     await asyncio.sleep(self.deployment.rng.uniform(0, 0.5))
                 else:
-                    at += 1
+                    node_index += 1
                     await asyncio.sleep(1)
             else:
-                at += 1
+                node_index += 1
                 await asyncio.sleep(1)
 
     async def _send_copy(self, body: bytes) -> None:
@@ -159,7 +159,7 @@
         finally:
             pool.close()
 
-    async def _pause(self) -> None:
+    async def _wait_for_interval(self) -> None:
         self.state_changed.clear()
         await asyncio.sleep(0.5)
         try:
@@ -174,9 +174,9 @@
         """The next heartbeat, as it is sent."""
         self.sequence += 1
         tasks = [
-            {"Piece": task, "Try": attempt_number, "Stage": e["Stage"]}
-            | ({"Cause": e["Cause"], "Saved": False} if e["Stage"] == "ended" else {})
-            for (task, attempt_number), e in self.tasks.items()
+            {"Piece": task, "Try": attempt_number, "Stage": entry["Stage"]}
+            | ({"Cause": entry["Cause"], "Saved": False} if entry["Stage"] == "ended" else {})
+            for (task, attempt_number), entry in self.tasks.items()
         ]
         preemption_at = (
             None if self.preemption_at is None else max(0.0, self.preemption_at - self.loop.time())
@@ -194,14 +194,14 @@
             "Pieces": tasks,
         }
 
-    def _apply_response(self, answer: dict[str, Any], sent: float, epoch: int) -> None:
-        if epoch != self.epoch or answer.get("Baton", -1) < self.fencing_token or self.hung:
+    def _apply_response(self, response: dict[str, Any], sent_at: float, epoch: int) -> None:
+        if epoch != self.epoch or response.get("Baton", -1) < self.fencing_token or self.hung:
             return
-        if answer["Baton"] > self.fencing_token:
-            self.fencing_token = answer["Baton"]
+        if response["Baton"] > self.fencing_token:
+            self.fencing_token = response["Baton"]
             self.state_changed.set()
-        self.lease_started_at = sent
-        self._execute(answer["Orders"])
+        self.lease_started_at = sent_at
+        self._execute(response["Orders"])
 
     def _execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
@@ -224,11 +224,11 @@
         if job is None:
             self.tasks[key] = {"Stage": "ended", "Cause": "no_such"}
             return
-        on = [t for (t, _), e in self.tasks.items() if e["Stage"] != "ended"]
-        if key[0] in on:
+        active = [t for (t, _), entry in self.tasks.items() if entry["Stage"] != "ended"]
+        if key[0] in active:
             self.tasks[key] = {"Stage": "ended", "Cause": "in_use"}
             return
-        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in on)
+        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in active)
         if used + job["Cores"] > self.machine_type["Cores"] + 1e-9:
             self.tasks[key] = {"Stage": "ended", "Cause": "full"}
             return
@@ -249,11 +249,12 @@
             return False
         if job["OneZone"] or job["Apart"]:
             return False  # where it may be depends on its other tasks
-        on = [t for (t, _), e in self.tasks.items() if e["Stage"] != "ended"]
-        used = [self.deployment.jobs[t.partition("/")[0]] for t in on]
+        active = [t for (t, _), entry in self.tasks.items() if entry["Stage"] != "ended"]
+        used = [self.deployment.jobs[t.partition("/")[0]] for t in active]
         return all(
-            sum(other[what] for other in used) + job[what] <= self.machine_type[what] + 1e-9
-            for what in ("Cores", "Gpus", "MemoryGb")
+            sum(other[resource] for other in used) + job[resource]
+            <= self.machine_type[resource] + 1e-9
+            for resource in ("Cores", "Gpus", "MemoryGb")
         )
 
     def finish(self, key: tuple[str, int], why: str) -> None:
@@ -281,8 +282,8 @@
                 job = self.deployment.jobs[task.partition("/")[0]]
                 if entry["Stage"] == "fetching" and now >= entry["at"]:
                     self.deployment.rule_checker.task_started(task, self, key[1])
-                    whole = job["Shape"] == "group"
-                    entry["Stage"] = "gathering" if whole else "running"
+                    is_gang = job["Shape"] == "group"
+                    entry["Stage"] = "gathering" if is_gang else "running"
                     entry["at"] = now + self._run_s(job)
                     self.state_changed.set()
                 if entry["Stage"] == "gathering" and self.deployment.gang_complete(task, key[1]):
