--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -62,18 +62,18 @@
             self.add_violation(f"ran_twice {task}: {self.running_on[task].name} and {worker.name}")
         self.running_on[task] = worker
         self._check_placement(ref, job, worker)
-        team = [
+        team_tasks = [
             t
             for t in self.running_on
             if self.deployment.jobs[t.partition("/")[0]]["Crew"] == job["Crew"]
         ]
-        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team)
-        most = self.deployment.team_cpus_max.get(job["Crew"], 0)
-        if most and used > most + 1e-9:
+        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team_tasks)
+        cpus_max = self.deployment.team_cpus_max.get(job["Crew"], 0)
+        if cpus_max and used > cpus_max + 1e-9:
             self.add_violation(f"quota {job['Crew']}: {used}")
         if ref in self.cancelled_at:
-            late = self.deployment.loop.time() - self.cancelled_at[ref]
-            self.started_after_cancel.append((task, late))
+            delay_s = self.deployment.loop.time() - self.cancelled_at[ref]
+            self.started_after_cancel.append((task, delay_s))
             self._check_cancelled(task)
 
     def _check_placement(self, ref: str, job: dict[str, Any], worker: FakeWorker) -> None:
@@ -127,7 +127,7 @@
         jobs = self.deployment.jobs
         running = {task.partition("/")[0] for task in self.running_on}
         for ref, stage in self.last_stage.items():
-            waits = (
+            is_waiting = (
                 stage not in ("done", "withdrawn")
                 and ref not in running
                 and not self.deployment.cancel_requested.get(ref)
@@ -135,34 +135,34 @@
                 and jobs[ref]["Shape"] != "group"
                 and self._has_room(jobs[ref])
             )
-            if not waits:
+            if not is_waiting:
                 self.waiting_since.pop(ref, None)
             elif now - self.waiting_since.setdefault(ref, now) > self.START_WITHIN_S:
                 self.add_violation(f"waited {ref}")
                 self.waiting_since[ref] = now
 
     def _has_room(self, job: dict[str, Any]) -> bool:
-        most = self.deployment.team_cpus_max.get(job["Crew"], 0)
-        team = [
+        cpus_max = self.deployment.team_cpus_max.get(job["Crew"], 0)
+        team_tasks = [
             t
             for t in self.running_on
             if self.deployment.jobs[t.partition("/")[0]]["Crew"] == job["Crew"]
         ]
-        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team)
-        if most and used + job["Cores"] > most + 1e-9:
+        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team_tasks)
+        if cpus_max and used + job["Cores"] > cpus_max + 1e-9:
             return False
         return any(
             worker.up and worker.preemption_at is None and worker.has_room_for(job)
             for worker in self.deployment.cloud.machines.values()
         )
 
-    def _may_run(self, job: dict[str, Any]) -> bool:
+    def _is_valid(self, job: dict[str, Any]) -> bool:
         """Lacks it no field, and can it run at all?"""
         if any(job.get(field) is None for field in self.FIELDS):
             return False
-        most = self.deployment.team_cpus_max.get(job["Crew"], 0)
+        cpus_max = self.deployment.team_cpus_max.get(job["Crew"], 0)
         count = 1 if job["Shape"] == "batch" else job["Pieces"]
-        return (not most or job["Cores"] * count <= most + 1e-9) and any(
+        return (not cpus_max or job["Cores"] * count <= cpus_max + 1e-9) and any(
             job["Cores"] <= machine_type["Cores"]
             and job["Gpus"] <= machine_type["Gpus"]
             and job["MemoryGb"] <= machine_type["MemoryGb"]
@@ -172,29 +172,29 @@
         )
 
     def user_answered(
-        self, ref: str, verb: str, status: int, body: dict[str, Any], before: str | None
+        self, ref: str, verb: str, status: int, body: dict[str, Any], known_stage: str | None
     ) -> None:
-        """Something was told to a user, who knew `before` when asking: of two questions asked
+        """Something was told to a user, who knew `known_stage` when asking: of two questions asked
         at the same time either answer may come first."""
-        if status == 404 and before is not None:
+        if status == 404 and known_stage is not None:
             self.add_violation(f"forgotten {ref}")
-        if status in (400, 422) and before is not None:
+        if status in (400, 422) and known_stage is not None:
             self.add_violation(f"forgotten {ref}: {status}")
         now = self.deployment.loop.time()
         if status not in (200, 201):
-            known = max(self.faults_over_at or now, self.answered_at.get(ref, 0.0))
-            if before is not None and now - known > self.ANSWER_WITHIN_S:
+            answer_due_from = max(self.faults_over_at or now, self.answered_at.get(ref, 0.0))
+            if known_stage is not None and now - answer_due_from > self.ANSWER_WITHIN_S:
                 self.add_violation(f"forgotten {ref}: no answer")
             return
         self.answered_at[ref] = now
         if ref not in self.deployment.jobs:
             self.add_violation(f"invented {ref}")
             return
-        if verb == "submit" and not self._may_run(self.deployment.jobs[ref]):
+        if verb == "submit" and not self._is_valid(self.deployment.jobs[ref]):
             self.add_violation(f"bad job accepted {ref}")
         stage = body["Stage"]
-        if before in ("done", "withdrawn") and stage != before:
-            self.add_violation(f"went_back {ref}: {before}, then {stage}")
+        if known_stage in ("done", "withdrawn") and stage != known_stage:
+            self.add_violation(f"went_back {ref}: {known_stage}, then {stage}")
         if self.last_stage.get(ref) not in ("done", "withdrawn"):
             self.last_stage[ref] = stage
         elif stage in ("done", "withdrawn") and stage != self.last_stage[ref]:
