--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -207,10 +207,10 @@
         return [self.host(n) for n in self.nodes if n != name] + [FakeKeyValueStore.HOST]
 
     def _all_hosts_but(self, name: str, store: bool, cloud: bool) -> list[str]:
-        out = [self.host(n) for n in self.nodes if n != name]
-        out += [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
-        out += ["10.9.9.9"]
-        return out + [FakeKeyValueStore.HOST] * store + [FakeCloud.HOST] * cloud
+        hosts = [self.host(n) for n in self.nodes if n != name]
+        hosts += [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
+        hosts += ["10.9.9.9"]
+        return hosts + [FakeKeyValueStore.HOST] * store + [FakeCloud.HOST] * cloud
 
     def shard_leader(self, shard: int = 0) -> str | None:
         """The node that acts for a shard, if one does; never two."""
@@ -274,7 +274,7 @@
     def end_gang(self, task: str, attempt_number: int) -> None:
         """A gang's tasks complete together, or notice that one of them is missing."""
         ref = task.partition("/")[0]
-        found = [
+        attempts = [
             (worker, key)
             for worker in list(self.cloud.machines.values())
             for key, entry in list(worker.tasks.items())
@@ -282,12 +282,14 @@
             and key[1] == attempt_number
             and entry["Stage"] in ("gathering", "running")
         ]
-        whole = len(found) == self.jobs[ref]["Pieces"] and not any(w.hung for w, _ in found)
-        for worker, key in found:
-            if whole:
+        complete = len(attempts) == self.jobs[ref]["Pieces"] and not any(
+            w.hung for w, _ in attempts
+        )
+        for worker, key in attempts:
+            if complete:
                 self.rule_checker.task_completed(key[0])
             if not worker.hung:
-                worker.finish(key, "done" if whole else "peers")
+                worker.finish(key, "done" if complete else "peers")
 
     # Users
 
@@ -351,9 +353,9 @@
         self.jobs[job["Ref"]] = job
         while True:
             name = node or self.rng.choice(self.nodes)
-            before = self.rule_checker.last_stage.get(job["Ref"])
+            known_stage = self.rule_checker.last_stage.get(job["Ref"])
             status, body = await self.request(name, "POST", "/api/jobs", job)
-            self.rule_checker.user_answered(job["Ref"], "submit", status, body, before)
+            self.rule_checker.user_answered(job["Ref"], "submit", status, body, known_stage)
             if status in (200, 201, 400, 422):
                 return status
             await asyncio.sleep(1)
@@ -361,9 +363,9 @@
     async def poll(self, ref: str, node: str | None = None) -> str:
         """Ask for a job's stage, at any node; the status if it is not known."""
         name = node or self.rng.choice(self.nodes)
-        before = self.rule_checker.last_stage.get(ref)
+        known_stage = self.rule_checker.last_stage.get(ref)
         status, body = await self.request(name, "GET", f"/api/jobs/{ref}")
-        self.rule_checker.user_answered(ref, "poll", status, body, before)
+        self.rule_checker.user_answered(ref, "poll", status, body, known_stage)
         return str(body.get("Stage", status))
 
     async def cancel(self, ref: str, node: str | None = None) -> str:
@@ -371,29 +373,29 @@
         self.cancel_requested[ref] = True
         while True:
             name = node or self.rng.choice(self.nodes)
-            before = self.rule_checker.last_stage.get(ref)
+            known_stage = self.rule_checker.last_stage.get(ref)
             status, body = await self.request(name, "POST", f"/api/jobs/{ref}/cancel")
-            self.rule_checker.user_answered(ref, "cancel", status, body, before)
+            self.rule_checker.user_answered(ref, "cancel", status, body, known_stage)
             if status in (200, 404):
                 return str(body.get("Stage", status))
             await asyncio.sleep(1)
 
-    async def wait_until(self, what: Any, seconds: float = 60.0) -> None:
+    async def wait_until(self, condition: Any, seconds: float = 60.0) -> None:
         """Wait for a condition while the rule checker checks; fails after some seconds."""
-        end = self.loop.time() + seconds
-        while not what():
-            assert self.loop.time() < end, "waited in vain"
+        deadline = self.loop.time() + seconds
+        while not condition():
+            assert self.loop.time() < deadline, "waited in vain"
             self.rule_checker.check()
             await asyncio.sleep(0.1)
 
     async def wait_until_done(self, *refs: str, seconds: float = 90.0) -> None:
         """Poll jobs until all are done; fails after some seconds."""
-        end = self.loop.time() + seconds
-        left = set(refs)
-        while left:
-            assert self.loop.time() < end, f"never done: {left}"
+        deadline = self.loop.time() + seconds
+        unfinished = set(refs)
+        while unfinished:
+            assert self.loop.time() < deadline, f"never done: {unfinished}"
             self.rule_checker.check()
-            left = {ref for ref in left if await self.poll(ref) != "done"}
+            unfinished = {ref for ref in unfinished if await self.poll(ref) != "done"}
             await asyncio.sleep(1)
 
     async def wait_until_served(self, *refs: str, seconds: float = 60.0) -> None:
