--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -62,10 +62,10 @@
 
     def _end_lease(self, lease: int) -> None:
         self.leases.pop(lease, None)
-        gone = [key for key, (_, _, on) in self.keys.items() if on == lease]
-        if gone:
+        expired = [key for key, (_, _, key_lease) in self.keys.items() if key_lease == lease]
+        if expired:
             self.revision += 1
-            for key in gone:
+            for key in expired:
                 del self.keys[key]
                 self.change_log.append({"Drop": key, "Stamp": self.revision})
             self._notify_watches()
@@ -80,8 +80,8 @@
 
     def _is_late(self, body: dict[str, Any]) -> bool:
         keys = [key_of(change) for change in body.get("Apply", [])]
-        named = any(key.startswith(self.late_key_prefix) for key in keys)
-        return named and self.rng.random() < self.late_write_share
+        matches = any(key.startswith(self.late_key_prefix) for key in keys)
+        return matches and self.rng.random() < self.late_write_share
 
     def end_outage(self) -> None:
         """The outage ends; all leases start anew."""
@@ -91,17 +91,17 @@
 
     async def handle(self, request: Request) -> Response:
         """Answer a request, or corrupt the answer if a test asks for it."""
-        answer = await self._answer(request)
-        return answer if self.corrupt_reply is None else self.corrupt_reply(answer)
+        response = await self._handle(request)
+        return response if self.corrupt_reply is None else self.corrupt_reply(response)
 
-    async def _answer(self, request: Request) -> Response:
-        rare = 0.2 if self.rng.random() < 0.01 else 0.002
-        await asyncio.sleep((rare if self.latency_factor > 1 else 0.002) * self.latency_factor)
+    async def _handle(self, request: Request) -> Response:
+        latency_s = 0.2 if self.rng.random() < 0.01 else 0.002
+        await asyncio.sleep((latency_s if self.latency_factor > 1 else 0.002) * self.latency_factor)
         query = {k: v[0] for k, v in parse_qs(request.query).items()}
         path = request.path
         self.requests += 1
         if path == "/changes":
-            return await self._changes(query, PEER.get())
+            return await self._watch(query, PEER.get())
         if self.is_unavailable_to(PEER.get()):
             return reply(503, {"error": "trouble"})
         body = json.loads(request.body) if request.body else {}
@@ -115,9 +115,9 @@
         if path == "/multi":
             if self._is_late(body):
                 await asyncio.sleep(self.rng.uniform(*self.late_by_s))
-                self._multi(body)
+                self._transact(body)
                 await asyncio.sleep(60)  # nobody waits for an answer any more
-            return self._multi(body)
+            return self._transact(body)
         if path == "/holds":
             self.next_lease += 1
             ttl = body["TtlMs"] / 1000
@@ -131,24 +131,24 @@
         return reply(200, {})
 
     def _list(self, query: dict[str, str]) -> Response:
-        most = int(query.get("Most", "1000"))
+        limit = int(query.get("Most", "1000"))
         names = sorted(
             k for k in self.keys if k.startswith(query["Starts"]) and k > query.get("Since", "")
         )
-        rows = [{"Path": k, "V": self.keys[k][0], "Stamp": self.keys[k][1]} for k in names[:most]]
-        return reply(200, {"Rows": rows, "HasNext": len(names) > most, "Ledger": self.revision})
+        rows = [{"Path": k, "V": self.keys[k][0], "Stamp": self.keys[k][1]} for k in names[:limit]]
+        return reply(200, {"Rows": rows, "HasNext": len(names) > limit, "Ledger": self.revision})
 
     def _within_rate(self, changes: int) -> bool:
         """Above the rate, with a burst of a second's worth, changes are refused."""
         if self.write_rps is None:
             return True
-        full_at = max(self.write_burst_restored_at, self.loop.time()) + changes / self.write_rps
-        if full_at - self.loop.time() > 1.0:
+        restored_at = max(self.write_burst_restored_at, self.loop.time()) + changes / self.write_rps
+        if restored_at - self.loop.time() > 1.0:
             return False
-        self.write_burst_restored_at = full_at
+        self.write_burst_restored_at = restored_at
         return True
 
-    def _excess(self, body: dict[str, Any]) -> str:
+    def _exceeded_limit(self, body: dict[str, Any]) -> str:
         """Which limit a transaction breaks."""
         changes = body.get("Apply", [])
         values = [json.dumps(c["V"], separators=(",", ":")) for c in changes if "Put" in c]
@@ -161,11 +161,11 @@
             return f"{len(changes)} changes, {len(body.get('Guards', []))} guards"
         return "over 64 KiB" if len(json.dumps(body)) > 64 * 1024 else ""
 
-    def _multi(self, body: dict[str, Any]) -> Response:
+    def _transact(self, body: dict[str, Any]) -> Response:
         if not self._within_rate(len(body.get("Apply", []))):
             self.refused_writes += 1
             return reply(429, {"error": "too many"})
-        excess = self._excess(body)
+        excess = self._exceeded_limit(body)
         if excess:
             self.oversized.append(excess)
             return reply(400, {"error": excess})
@@ -197,8 +197,8 @@
         self._notify_watches()
         return reply(200, {"Ledger": self.revision})
 
-    async def _changes(self, query: dict[str, str], host: str) -> Response:
-        end = self.loop.time() + int(query.get("HoldMs", "0")) / 1000
+    async def _watch(self, query: dict[str, str], host: str) -> Response:
+        deadline = self.loop.time() + int(query.get("HoldMs", "0")) / 1000
         since = int(query["Since"])
         if self.is_unavailable_to(host):
             return reply(503, {"error": "trouble"})
@@ -209,10 +209,10 @@
                     for change in self.change_log
                     if change["Stamp"] > since and key_of(change).startswith(query["Starts"])
                 ]
-                if change_log or self.loop.time() >= end:
+                if change_log or self.loop.time() >= deadline:
                     return reply(200, {"Ledger": self.revision, "Log": change_log})
             try:
-                async with asyncio.timeout(max(0.01, min(0.5, end - self.loop.time()))):
+                async with asyncio.timeout(max(0.01, min(0.5, deadline - self.loop.time()))):
                     await self.keys_changed.wait()
             except TimeoutError:
                 pass
