--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -10,12 +10,19 @@
 from tests.fakes.replies import key_of
 from tests.fakes.store import FakeKeyValueStore
 
-GRANTS = ("c/duty/", "c/block/")
-MEMBERS = "c/member/"
-HISTORY, SCALE_OUT, SCALE_IN, MACHINE = "history/", "hire/", "return/", "mach/"
-ADOPTED = "a-"  # names of scale-out requests that the holder of reclaiming records begin so
-OF_SHARD = "h-"  # and those of a shard leader, followed by its fencing token
-DUTIES_VERSION = 2  # from which on a member lets duties be granted on their own
+GRANT_PREFIXES = ("c/duty/", "c/block/")
+MEMBER_PREFIX = "c/member/"
+HISTORY_PREFIX, SCALE_OUT_PREFIX, SCALE_IN_PREFIX, MACHINE_PREFIX = (
+    "history/",
+    "hire/",
+    "return/",
+    "mach/",
+)
+ADOPTED_REQUEST_PREFIX = (
+    "a-"  # names of scale-out requests that the holder of reclaiming records begin so
+)
+SHARD_REQUEST_PREFIX = "h-"  # and those of a shard leader, followed by its fencing token
+MIN_DUTIES_VERSION = 2  # from which on a member lets duties be granted on their own
 
 
 class DutyChecker:
@@ -32,11 +39,11 @@
         cloud.on_accept = self.check_cloud_call
 
     @property
-    def granted(self) -> bool:
+    def duties_granted(self) -> bool:
         """Are duties granted on their own? Else the shard leaders carry them out."""
         keys = self.store.keys
-        members = [keys[key][0] for key in keys if key.startswith(MEMBERS)]
-        return bool(members) and min(m.get("version", 0) for m in members) >= DUTIES_VERSION
+        members = [keys[key][0] for key in keys if key.startswith(MEMBER_PREFIX)]
+        return bool(members) and min(m.get("version", 0) for m in members) >= MIN_DUTIES_VERSION
 
     def tokens(self, *prefixes: str) -> set[int]:
         """The fencing tokens of all current grants."""
@@ -48,17 +55,17 @@
 
     def check_transaction(self, changes: list[dict[str, Any]]) -> None:
         """A transaction whose preconditions hold is about to be carried out."""
-        has_event = any(change.get("Put", "").startswith(HISTORY) for change in changes)
+        has_event = any(change.get("Put", "").startswith(HISTORY_PREFIX) for change in changes)
         for change in changes:
             key = key_of(change)
-            if key.startswith(HISTORY):
+            if key.startswith(HISTORY_PREFIX):
                 self._check_event(key, change["V"])
-            elif key.startswith(SCALE_OUT):
+            elif key.startswith(SCALE_OUT_PREFIX):
                 self._check_scale_out(key, change.get("V"), has_event)
-            elif key.startswith(SCALE_IN):
+            elif key.startswith(SCALE_IN_PREFIX):
                 self._check_scale_in(key, change.get("V"), has_event)
-            elif key.startswith(MACHINE) and "Drop" in change and self.granted:
-                self._check(key[len(MACHINE) :] in self.to_return, f"record dropped: {key}")
+            elif key.startswith(MACHINE_PREFIX) and "Drop" in change and self.duties_granted:
+                self._check(key[len(MACHINE_PREFIX) :] in self.to_return, f"record dropped: {key}")
 
     def _check(self, holds: bool, text: str) -> None:
         self.checked_actions += 1
@@ -69,38 +76,40 @@
         duty = key.split("/")[1]
         event = page["events"][-1]
         grant = self.store.keys.get(f"c/duty/{duty}", ({}, 0, None))[0]
-        held = grant.get("baton") == event["token"] and grant.get("name") == event["holder"]
-        self._check(held, f"{duty}: {event['action']} {event.get('about')} under {event['token']}")
+        is_holder = grant.get("baton") == event["token"] and grant.get("name") == event["holder"]
+        self._check(
+            is_holder, f"{duty}: {event['action']} {event.get('about')} under {event['token']}"
+        )
 
     def _check_scale_out(self, key: str, value: dict[str, Any] | None, has_event: bool) -> None:
-        name = key[len(SCALE_OUT) :]
-        before = self.store.keys.get(key)
-        if value is not None and before is None:
+        name = key[len(SCALE_OUT_PREFIX) :]
+        previous = self.store.keys.get(key)
+        if value is not None and previous is None:
             self.requested[name] = value
-            if name.startswith(OF_SHARD):
-                rightful = int(name.split("-")[1]) in self.tokens("c/block/")
-                self._check(rightful, f"requested by a stale shard leader: {name}")
-        elif self.granted and not name.startswith(ADOPTED):
+            if name.startswith(SHARD_REQUEST_PREFIX):
+                is_current = int(name.split("-")[1]) in self.tokens("c/block/")
+                self._check(is_current, f"requested by a stale shard leader: {name}")
+        elif self.duties_granted and not name.startswith(ADOPTED_REQUEST_PREFIX):
             self._check(has_event, f"settled without a duty: {name}")
 
     def _check_scale_in(self, key: str, value: dict[str, Any] | None, has_event: bool) -> None:
         if value is None:
-            if self.granted:
+            if self.duties_granted:
                 self._check(has_event, f"settled without a duty: {key}")
         elif key not in self.store.keys:
             self.to_return.update(value["names"])
-            self._check(value["token"] in self.tokens(*GRANTS), f"stale decision: {key}")
+            self._check(value["token"] in self.tokens(*GRANT_PREFIXES), f"stale decision: {key}")
 
     def check_cloud_call(self, path: str, body: dict[str, Any]) -> None:
         """The cloud is about to carry out a call."""
         if path == "/machines/delete":
-            for name in body["Anvils"] if self.granted else ():
+            for name in body["Anvils"] if self.duties_granted else ():
                 self._check(name in self.to_return, f"deleted without a record: {name}")
             return
         name = body["Hire"]
         recorded = self.requested.get(name)
         self._check(recorded is not None, f"rented without a record: {name}")
         if recorded is not None:
-            same = recorded["number"] == body["Number"] and recorded["kind"] == body["Grade"]
-            self._check(same, f"rented other than recorded: {name}")
-        self.repeated_calls += f"{SCALE_OUT}{name}" not in self.store.keys
+            matches = recorded["number"] == body["Number"] and recorded["kind"] == body["Grade"]
+            self._check(matches, f"rented other than recorded: {name}")
+        self.repeated_calls += f"{SCALE_OUT_PREFIX}{name}" not in self.store.keys
