--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -1,4 +1,4 @@
-"""Three controllers, everything around them, and their users."""
+"""A simulated deployment: controllers, the services that they use, and their users."""
 
 import asyncio
 import json
@@ -20,8 +20,8 @@
 class Deployment:
     """Three controllers, the key-value store, the cloud with its workers, and the users."""
 
-    CANCEL_S = 20.0  # s: `cancel_s`
-    NETWORK = "10"  # first part of all addresses
+    CANCEL_S = 20.0  # default of the setting `cancel_s`
+    NETWORK = "10"  # first octet of all addresses
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self.team_cpus_max = team_cpus_max or {}
         self.nodes = [f"node-{i}" for i in range(nodes)]
         self.operator = operator or {}
-        self.announced_limits = announced_limits  # hold once `apply_announced_limits` is called
-        self.old_version_nodes: set[str] = set()  # they start in the version before services
-        self.write_rps = 200.0  # changes a second that the key-value store takes
+        self.announced_limits = announced_limits  # in force after `apply_announced_limits`
+        self.old_version_nodes: set[str] = set()  # they run the version before services
+        self.write_rps = 200.0  # changes per second that the settings allow
         self.heartbeat_copy_rate = 0.0  # share of heartbeats that arrive a second time, late
-        self.caches_images = False  # a task whose image its machine has had starts at once
+        self.caches_images = False  # whether a task starts at once if its machine has its image
         self.store = FakeKeyValueStore(loop)
         self.cloud = FakeCloud(self)
         self.rule_checker = RuleChecker(self)
@@ -58,11 +58,11 @@
         self.controllers: dict[str, Any] = {}
 
     def front_addresses(self) -> list[tuple[str, str]]:
-        """The controllers' names and the addresses that users and workers call."""
+        """Return each controller's name, and the address that users and workers call."""
         return [(name, f"{self.host(name)}:8080") for name in self.nodes]
 
     def host(self, name: str) -> str:
-        """The host of a controller."""
+        """Return the host of a controller."""
         return f"{self.NETWORK}.0.0.{self.nodes.index(name) + 1}"
 
     async def start(self) -> None:
@@ -73,14 +73,14 @@
             self.start_controller(name)
 
     def settings(self, name: str) -> Any:
-        """The settings of a controller as it loads them."""
+        """Return the settings of a controller, as it loads them."""
         from basaltlead.config.loader import convert
         from basaltlead.config.settings import Settings
 
         return convert(self.settings_file(name), Settings, "test")
 
     def settings_file(self, name: str) -> dict[str, Any]:
-        """The settings file that the platform hands to a controller."""
+        """Return the contents of the settings file that the platform provides to a controller."""
         host = self.host(name)
         return {
             "member": name,
@@ -133,7 +133,7 @@
         self.controller_tasks[name] = on_host(self.host(name), run())
 
     def apply_announced_limits(self) -> None:
-        """The announced limits hold from now on."""
+        """Put the announced limits of the key-value store into force."""
         assert self.announced_limits is not None
         if "value_kb" in self.announced_limits:
             self.store.value_bytes = int(self.announced_limits["value_kb"] * 1024)
@@ -143,7 +143,7 @@
         )
 
     def crash(self, name: str) -> None:
-        """The process ends at once, without releasing anything."""
+        """End a controller's process at once, without releasing leases or duties."""
         node = self.controllers.pop(name, None)
         self.controller_tasks.pop(name).cancel()
         if node is not None:
@@ -152,15 +152,16 @@
         self.net.power_off(self.host(name))
 
     def freeze(self, name: str) -> None:
-        """The controller stands still; its clocks run on."""
+        """Suspend a controller; its clocks run on."""
         self.loop.freeze(self.host(name))
 
     def thaw(self, name: str) -> None:
-        """A frozen controller goes on, with everything that fell due meanwhile."""
+        """Resume a frozen controller, with all callbacks that became due in the meantime."""
         self.loop.thaw(self.host(name))
 
     def end_all_faults(self) -> None:
-        """All faults end at once: from now on the rule checker wants every job served."""
+        """End all faults. From now on the rule checker also requires that jobs start in time and
+        users get responses in time."""
         for name in self.nodes:
             self.thaw(name)
             self.rejoin(name)
@@ -183,12 +184,12 @@
         self.rule_checker.all_faults_over()
 
     def isolate(self, name: str, store: bool = True, cloud: bool = True) -> None:
-        """Cut a controller off from everybody, or from all but some."""
+        """Cut a controller off from all hosts, with or without the store and the cloud."""
         for host in self._all_hosts_but(name, store, cloud):
             self.net.cut(self.host(name), host)
 
     def rejoin(self, name: str, deliver: bool = True) -> None:
-        """End `isolate`; what was sent meanwhile is delivered late or lost."""
+        """End `isolate`; what was sent in the meantime is delivered late or lost."""
         for host in self._all_hosts_but(name, True, True):
             self.net.heal(self.host(name), host, deliver)
 
@@ -213,7 +214,7 @@
         return hosts + [FakeKeyValueStore.HOST] * store + [FakeCloud.HOST] * cloud
 
     def shard_leader(self, shard: int = 0) -> str | None:
-        """The node that acts for a shard, if one does; never two."""
+        """Return the controller that acts for a shard, or None; fails if there are two."""
         acting = [
             name
             for name, node in self.controllers.items()
@@ -223,13 +224,13 @@
         return acting[0] if acting else None
 
     def acting_shard_leader(self, shard: int = 0) -> str:
-        """The node that acts for a shard; fails if there is none."""
+        """Return the controller that acts for a shard; fails if there is none."""
         name = self.shard_leader(shard)
         assert name is not None, f"no controller acts for shard {shard}"
         return name
 
     def holder(self, duty: str) -> str | None:
-        """The node that acts for a duty, if one does; never two."""
+        """Return the controller that acts for a duty, or None; fails if there are two."""
         acting = [
             name
             for name, node in self.controllers.items()
@@ -240,28 +241,28 @@
         return acting[0] if acting else None
 
     def acting_holder(self, duty: str) -> str:
-        """The node that acts for a duty; fails if there is none."""
+        """Return the controller that acts for a duty; fails if there is none."""
         name = self.holder(duty)
         assert name is not None, f"no controller acts for duty {duty}"
         return name
 
     def other_nodes(self, *names: str | None) -> list[str]:
-        """The controllers that are none of these, in their order."""
+        """Return all controllers except these, in order."""
         return [name for name in self.nodes if name not in names]
 
     def other_node(self, *names: str | None) -> str:
-        """The first controller that is none of these."""
+        """Return the first controller that is not one of these."""
         return self.other_nodes(*names)[0]
 
     async def start_with_running_job(self, pieces: int, run_s: float) -> str:
-        """Start, and have job 1 run with all its tasks; the shard leader's name."""
+        """Start, wait until all tasks of job 1 run, and return the shard leader's name."""
         await self.start()
         await self.submit(self.job(1, Pieces=pieces, RunS=run_s))
         await self.wait_until(lambda: len(self.running_tasks("req-000001")) == pieces)
         return self.acting_shard_leader()
 
     def gang_complete(self, task: str, attempt_number: int) -> bool:
-        """Whether all tasks of a gang's attempt are on their machines."""
+        """Whether all tasks of this attempt at a gang are on their machines."""
         ref = task.partition("/")[0]
         pieces: int = self.jobs[ref]["Pieces"]
         ready = 0
@@ -272,7 +273,8 @@
         return ready == pieces
 
     def end_gang(self, task: str, attempt_number: int) -> None:
-        """A gang's tasks complete together, or notice that one of them is missing."""
+        """End an attempt at a gang: its tasks complete together, or fail if any of them is missing
+        or hangs."""
         ref = task.partition("/")[0]
         attempts = [
             (worker, key)
@@ -294,7 +296,7 @@
     # Users
 
     def job(self, number: int, **fields: Any) -> dict[str, Any]:
-        """A submission as it is sent, a small array by default; `fields` replace its values."""
+        """Return a submission as it is sent: a small array; `fields` override its values."""
         job = {
             "Ref": f"req-{number:06d}",
             "Lane": "reports",
@@ -323,7 +325,8 @@
     async def request(
         self, node: str, method: str, path: str, body: Any = None
     ) -> tuple[int, dict[str, Any]]:
-        """Send a user's request to a controller: status and answer, (0, {}) if there is none."""
+        """Send a user's request to a controller; return the status and the body of the response, or
+        (0, {}) if there is none."""
         raw = (
             b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
         )
@@ -337,7 +340,7 @@
         return status, json.loads(answer)
 
     def service(self, number: int, **fields: Any) -> dict[str, Any]:
-        """A service of three replicas."""
+        """Return the submission of a service with three replicas."""
         values = {
             "Shape": "service",
             "Rank": "production",
@@ -349,7 +352,8 @@
         return self.job(number, **(values | fields))
 
     async def submit(self, job: dict[str, Any], node: str | None = None) -> int:
-        """Submit a job, at any node, until it is accepted or refused for good: the status."""
+        """Submit a job, by default to any controller, until it is accepted or rejected; return the
+        status."""
         self.jobs[job["Ref"]] = job
         while True:
             name = node or self.rng.choice(self.nodes)
@@ -361,7 +365,8 @@
             await asyncio.sleep(1)
 
     async def poll(self, ref: str, node: str | None = None) -> str:
-        """Ask for a job's stage, at any node; the status if it is not known."""
+        """Request a job's stage, by default from any controller; return the stage, or the status of
+        a response without one."""
         name = node or self.rng.choice(self.nodes)
         known_stage = self.rule_checker.last_stage.get(ref)
         status, body = await self.request(name, "GET", f"/api/jobs/{ref}")
@@ -369,7 +374,8 @@
         return str(body.get("Stage", status))
 
     async def cancel(self, ref: str, node: str | None = None) -> str:
-        """Cancel a job, at any node, until it is answered."""
+        """Request a job's cancellation, by default from any controller, until there is a final
+        response; return the stage or the status."""
         self.cancel_requested[ref] = True
         while True:
             name = node or self.rng.choice(self.nodes)
@@ -381,36 +387,37 @@
             await asyncio.sleep(1)
 
     async def wait_until(self, condition: Any, seconds: float = 60.0) -> None:
-        """Wait for a condition while the rule checker checks; fails after some seconds."""
+        """Wait for a condition while the rule checker runs; fails after `seconds`."""
         deadline = self.loop.time() + seconds
         while not condition():
-            assert self.loop.time() < deadline, "waited in vain"
+            assert self.loop.time() < deadline, "the condition did not hold in time"
             self.rule_checker.check()
             await asyncio.sleep(0.1)
 
     async def wait_until_done(self, *refs: str, seconds: float = 90.0) -> None:
-        """Poll jobs until all are done; fails after some seconds."""
+        """Poll jobs until all are done; fails after `seconds`."""
         deadline = self.loop.time() + seconds
         unfinished = set(refs)
         while unfinished:
-            assert self.loop.time() < deadline, f"never done: {unfinished}"
+            assert self.loop.time() < deadline, f"not done in time: {unfinished}"
             self.rule_checker.check()
             unfinished = {ref for ref in unfinished if await self.poll(ref) != "done"}
             await asyncio.sleep(1)
 
     async def wait_until_served(self, *refs: str, seconds: float = 60.0) -> None:
-        """Until all replicas of these services run."""
+        """Wait until all replicas of these services run; fails after `seconds`."""
         await self.wait_until(
             lambda: all(len(self.running_tasks(ref)) == self.jobs[ref]["Pieces"] for ref in refs),
             seconds,
         )
 
     def running_tasks(self, ref: str) -> list[str]:
-        """The tasks of a job that run now."""
+        """Return the tasks of a job that are running now."""
         return [task for task in self.rule_checker.running_on if task.partition("/")[0] == ref]
 
     def assert_no_violation(self) -> None:
-        """No rule was violated, no limit exceeded, no stale holder acted, and something ran."""
+        """Check that no rule was violated, no size limit exceeded, no stale holder acted, and that
+        at least one task ran."""
         self.rule_checker.check()
         assert not self.rule_checker.violations, "; ".join(self.rule_checker.violations)
         assert not self.store.oversized, self.store.oversized[:3]
