--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A fake of a machine and its worker, by the protocol."""
+"""A fake of a machine and the worker on it, which speaks the workers' protocol."""
 
 import asyncio
 import json
@@ -16,11 +16,11 @@
 
 
 class FakeWorker:
-    """A machine: boots, sends heartbeats, runs tasks, respects fencing tokens and its lease."""
+    """A machine: boots, sends heartbeats, runs tasks, and respects fencing tokens and its lease."""
 
     HEARTBEAT_INTERVAL_S = 1.0
     LEASE_S = 6.0
-    IMAGE_FETCH_S = 0.5  # s that an image takes to arrive
+    IMAGE_FETCH_S = 0.5
 
     def __init__(
         self,
@@ -46,23 +46,23 @@
         self.preemption_at: float | None = None
         self.up = False
         self.hung = False
-        self.unreachable = False  # its heartbeats arrive, but answers and commands don't reach it
-        self.faulty = False  # all that runs on it fails
-        self.answers_lost = False  # pushed commands are executed, and their answers lost
-        self.failed = False  # it has stopped by itself
-        self.sends_no_heartbeats = False  # it reaches no controller, while pushed commands reach it
-        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
-        self.images: set[str] = set()  # those that were fetched once
+        self.unreachable = False  # its heartbeats arrive, but responses and commands are lost
+        self.faulty = False  # every task on it fails
+        self.answers_lost = False  # pushed commands are executed, but their responses are lost
+        self.failed = False  # the machine has stopped by itself
+        self.sends_no_heartbeats = False  # it still executes pushed commands
+        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}  # by task and attempt number
+        self.images: set[str] = set()  # images fetched so far
         self.state_changed = asyncio.Event()
         self.lease_started_at = self.created_at
         self.task = on_host(self.host, self._boot_and_serve())
 
     def age_s(self) -> float:
-        """Seconds since it was rented."""
+        """Return the seconds since the machine was rented."""
         return self.loop.time() - self.created_at
 
     def list_row(self) -> dict[str, Any]:
-        """Its row in the cloud's list."""
+        """Return the machine's row in the cloud's list."""
         return {
             "Ref": self.name,
             "Addr": self.address,
@@ -74,7 +74,7 @@
         }
 
     def stop(self) -> None:
-        """The machine is deleted or dies."""
+        """Stop the machine, because it is deleted or crashes."""
         self.task.cancel()
         self._stop_all_tasks()
         self.deployment.net.power_off(self.host)
@@ -86,7 +86,7 @@
         self.tasks.clear()
 
     def begin_next_epoch(self) -> None:
-        """Its lease has expired."""
+        """End the epoch, because the lease has expired: all tasks stop."""
         self._stop_all_tasks()
         self.epoch += 1
         self.sequence = 0
@@ -148,7 +148,7 @@
                 await asyncio.sleep(1)
 
     async def _send_copy(self, body: bytes) -> None:
-        """Deliver a copy of a heartbeat late, to any node, whatever has become of the machine."""
+        """Deliver a late copy of a heartbeat to any controller, even if the machine is gone."""
         await asyncio.sleep(self.deployment.rng.uniform(0.5, 2.5 * self.deployment.lease))
         _, address = self.deployment.rng.choice(self.deployment.front_addresses())
         pool = ConnectionPool(address, 1)
@@ -171,7 +171,7 @@
             pass
 
     def heartbeat(self) -> dict[str, Any]:
-        """The next heartbeat, as it is sent."""
+        """Return the next heartbeat, as it is sent."""
         self.sequence += 1
         tasks = [
             {"Piece": task, "Try": attempt_number, "Stage": entry["Stage"]}
@@ -242,13 +242,13 @@
         return self.IMAGE_FETCH_S
 
     def has_room_for(self, job: dict[str, Any]) -> bool:
-        """Might a task of the job be started here now?"""
+        """Whether a task of the job could be started here now; False if that is uncertain."""
         if job["Grades"] is not None and self.machine_type["Label"] not in job["Grades"]:
             return False
         if job["Yard"] not in (None, self.zone) or (self.spot and not job["Loaners"]):
             return False
         if job["OneZone"] or job["Apart"]:
-            return False  # where it may be depends on its other tasks
+            return False  # its placement depends on its other tasks
         active = [t for (t, _), entry in self.tasks.items() if entry["Stage"] != "ended"]
         used = [self.deployment.jobs[t.partition("/")[0]] for t in active]
         return all(
@@ -258,7 +258,7 @@
         )
 
     def finish(self, key: tuple[str, int], why: str) -> None:
-        """End an attempt."""
+        """End an attempt for this reason."""
         self._end(key, why)
 
     def _end(self, key: tuple[str, int], why: str) -> None:
@@ -268,7 +268,8 @@
         self.state_changed.set()
 
     async def _advance_tasks(self) -> None:
-        """Tasks go on, and the lease runs out, unless the machine hangs."""
+        """Advance the tasks and check the lease. While the machine hangs, its tasks don't advance,
+        but the lease expires all the same."""
         while True:
             await asyncio.sleep(0.1)
             now = self.loop.time()
@@ -302,13 +303,14 @@
                         self._end(key, "done")
 
     def _run_s(self, job: dict[str, Any]) -> float:
-        """A replica runs for ever, but for those of a job that says otherwise."""
+        """Return the run time of a task. Replicas run forever, unless they fail or the job has
+        `EndsWith`."""
         if job["Shape"] != "service" or self.faulty or job.get("Broken"):
             return float(job["RunS"])
         return float(job["RunS"]) if "EndsWith" in job else 1e9
 
     async def handle(self, request: Request) -> Response:
-        """Answer a pushed command or a probe."""
+        """Handle pushed commands or a probe."""
         await poll_until(lambda: not (self.hung or self.unreachable), 0.2)
         if request.path == "/status":
             return reply(200, self.heartbeat())
