--- a/tests/fakes/old_version.py
+++ b/tests/fakes/old_version.py
@@ -1,8 +1,8 @@
-"""A controller as it was before services: what it writes, and what it makes of newer records.
+"""A controller of the version before services: what it writes, and how it reads newer records.
 
-It runs the present code with the old schemas: its member key names no version, it stores results
-in stretch rows only, and it reads stored jobs and results as the old version did. `tests/data`
-holds records that the old version itself has written.
+It runs the current code with the old schemas: its member key contains no version, it stores results
+in segment rows only, and it reads stored jobs and results as the old version did. `tests/data`
+holds records that were written by the old version itself.
 """
 
 import msgspec
@@ -16,7 +16,7 @@
 
 
 class OldOpenJobsWatch(OpenJobsWatch):
-    """Takes a service for an array, and of a chunk row sees an empty list."""
+    """Reads a service as an array, and a chunk row as an empty bitmap."""
 
     def apply_row(self, key: str, raw: msgspec.Raw, version: int, now: int) -> None:
         _, part = parse_open_key(key)
@@ -46,5 +46,5 @@
         self.membership.duty_keys = []
 
     def result_layout(self) -> ResultLayout:
-        """Stretch rows only, whatever their size."""
+        """Use segment rows only, whatever their size."""
         return ResultLayout(1 << 30)
