--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Fakes for the key-value store, the cloud, the workers and the users, by their protocols."""
+"""Fakes of the key-value store, the cloud, the workers and the users. They speak the protocols."""
 
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.deployment import Deployment
