--- a/tests/fakes/replies.py
+++ b/tests/fakes/replies.py
@@ -1,4 +1,4 @@
-"""What the fakes share: their answers, and the key of a change in a transaction."""
+"""Helpers that the fakes share: JSON responses, and the key of a change in a transaction."""
 
 import json
 from typing import Any
@@ -7,10 +7,10 @@
 
 
 def key_of(change: dict[str, Any]) -> str:
-    """The key that a change puts or drops."""
+    """Return the key that a change puts or deletes."""
     return str(change["Put"] if "Put" in change else change["Drop"])
 
 
 def reply(status: int, value: Any) -> Response:
-    """A JSON answer."""
+    """Return a JSON response."""
     return Response(status, json.dumps(value).encode())
