--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""A fake of the cloud, by its protocol."""
+"""A fake of the cloud: rents out fake workers over the cloud's protocol."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class FakeCloud:
-    """Rents out FakeWorkers; its list of machines lags, as the real one's does."""
+    """Rents out FakeWorkers. Its list of machines is out of date, as the real cloud's is."""
 
     HOST = "10.2.0.2"
     ADDRESS = "10.2.0.2:8443"
@@ -49,27 +49,27 @@
 
     def __init__(self, deployment: "Deployment") -> None:
         self.deployment = deployment
-        self.scale_outs: dict[str, list[str]] = {}
+        self.scale_outs: dict[str, list[str]] = {}  # machine names by name of the request
         self.machines: dict[str, FakeWorker] = {}
         self.corrupt_reply: Callable[[Response], Response] | None = None
-        self.rented_count = 0
-        self.capacity = 12
-        self.max_page_rows = 500  # rows of a page of the list at most
-        self.list_lag_s = 2.0  # how old a page of the list is, at least; some are twice that old
-        # that many scale-out requests will be executed without an answer
-        self.unanswered_rentals = 0
-        self.error_status = 0  # the status that every call gets; 0: none
+        self.rented_count = 0  # machines rented since the start
+        self.capacity = 12  # machines that can be rented at the same time
+        self.max_page_rows = 500  # of the list of machines
+        self.list_lag_s = 2.0  # minimum age of a page of the list; the maximum is twice that
+        self.unanswered_rentals = 0  # this many scale-outs are carried out without a response
+        self.error_status = 0  # the status of every response, or 0 for none
         self.refused_names: set[str] = set()  # types and machines that are refused with 400
-        self.answer_delay_s = 0.02  # s until it answers
+        self.answer_delay_s = 0.02  # before each response
         self.on_accept: Callable[[str, dict[str, Any]], None] = lambda path, body: None
-        self.deleted: dict[str, tuple[float, float, dict[str, Any]]] = {}  # created_at, gone, row
+        # By name: when a deleted machine was created, when it was deleted, and its row in the list
+        self.deleted: dict[str, tuple[float, float, dict[str, Any]]] = {}
 
     async def start(self) -> None:
-        """Listen."""
+        """Start the server."""
         await Server(self.handle, 1000).start(self.ADDRESS)
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request, or corrupt the answer if a test asks for it."""
+        """Handle a request; the response is corrupted if a test has set `corrupt_reply`."""
         response = await self._handle(request)
         return response if self.corrupt_reply is None else self.corrupt_reply(response)
 
@@ -117,8 +117,11 @@
         return reply(200, {"Anvils": self.scale_outs[body["Hire"]]})
 
     def _list(self, query: dict[str, str]) -> Response:
-        """Each page shows the machines of a moment of its own: new ones are missing, and those
-        that are gone still stand there."""
+        """Return a page of the list.
+
+        Each page is a snapshot of a different time in the past: new machines are missing, and
+        deleted ones are still listed.
+        """
         snapshot_at = self.deployment.loop.time() - self.list_lag_s * self.deployment.rng.uniform(
             1.0, 2.0
         )
