--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -1,7 +1,7 @@
-"""Finds actions of holders that were replaced, in what the fakes have accepted.
+"""Finds actions of replaced duty holders among the writes and calls that the fakes have accepted.
 
-It reads what was written and requested, not the preconditions: what shows the writer's right is the
-fencing token in its record, compared with the grant that stands at that moment.
+It ignores the preconditions of a transaction. Whether the writer was entitled to it is decided by
+the fencing token in the record, compared with the grant that is in force at that moment.
 """
 
 from typing import Any
@@ -18,35 +18,33 @@
     "return/",
     "mach/",
 )
-ADOPTED_REQUEST_PREFIX = (
-    "a-"  # names of scale-out requests that the holder of reclaiming records begin so
-)
-SHARD_REQUEST_PREFIX = "h-"  # and those of a shard leader, followed by its fencing token
-MIN_DUTIES_VERSION = 2  # from which on a member lets duties be granted on their own
+ADOPTED_REQUEST_PREFIX = "a-"  # of the scale-out records that the reclaim duty writes
+SHARD_REQUEST_PREFIX = "h-"  # of those that a shard leader writes; its fencing token follows
+MIN_DUTIES_VERSION = 2  # duties have grants of their own once all members have this version
 
 
 class DutyChecker:
-    """Watches the key-value store's transactions and the cloud's calls."""
+    """Checks each transaction that the key-value store accepts and each call to the cloud."""
 
     def __init__(self, store: FakeKeyValueStore, cloud: FakeCloud) -> None:
         self.store = store
-        self.violations: list[str] = []  # what was accepted from a stale holder
-        self.requested: dict[str, dict[str, Any]] = {}  # every request that was ever recorded
-        self.to_return: set[str] = set()  # every machine that was ever recorded as to be returned
-        self.checked_actions = 0  # that were checked
-        self.repeated_calls = 0  # calls for what was carried out already
+        self.violations: list[str] = []  # accepted actions that should have been refused
+        self.requested: dict[str, dict[str, Any]] = {}  # all scale-out requests ever recorded
+        self.to_return: set[str] = set()  # all machines ever recorded as to be returned
+        self.checked_actions = 0
+        self.repeated_calls = 0  # calls for scale-outs that were carried out already
         store.on_accept = self.check_transaction
         cloud.on_accept = self.check_cloud_call
 
     @property
     def duties_granted(self) -> bool:
-        """Are duties granted on their own? Else the shard leaders carry them out."""
+        """Whether duties have grants of their own; otherwise the shard leaders carry them out."""
         keys = self.store.keys
         members = [keys[key][0] for key in keys if key.startswith(MEMBER_PREFIX)]
         return bool(members) and min(m.get("version", 0) for m in members) >= MIN_DUTIES_VERSION
 
     def tokens(self, *prefixes: str) -> set[int]:
-        """The fencing tokens of all current grants."""
+        """Return the fencing tokens of all current grants with these key prefixes."""
         return {
             value["baton"]
             for key, (value, _, _) in self.store.keys.items()
@@ -54,7 +52,7 @@
         }
 
     def check_transaction(self, changes: list[dict[str, Any]]) -> None:
-        """A transaction whose preconditions hold is about to be carried out."""
+        """Check a transaction whose preconditions hold, before it is applied."""
         has_event = any(change.get("Put", "").startswith(HISTORY_PREFIX) for change in changes)
         for change in changes:
             key = key_of(change)
@@ -101,7 +99,7 @@
             self._check(value["token"] in self.tokens(*GRANT_PREFIXES), f"stale decision: {key}")
 
     def check_cloud_call(self, path: str, body: dict[str, Any]) -> None:
-        """The cloud is about to carry out a call."""
+        """Check a call before the cloud carries it out."""
         if path == "/machines/delete":
             for name in body["Anvils"] if self.duties_granted else ():
                 self._check(name in self.to_return, f"deleted without a record: {name}")
