--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol, checked from outside."""
+"""Checks the rules of the protocols, as seen from outside the controllers."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -9,10 +9,13 @@
 
 
 class RuleChecker:
-    """Watches the rules from outside: by what workers, users and the cloud see."""
+    """Records a violation for each rule that is broken, by what workers, users and the cloud see.
 
-    ANSWER_WITHIN_S = 75.0  # s without an answered question, once all faults have ended
-    START_WITHIN_S = 90.0  # s beside room on a machine that fits
+    The two time limits hold once all faults have ended.
+    """
+
+    ANSWER_WITHIN_S = 75.0  # in which at least one request about a job must be answered
+    START_WITHIN_S = 90.0  # in which a job must start while a suitable machine has room for it
     FIELDS = (
         "Ref",
         "Lane",
@@ -35,25 +38,26 @@
 
     def __init__(self, deployment: "Deployment") -> None:
         self.deployment = deployment
-        self.faults_over_at: float | None = None  # since when there is no fault any more
-        self.answered_at: dict[str, float] = {}
-        self.waiting_since: dict[str, float] = {}  # since when a job waits beside room
+        self.faults_over_at: float | None = None  # when all faults ended
+        self.answered_at: dict[str, float] = {}  # when users last got a response, by job
+        self.waiting_since: dict[str, float] = {}  # since when a job waits while there is room
         self.checked_at = 0.0
-        self.started_after_cancel: list[tuple[str, float]] = []  # and how long after the user knew
-        self.running_on: dict[str, FakeWorker] = {}
-        self.results: set[str] = set()
-        self.last_stage: dict[str, str] = {}
-        self.cancelled_at: dict[str, float] = {}
+        # Tasks that started after their job was cancelled, and how long after the user was told
+        self.started_after_cancel: list[tuple[str, float]] = []
+        self.running_on: dict[str, FakeWorker] = {}  # by task
+        self.results: set[str] = set()  # tasks that have completed
+        self.last_stage: dict[str, str] = {}  # the last stage that users were told, by job
+        self.cancelled_at: dict[str, float] = {}  # when users were told that a job is cancelled
         self.starts = 0
         self.started: list[str] = []
         self.violations: list[str] = []
 
     def add_violation(self, text: str) -> None:
-        """Note that a rule was violated."""
+        """Record a violation."""
         self.violations.append(f"{self.deployment.loop.time():.2f} {text}")
 
     def task_started(self, task: str, worker: FakeWorker, attempt_number: int) -> None:
-        """A worker starts to run a task."""
+        """Check the start of a task on a worker."""
         self.starts += 1
         self.started.append(task)
         ref = task.partition("/")[0]
@@ -95,20 +99,20 @@
             self.add_violation(f"ran_cancelled {task}")
 
     def task_stopped(self, task: str, worker: FakeWorker) -> None:
-        """A task runs no more on a worker."""
+        """Record that a task no longer runs on a worker."""
         if self.running_on.get(task) is worker:
             del self.running_on[task]
 
     def starts_of(self, ref: str) -> int:
-        """How often tasks of a job were started."""
+        """Return how often tasks of a job were started."""
         return sum(task.partition("/")[0] == ref for task in self.started)
 
     def task_completed(self, task: str) -> None:
-        """A task has ended with a result."""
+        """Record that a task has ended with a result."""
         self.results.add(task)
 
     def check(self) -> None:
-        """Check the rules that depend on time; tests call it often."""
+        """Check the rules that depend on time. Tests must call this often."""
         for task in self.running_on:
             if task.partition("/")[0] in self.cancelled_at:
                 self._check_cancelled(task)
@@ -118,12 +122,13 @@
             self._check_waiting_jobs(now)
 
     def all_faults_over(self) -> None:
-        """All faults have ended."""
+        """Start to check the time limits, since all faults have ended."""
         self.faults_over_at = self.deployment.loop.time()
         self.waiting_since.clear()
 
     def _check_waiting_jobs(self, now: float) -> None:
-        """No job waits for long while a machine that fits has room and its team may use it."""
+        """Check that no job waits longer than START_WITHIN_S while its team's quota permits a start
+        and a suitable machine has room."""
         jobs = self.deployment.jobs
         running = {task.partition("/")[0] for task in self.running_on}
         for ref, stage in self.last_stage.items():
@@ -157,7 +162,7 @@
         )
 
     def _is_valid(self, job: dict[str, Any]) -> bool:
-        """Lacks it no field, and can it run at all?"""
+        """Whether a job has all fields and fits its team's quota and a machine type."""
         if any(job.get(field) is None for field in self.FIELDS):
             return False
         cpus_max = self.deployment.team_cpus_max.get(job["Crew"], 0)
@@ -174,8 +179,12 @@
     def user_answered(
         self, ref: str, verb: str, status: int, body: dict[str, Any], known_stage: str | None
     ) -> None:
-        """Something was told to a user, who knew `known_stage` when asking: of two questions asked
-        at the same time either answer may come first."""
+        """Check the response to a user's request.
+
+        `known_stage` is the stage that the user knew when sending the request. A job must not go
+        back from that stage. `last_stage` may be later, since the responses to concurrent requests
+        arrive in any order.
+        """
         if status == 404 and known_stage is not None:
             self.add_violation(f"forgotten {ref}")
         if status in (400, 422) and known_stage is not None:
