--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""A fake of the key-value store, by its protocol."""
+"""A fake of the key-value store: serves its protocol from memory."""
 
 import asyncio
 import json
@@ -14,7 +14,11 @@
 
 
 class FakeKeyValueStore:
-    """Keys, leases and watches; can refuse everybody or single hosts, and lose its answers."""
+    """Keys, leases and watches, with injected faults.
+
+    It can refuse all hosts or some, delay writes and lose their responses, and limit the rate and
+    size of writes.
+    """
 
     HOST = "10.2.0.1"
     ADDRESS = "10.2.0.1:2379"
@@ -22,31 +26,33 @@
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.revision = 0
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}  # value, version, lease
         self.change_log: list[dict[str, Any]] = []
-        self.leases: dict[int, tuple[float, float]] = {}
+        self.leases: dict[int, tuple[float, float]] = {}  # when it expires, and its TTL, in s
         self.next_lease = 0
         self.down = False
-        self.refused_hosts: set[str] = set()  # hosts that alone get 503, as in an outage
-        self.late_write_share = 0.0  # that share is not answered, and carried out 2 to 12 s later
-        self.late_by_s = (2.0, 12.0)
-        self.late_key_prefix = ""  # of which only those that change a key with this prefix
+        self.refused_hosts: set[str] = set()  # only these hosts get 503, as in an outage
+        # This share of the transactions is applied with a delay, and their responses are lost;
+        # only transactions that change a key with the prefix are affected.
+        self.late_write_share = 0.0
+        self.late_by_s = (2.0, 12.0)  # minimum and maximum of the delay
+        self.late_key_prefix = ""
         self.corrupt_reply: Callable[[Response], Response] | None = None
         self.on_accept: Callable[[list[dict[str, Any]]], None] = lambda changes: None
         self.keys_changed = asyncio.Event()
-        self.writes = 0
+        self.writes = 0  # changes applied
         self.requests = 0
-        self.value_bytes = 8 * 1024
+        self.value_bytes = 8 * 1024  # maximum size of a value
         self.max_operations = 8  # puts and deletes in one transaction
-        self.oversized: list[str] = []  # what was refused for its size
-        self.write_rps: float | None = None  # changes a second; None: any number
-        self.write_burst_restored_at = 0.0  # when its burst would be full again
-        self.refused_writes = 0  # how many transactions were answered with 429
-        self.latency_factor = 1.0  # how many times as long as usual its answers take
+        self.oversized: list[str] = []  # transactions refused because they exceeded a size limit
+        self.write_rps: float | None = None  # changes per second; None for no limit
+        self.write_burst_restored_at = 0.0  # when the whole burst is available again
+        self.refused_writes = 0  # transactions answered with 429
+        self.latency_factor = 1.0  # multiplies the usual latency
         self.rng = random.Random(1)
 
     async def start(self) -> None:
-        """Listen, and let leases expire."""
+        """Start the server and the expiry of leases."""
         server = Server(self.handle, 1000)
         await server.start(self.ADDRESS)
         self.loop.create_task(self._expire())
@@ -75,7 +81,7 @@
         self.keys_changed = asyncio.Event()
 
     def is_unavailable_to(self, host: str) -> bool:
-        """Is there an outage, for all or for this one alone?"""
+        """Whether the store is down for all hosts or refuses this one."""
         return self.down or host in self.refused_hosts
 
     def _is_late(self, body: dict[str, Any]) -> bool:
@@ -84,13 +90,13 @@
         return matches and self.rng.random() < self.late_write_share
 
     def end_outage(self) -> None:
-        """The outage ends; all leases start anew."""
+        """End the outage; all leases restart with their full TTL."""
         self.down = False
         now = self.loop.time()
         self.leases = {lease: (now + ttl, ttl) for lease, (_, ttl) in self.leases.items()}
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request, or corrupt the answer if a test asks for it."""
+        """Handle a request; the response is corrupted if a test has set `corrupt_reply`."""
         response = await self._handle(request)
         return response if self.corrupt_reply is None else self.corrupt_reply(response)
 
@@ -116,7 +122,7 @@
             if self._is_late(body):
                 await asyncio.sleep(self.rng.uniform(*self.late_by_s))
                 self._transact(body)
-                await asyncio.sleep(60)  # nobody waits for an answer any more
+                await asyncio.sleep(60)  # past the client's timeout
             return self._transact(body)
         if path == "/holds":
             self.next_lease += 1
@@ -139,7 +145,7 @@
         return reply(200, {"Rows": rows, "HasNext": len(names) > limit, "Ledger": self.revision})
 
     def _within_rate(self, changes: int) -> bool:
-        """Above the rate, with a burst of a second's worth, changes are refused."""
+        """Whether so many changes are within `write_rps`, with a burst of one second's changes."""
         if self.write_rps is None:
             return True
         restored_at = max(self.write_burst_restored_at, self.loop.time()) + changes / self.write_rps
@@ -149,7 +155,7 @@
         return True
 
     def _exceeded_limit(self, body: dict[str, Any]) -> str:
-        """Which limit a transaction breaks."""
+        """Return the size limit that a transaction exceeds, or an empty string."""
         changes = body.get("Apply", [])
         values = [json.dumps(c["V"], separators=(",", ":")) for c in changes if "Put" in c]
         if max(map(len, values), default=0) > self.value_bytes:
