--- a/tests/tools/measure_duties.py
+++ b/tests/tools/measure_duties.py
@@ -36,7 +36,7 @@
 
 def failover(cause: str, duty: Duty, seed: int) -> float:
     """Seconds until another controller acts for the duty."""
-    took: list[float] = []
+    durations_s: list[float] = []
 
     async def scenario(loop: Loop) -> None:
         deployment = Deployment(loop, seed, operator={"duties": True}, lease=20.0, cancel=60.0)
@@ -46,15 +46,15 @@
         name = deployment.holder(duty)
         assert name is not None
         CAUSES[cause](deployment, name)
-        at = loop.time()
+        lost_at = loop.time()
         await poll_until(lambda: deployment.holder(duty) not in (None, name), 0.01)
-        took.append(loop.time() - at)
+        durations_s.append(loop.time() - lost_at)
 
     run_scenario(scenario, seed)
-    return took[0]
+    return durations_s[0]
 
 
-def changes_for_each_machine(duties: bool) -> dict[str, float]:
+def changes_per_machine(duties: bool) -> dict[str, float]:
     """Changes by prefix of row, for each machine of a fleet that comes and goes."""
     counts: Counter[str] = Counter()
     machines: list[int] = []
@@ -78,8 +78,8 @@
 
     run_scenario(scenario)
     prefixes = ("hire", "mach", "return", "history")
-    each = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
-    return each | {"machines": machines[0], "all": round(sum(each.values()), 2)}
+    per_machine = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
+    return per_machine | {"machines": machines[0], "all": round(sum(per_machine.values()), 2)}
 
 
 def idle_cost(duties: bool) -> dict[str, float]:
@@ -103,11 +103,11 @@
     """Print all figures."""
     for cause in CAUSES:
         for duty in Duty:
-            took = sorted(failover(cause, duty, seed) for seed in SEEDS)
-            median, worst = statistics.median(took), took[-1]
+            durations_s = sorted(failover(cause, duty, seed) for seed in SEEDS)
+            median, worst = statistics.median(durations_s), durations_s[-1]
             print(f"failover, {cause}, {duty}: median {median:.2f} s, worst {worst:.2f} s")
     for duties in (False, True):
-        print(f"duties {duties}: changes for each machine {changes_for_each_machine(duties)}")
+        print(f"duties {duties}: changes for each machine {changes_per_machine(duties)}")
         print(f"duties {duties}: idle {idle_cost(duties)} a second")
 
 
