--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -113,10 +113,10 @@
 async def _pause_at_random(deployment: LoopbackDeployment, rng: random.Random) -> None:
     while True:
         await asyncio.sleep(rng.uniform(1, 8))
-        awake = sorted(set(deployment.nodes) - deployment.paused)
-        if len(awake) < 2:
+        running = sorted(set(deployment.nodes) - deployment.paused)
+        if len(running) < 2:
             continue
-        name = rng.choice(awake)
+        name = rng.choice(running)
         deployment.pause(name)
         asyncio.get_running_loop().call_later(rng.choice(PAUSES_S), deployment.resume, name)
 
@@ -203,12 +203,12 @@
 
 def main() -> int:
     """The command line."""
-    top = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         prog="tests.tools.run_loopback", description="Pause real controllers."
     )
-    top.add_argument("--seed", type=int, default=1)
-    top.add_argument("--minutes", type=float, default=10.0)
-    options = top.parse_args()
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--minutes", type=float, default=10.0)
+    options = parser.parse_args()
     result = asyncio.run(run(options.seed, options.minutes))
     print(json.dumps(result, indent=1))
     return 1 if result["stale"] or result["rules broken"] or result["unfinished"] else 0
