--- a/tests/tools/measure_duties.py
+++ b/tests/tools/measure_duties.py
@@ -1,7 +1,7 @@
 """Measures duties in simulated time: python3 -m tests.tools.measure_duties
 
-How long a duty is without an acting holder, by cause; changes of the key-value store for each
-machine that is rented and returned; and what duties cost while there is no job.
+It prints how long a duty has no acting holder, by cause, how many changes in the key-value store
+each machine that is rented and returned needs, and the load on the store while there is no job.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from tests.simulation import Loop, poll_until, run_scenario
 
 SEEDS = range(1, 11)
-RESOLUTION_S = 0.01  # of the measured times
+RESOLUTION_S = 0.01  # of the measured durations
 CAUSES: dict[str, Callable[[Deployment, str], Any]] = {
     "crash": lambda deployment, name: deployment.crash(name),
     "stands still": lambda deployment, name: deployment.freeze(name),
@@ -27,7 +27,7 @@
 
 
 async def _until_held_by_another(deployment: Deployment, duty: Duty, name: str) -> None:
-    """Return once a controller other than this one acts for the duty."""
+    """Wait until another controller than this one acts for the duty."""
     while True:
         if deployment.holder(duty) not in (None, name):
             return
@@ -35,7 +35,7 @@
 
 
 def failover(cause: str, duty: Duty, seed: int) -> float:
-    """Seconds until another controller acts for the duty."""
+    """Return the seconds until another controller acts for the duty."""
     durations_s: list[float] = []
 
     async def scenario(loop: Loop) -> None:
@@ -55,7 +55,7 @@
 
 
 def changes_per_machine(duties: bool) -> dict[str, float]:
-    """Changes by prefix of row, for each machine of a fleet that comes and goes."""
+    """Return the changes per machine that is rented and returned, by key prefix."""
     counts: Counter[str] = Counter()
     machines: list[int] = []
 
@@ -83,7 +83,7 @@
 
 
 def idle_cost(duties: bool) -> dict[str, float]:
-    """Requests and changes a second of all controllers while there is no job."""
+    """Return the requests and changes per second of all controllers while there is no job."""
     rates: dict[str, float] = {}
 
     async def scenario(loop: Loop) -> None:
