--- a/tests/tools/run_loopback.py
+++ b/tests/tools/run_loopback.py
@@ -1,12 +1,12 @@
-"""Three real controllers on loopback, paused and resumed at random while they work.
+"""Runs three real controllers on loopback, and pauses and resumes them at random.
 
     python3 -m tests.tools.run_loopback --seed 7 --minutes 10
 
-The key-value store, the cloud, the workers and the users are the tests' fakes, in this
-process; the controllers are processes of their own, with duties switched on. At the end everything
-is resumed, all jobs must get done and all machines must go. The rule checker and the checker of
-stale holders watch throughout; the result is printed as JSON, and the exit status is 1 if either
-has found anything.
+The key-value store, the cloud, the workers and the users are the tests' fakes and run in this
+process. Each controller is a process of its own, with duties enabled. At the end all controllers
+are resumed, and then all jobs must complete and all machines must be returned. The rule checker and
+the duty checker run throughout. The result is printed as JSON; the exit status is 1 if a checker
+found a violation or anything is unfinished.
 """
 
 import argparse
@@ -27,11 +27,11 @@
 NETWORK = "127"
 OPERATOR = Path(__file__).resolve().parents[2] / "deploy" / "duties.yaml"
 PAUSES_S = (0.3, 2.0, 5.0, 12.0, 60.0)
-FINISH_S = 240.0  # in which all must be done once no controller is paused any more
+FINISH_S = 240.0  # to complete all jobs and return all machines after the last controller resumes
 
 
 class LoopbackNet:
-    """Stops the server of a machine that is powered off."""
+    """The part of `Network` that the fakes need on loopback: it powers machines off."""
 
     def __init__(self, deployment: "LoopbackDeployment") -> None:
         self.deployment = deployment
@@ -47,7 +47,7 @@
 
 
 class LoopbackLoop:
-    """The event loop with the network that the fakes expect."""
+    """The running event loop, with the attribute `net` that the fakes expect."""
 
     def __init__(self, deployment: "LoopbackDeployment") -> None:
         self.real = asyncio.get_running_loop()
@@ -58,7 +58,7 @@
 
 
 class LoopbackDeployment(Deployment):
-    """A deployment whose controllers are processes."""
+    """A deployment whose controllers run as separate processes."""
 
     NETWORK = NETWORK
 
@@ -82,7 +82,7 @@
             )
 
     def log_path(self, name: str) -> Path:
-        """The file that a controller logs to."""
+        """Return the path of a controller's log."""
         return self.folder / f"{name}.log"
 
     def pause(self, name: str) -> None:
@@ -98,7 +98,7 @@
 
 
 def as_toml(fields: dict[str, Any]) -> str:
-    """Settings as the text of a TOML file: strings, numbers and lists are written as in JSON."""
+    """Format settings as a TOML file; strings, numbers and lists are written as in JSON."""
     return "".join(f"{key} = {_value(value)}\n" for key, value in fields.items())
 
 
@@ -137,12 +137,12 @@
 
 
 def is_failed_task(line: str) -> bool:
-    """Whether a line of a controller's log says that one of its background tasks has failed."""
+    """Whether a line of a controller's log reports the failure of a background task."""
     return line.startswith("E ") and line.endswith((" failed", " failed, restarting it"))
 
 
 def acquisitions(deployment: LoopbackDeployment) -> dict[str, int]:
-    """How often each duty was acquired."""
+    """Return how often each duty was acquired, from the recorded history."""
     counts: dict[str, int] = {}
     for key, (page, _, _) in deployment.store.keys.items():
         if key.startswith("history/"):
@@ -153,7 +153,7 @@
 
 
 async def run(seed: int, minutes: float) -> dict[str, Any]:
-    """Run for so long and let everything finish; what was found."""
+    """Run for this long, wait until everything is finished, and return the result."""
     rng = random.Random(seed)
     FakeKeyValueStore.HOST, FakeKeyValueStore.ADDRESS = f"{NETWORK}.2.0.1", f"{NETWORK}.2.0.1:2379"
     FakeCloud.HOST, FakeCloud.ADDRESS = f"{NETWORK}.2.0.2", f"{NETWORK}.2.0.2:8443"
@@ -190,7 +190,7 @@
 
 
 async def _finish(deployment: LoopbackDeployment) -> list[str]:
-    """What is not done, or not returned, within FINISH_S, with all controllers resumed."""
+    """Wait for all jobs and for the return of all machines; return what is left after FINISH_S."""
     try:
         async with asyncio.timeout(FINISH_S):
             accepted = [ref for ref in deployment.jobs if ref in deployment.rule_checker.last_stage]
@@ -202,7 +202,7 @@
 
 
 def main() -> int:
-    """The command line."""
+    """Run from the command line; return the exit status."""
     parser = argparse.ArgumentParser(
         prog="tests.tools.run_loopback", description="Pause real controllers."
     )
