--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that measure or exercise a deployment; they are no tests, and are run by hand."""
+"""Programs that measure or exercise a deployment. They are not tests and are run by hand."""
