--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -38,9 +38,9 @@
         lambda: deployment.holder(Duty.RENT) not in (None, lost), seconds=FAILOVER_S
     )
     await wait_for_all_holders(deployment)
-    moved = {duty: deployment.store.keys[duty.key][0]["baton"] for duty in Duty}
-    assert all(moved[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
-    assert all(moved[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
+    new_tokens = {duty: deployment.store.keys[duty.key][0]["baton"] for duty in Duty}
+    assert all(new_tokens[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
+    assert all(new_tokens[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
     # It gets its part again, and nothing is without a holder for long
     deployment.start_controller(lost)
     await deployment.wait_until(
@@ -68,24 +68,24 @@
 async def test_regrant_to_the_same_controller_has_a_new_version(loop: Loop) -> None:
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
-    member = deployment.controllers[name].membership
+    membership = deployment.controllers[name].membership
     stale = deployment.controllers[name].duties.holders[Duty.RETURN]
     others = deployment.other_nodes(name)
 
-    assert await member.release(Duty.RETURN.key, release_leadership=False)
+    assert await membership.release(Duty.RETURN.key, release_leadership=False)
     for other in others:  # so that it can only come back
         deployment.crash(other)
-    held = deployment.controllers[name].duties.holders
+    holders = deployment.controllers[name].duties.holders
     await deployment.wait_until(
         lambda: (
-            held.get(Duty.RETURN, stale) is not stale and deployment.holder(Duty.RETURN) == name
+            holders.get(Duty.RETURN, stale) is not stale and deployment.holder(Duty.RETURN) == name
         ),
         seconds=4 * FAILOVER_S,
     )
-    fresh = held[Duty.RETURN]
+    new_holder = holders[Duty.RETURN]
     stale.stepped_down = False
     precondition = stale.preconditions()[1]
-    assert precondition.version < fresh.preconditions()[1].version
+    assert precondition.version < new_holder.preconditions()[1].version
     before = deployment.store.revision
 
     with pytest.raises(PreconditionFailed, match="c/duty/return"):
@@ -108,12 +108,12 @@
     node = deployment.controllers[name]
     release = node.membership.release
 
-    async def answered_late(key: str, release_leadership: bool) -> bool:
+    async def delayed_release(key: str, release_leadership: bool) -> bool:
         done: bool = await release(key, release_leadership)
         await asyncio.sleep(5)
         return done
 
-    node.membership.release = answered_late
+    node.membership.release = delayed_release
     node.duties.holders[Duty.RETURN].step_down()
     node.shard_leaders[0].lease.stepped_down = True
     await asyncio.sleep(15)
@@ -239,9 +239,11 @@
         lambda: deployment.holder(Duty.RENT) not in (None, holder), seconds=40.0
     )
     await deployment.wait_until_done("req-000001", seconds=30.0)
-    moves = len(recorded_events(deployment, "taken up"))
+    acquisitions = len(recorded_events(deployment, "taken up"))
     await asyncio.sleep(120)
-    assert len(recorded_events(deployment, "taken up")) <= moves + 3  # it does not go to and fro
+    assert (
+        len(recorded_events(deployment, "taken up")) <= acquisitions + 3
+    )  # it does not go to and fro
     deployment.net.heal(deployment.host(holder), FakeCloud.HOST)
     await finish_and_check(deployment)
 
@@ -256,19 +258,21 @@
     deployment.cloud.error_status = 503
     await deployment.submit(deployment.job(2, Pieces=16, RunS=15.0))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
-    old = deployment.acting_shard_leader()
+    old_controller = deployment.acting_shard_leader()
 
-    deployment.crash(old)
-    deployment.old_version_nodes = {old}
-    deployment.start_controller(old)
+    deployment.crash(old_controller)
+    deployment.old_version_nodes = {old_controller}
+    deployment.start_controller(old_controller)
     # Only the old one is left: it leads the shard and rents for itself
     for name in deployment.nodes:
-        if name != old:
+        if name != old_controller:
             deployment.crash(name)
     deployment.cloud.error_status = 0
-    await deployment.wait_until(lambda: deployment.shard_leader() == old, seconds=4 * FAILOVER_S)
+    await deployment.wait_until(
+        lambda: deployment.shard_leader() == old_controller, seconds=4 * FAILOVER_S
+    )
     await deployment.wait_until_done("req-000002", seconds=120.0)
-    deployment.crash(old)
+    deployment.crash(old_controller)
     deployment.old_version_nodes = set()
     for name in deployment.nodes:
         deployment.start_controller(name)
