--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -85,8 +85,8 @@
     )
     settled = {k: v[1] for k, v in deployment.store.keys.items() if k.startswith("hire/")}
     await asyncio.sleep(20)
-    left = {k: v[1] for k, v in deployment.store.keys.items() if k in settled}
-    assert left.items() <= settled.items()  # none was written again
+    remaining = {k: v[1] for k, v in deployment.store.keys.items() if k in settled}
+    assert remaining.items() <= settled.items()  # none was written again
     assert len(recorded_events(deployment, "rented")) == len(settled)
     deployment.start_controller(holder)
     await finish_and_check(deployment)
@@ -97,16 +97,16 @@
     loop: Loop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The machines that each shard leader knows to be terminating before it does anything.
-    at_first: list[set[str]] = []
+    terminating_at_start: list[set[str]] = []
 
     start = ScaleIn.start
 
-    def noting_start(scale_ins: ScaleIn) -> None:
+    def recording_start(scale_ins: ScaleIn) -> None:
         machines = scale_ins.context.shard.machines.values()
-        at_first.append({machine.name for machine in machines if machine.terminating})
+        terminating_at_start.append({machine.name for machine in machines if machine.terminating})
         start(scale_ins)
 
-    monkeypatch.setattr(ScaleIn, "start", noting_start)
+    monkeypatch.setattr(ScaleIn, "start", recording_start)
 
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
@@ -115,7 +115,7 @@
         deployment, "return/", lambda: setattr(deployment.cloud, "error_status", 503)
     )
     await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
-    going = {
+    terminating = {
         name
         for key in open_intents(deployment, "return/")
         for name in deployment.store.keys[key][0]["names"]
@@ -130,9 +130,12 @@
     )
     for _ in range(100):
         await asyncio.sleep(0.1)
-        assert not {worker.name for worker in deployment.rule_checker.running_on.values()} & going
-    assert going <= set(deployment.cloud.machines)
-    assert at_first[-1] == going
+        assert (
+            not {worker.name for worker in deployment.rule_checker.running_on.values()}
+            & terminating
+        )
+    assert terminating <= set(deployment.cloud.machines)
+    assert terminating_at_start[-1] == terminating
     deployment.start_controller(shard_leader)
     await finish_and_check(deployment)
 
@@ -215,10 +218,10 @@
     await deployment.submit(deployment.job(2, Pieces=6, RunS=3.0))
     await deployment.wait_until_done("req-000002")
     await asyncio.sleep(150)
-    hanging = [v[0] for k, v in deployment.store.keys.items() if k.startswith("hire/")]
-    assert hanging
-    assert all("400" in one["refused"] for one in hanging)
-    offers = [(one["zone"], one["spot"]) for one in hanging]
+    refused_requests = [v[0] for k, v in deployment.store.keys.items() if k.startswith("hire/")]
+    assert refused_requests
+    assert all("400" in one["refused"] for one in refused_requests)
+    offers = [(one["zone"], one["spot"]) for one in refused_requests]
     assert len(offers) == len(set(offers))  # none is asked for twice: so there are few
     deployment.cloud.refused_names.clear()
     await deployment.wait_until_done("req-000001", seconds=120.0)
@@ -236,10 +239,12 @@
         ),
         seconds=200.0,
     )
-    victim = next(iter(deployment.cloud.machines))
-    deployment.cloud.refused_names.add(victim)
+    refused_machine = next(iter(deployment.cloud.machines))
+    deployment.cloud.refused_names.add(refused_machine)
     deployment.cloud.error_status = 0
-    await deployment.wait_until(lambda: set(deployment.cloud.machines) == {victim}, seconds=200.0)
+    await deployment.wait_until(
+        lambda: set(deployment.cloud.machines) == {refused_machine}, seconds=200.0
+    )
     await deployment.wait_until(lambda: bool(recorded_events(deployment, "refused")))
     deployment.cloud.refused_names.clear()
     await finish_and_check(deployment)
