--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -60,10 +60,10 @@
     deployment.cloud.answer_delay_s = 0.02
     await deployment.wait_until_done("req-000001")
     machine_type = deployment.cloud.TYPES[0]
-    late = deployment.cloud.machines["m-000900"] = FakeWorker(
+    unknown_machine = deployment.cloud.machines["m-000900"] = FakeWorker(
         deployment, "m-000900", machine_type, "a", True
     )
-    late.task.cancel()  # it never comes up, so nobody hears of it but by the list
+    unknown_machine.task.cancel()  # it never comes up, so nobody hears of it but by the list
     await deployment.wait_until(lambda: bool(recorded_events(deployment, "adopted")), seconds=60.0)
     await finish_and_check(deployment)
 
@@ -99,9 +99,9 @@
 
     await wait_for_all_holders(deployment)
     await deployment.submit(deployment.job(1, Pieces=40, RunS=300.0))
-    held = deployment.store.keys
+    keys = deployment.store.keys
     await deployment.wait_until(
-        lambda: any(k.startswith("mach/") and v[0]["block"] == 1 for k, v in held.items())
+        lambda: any(k.startswith("mach/") and v[0]["block"] == 1 for k, v in keys.items())
     )
     for name in deployment.nodes:
         deployment.crash(name)
@@ -109,7 +109,7 @@
     for name in deployment.nodes:
         deployment.start_controller(name)
     await deployment.wait_until(
-        lambda: not any(k.startswith("mach/") and v[0]["block"] == 1 for k, v in held.items()),
+        lambda: not any(k.startswith("mach/") and v[0]["block"] == 1 for k, v in keys.items()),
         seconds=120.0,
     )
 
