--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -80,16 +80,16 @@
     return str(path)
 
 
-def _answering(answer: Any, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+def _stub_response(answer: Any, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     asked: list[str] = []
 
-    async def ask(address: str, question: Any) -> Any:
+    async def respond(address: str, request: Any) -> Any:
         asked.append(address)
         if isinstance(answer, Exception):
             raise answer
         return answer
 
-    monkeypatch.setattr(client, "_send_request", ask)
+    monkeypatch.setattr(client, "_send_request", respond)
     return asked
 
 
@@ -103,14 +103,14 @@
         [OpenIntent("rent", "h-1-1", 3, 5 * SECOND, "cloud: 400")],
         1,
     )
-    asked = _answering(answer, monkeypatch)
+    asked = _stub_response(answer, monkeypatch)
     assert cli.main(["duties", "--config", config]) == 0
-    shown = capsys.readouterr().out
+    output = capsys.readouterr().out
 
-    assert "rent       node-2                      7 1970-01-01T00:00:05+00:00" in shown
-    assert "nobody" in shown
-    assert "open intents: 1" in shown
-    assert "refused: cloud: 400" in shown
+    assert "rent       node-2                      7 1970-01-01T00:00:05+00:00" in output
+    assert "nobody" in output
+    assert "open intents: 1" in output
+    assert "refused: cloud: 400" in output
     assert cli.main(["duties", "--json", "--controller", "node-1", "--config", config]) == 0
     assert msgspec.json.decode(capsys.readouterr().out, type=DutiesResponse) == answer
     assert asked == ["10.0.0.1:8081", "10.0.0.2:8081"]
@@ -137,7 +137,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    _answering(answer, monkeypatch)
+    _stub_response(answer, monkeypatch)
     assert cli.main(["duties", "--config", config, *arguments]) == status
     assert text in capsys.readouterr().err
 
@@ -175,12 +175,12 @@
 
 
 def test_failed_export_leaves_no_file(tmp_path: Path) -> None:
-    def broken() -> Any:
+    def failing_pages() -> Any:
         yield from _pages("rent", 0, 2)
         raise client.StateUnavailable("the state service does not answer")
 
     with pytest.raises(client.StateUnavailable):
-        export(broken(), str(tmp_path / "history.parquet"))
+        export(failing_pages(), str(tmp_path / "history.parquet"))
     assert list(tmp_path.iterdir()) == []
 
 
@@ -227,7 +227,7 @@
     return str(path)
 
 
-def _at(zone: str, *moment: int) -> int:
+def _timestamp_us(zone: str, *moment: int) -> int:
     return int(datetime(*moment, tzinfo=ZoneInfo(zone)).timestamp() * US)  # type: ignore[misc,arg-type]
 
 
@@ -240,17 +240,17 @@
     day: tuple[int, int, int], hours: int, tmp_path: Path
 ) -> None:
     """It lasts from one to five by the wall: an hour less or more when the clock changes."""
-    start = _at("Europe/Berlin", *day, 1)
+    start = _timestamp_us("Europe/Berlin", *day, 1)
     now = [start - 1]
-    times = QuietCalendar(_calendar(tmp_path), lambda: now[0])
-    assert times.current() is None
+    calendar = QuietCalendar(_calendar(tmp_path), lambda: now[0])
+    assert calendar.current() is None
     now[0] = start
-    assert times.current() == QuietTime(start, start + hours * HOUR_US)
+    assert calendar.current() == QuietTime(start, start + hours * HOUR_US)
     now[0] = start + hours * HOUR_US - 1
-    assert times.current() is not None
+    assert calendar.current() is not None
     now[0] += 1
 
-    assert times.current() is None
+    assert calendar.current() is None
 
 
 @pytest.mark.parametrize(
@@ -292,21 +292,21 @@
 
 
 def test_calendar_that_becomes_invalid_leaves_the_last_valid_one_in_force(tmp_path: Path) -> None:
-    now = [_at("Europe/Berlin", 2026, 5, 5, 2)]
+    now = [_timestamp_us("Europe/Berlin", 2026, 5, 5, 2)]
     path = _calendar(tmp_path)
-    times = QuietCalendar(path, lambda: now[0])
-    assert times.current() is not None
+    calendar = QuietCalendar(path, lambda: now[0])
+    assert calendar.current() is not None
     Path(path).write_text("nonsense")
     os.utime(path, (1, 1))
     with pytest.raises(SettingsError):
         read_calendar(path)
     now[0] += 120 * SECOND
-    assert times.current() is not None
+    assert calendar.current() is not None
     _calendar(tmp_path, "Asia/Tokyo")
     os.utime(path, (2, 2))
     now[0] += 120 * SECOND
 
-    assert times.current() is None  # it is nine there
+    assert calendar.current() is None  # it is nine there
 
 
 @simulated
@@ -320,14 +320,14 @@
     spent, now = 0.0, 0
 
     for _ in range(40):
-        allowance = QuietBudget(2.0, reserve)
+        budget = QuietBudget(2.0, reserve)
         if stored:
-            allowance.load(stored[-1])
+            budget.load(stored[-1])
         for _ in range(200):
             now += SECOND
-            if allowance.begin_pass(QuietTime(1, HOUR_US), now):
-                await allowance.reserve_more()
-            spent += 3.0 / 3600 * allowance.charge(3.0)
+            if budget.begin_pass(QuietTime(1, HOUR_US), now):
+                await budget.reserve_more()
+            spent += 3.0 / 3600 * budget.charge(3.0)
 
     assert 0.5 < spent <= 2.0 + 1e-9
 
@@ -344,9 +344,9 @@
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
-    held = len(deployment.cloud.machines)
+    machine_count = len(deployment.cloud.machines)
     await asyncio.sleep(200)  # without quiet times they go within 100 s
-    assert len(deployment.cloud.machines) == held
+    assert len(deployment.cloud.machines) == machine_count
     # Long before 23:00
     await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=900.0)
 
