--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,7 +9,7 @@
 from tests import known_red
 
 CONFTEST = Path(__file__).with_name("conftest.py")
-RED = "def test_red():\n    assert False\n\ndef test_other():\n    assert {other}\n"
+FAILING_TESTS = "def test_red():\n    assert False\n\ndef test_other():\n    assert {other}\n"
 
 
 @pytest.mark.parametrize(
@@ -40,11 +40,11 @@
 
     for name in ("conftest.py", "known_red.py", "__init__.py"):
         (tests / name).write_text(CONFTEST.with_name(name).read_text())
-    (tests / "test_some.py").write_text(RED.format(other=other))
+    (tests / "test_some.py").write_text(FAILING_TESTS.format(other=other))
     if listed is not None:
         (tmp_path / "KNOWN-RED.txt").write_text(f"# list\n{listed} | a cause | 7\n")
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", "tests"]
-    done = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, check=False)
-    assert done.returncode == status, done.stdout + done.stderr
+    result = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, check=False)
+    assert result.returncode == status, result.stdout + result.stderr
     if status == 0:
-        assert f"{listed}: known to fail: a cause (7)" in done.stdout
+        assert f"{listed}: known to fail: a cause (7)" in result.stdout
