--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -48,7 +48,7 @@
     assert msgspec.json.decode(spelling, type=type(value)) == value
 
 
-def test_member_without_a_version_is_of_the_first() -> None:
+def test_member_record_without_a_version_has_version_zero() -> None:
     record = msgspec.json.decode('{"name":"n-0","life":"ab"}', type=MemberRecord)
     assert record == MemberRecord("n-0", "ab", 0)
 
