--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -106,7 +106,7 @@
     assert outside == []
 
 
-def test_names_of_the_protocol_stay_at_the_edges() -> None:
+def test_inner_packages_do_not_import_wire() -> None:
     inner = [
         f"{module} imports {other}"
         for module, others in IMPORTS.items()
