--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -95,7 +95,7 @@
     assert upward == []
 
 
-def test_decisions_import_nothing_outside_core_but_errors() -> None:
+def test_core_imports_only_core_and_errors() -> None:
     outside = [
         f"{module} imports {other}"
         for module, others in IMPORTS.items()
