--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties with one holder each: who holds them, and what continues when a holder is lost."""
+"""Duties: each has one holder, and another one takes over when a holder fails or loses access."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
     new_tokens = {duty: deployment.store.keys[duty.key][0]["baton"] for duty in Duty}
     assert all(new_tokens[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
     assert all(new_tokens[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
-    # It gets its part again, and nothing is without a holder for long
+    # The restarted controller gets a duty again, and no duty is without a holder for long
     deployment.start_controller(lost)
     await deployment.wait_until(
         lambda: any(deployment.holder(duty) == lost for duty in Duty), seconds=20.0
@@ -73,7 +73,7 @@
     others = deployment.other_nodes(name)
 
     assert await membership.release(Duty.RETURN.key, release_leadership=False)
-    for other in others:  # so that it can only come back
+    for other in others:  # so that the duty can only be granted to the same controller
         deployment.crash(other)
     holders = deployment.controllers[name].duties.holders
     await deployment.wait_until(
@@ -95,11 +95,15 @@
 
 @simulated
 async def test_regrant_before_the_answer_to_a_release_is_kept(loop: Loop) -> None:
-    """Only the holder that was handed back ends: the next one may be there already."""
+    """A release must end only the holder that was released.
+
+    If the response to the release is late, the duty may have been granted again by then, and the
+    controller already has the next holder.
+    """
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
 
-    for other in deployment.nodes:  # so that all that it hands back comes back
+    for other in deployment.nodes:  # so that all that it releases is granted to it again
         if other != name:
             deployment.crash(other)
     await deployment.wait_until(
@@ -145,7 +149,8 @@
 
 @simulated
 async def test_store_refuses_holder_whose_steady_clock_stopped_during_suspend(loop: Loop) -> None:
-    """Its clock says that no time has passed, so its own check of the lease lets it act."""
+    """By its clock no time has passed, so its own check of the lease permits it to act. Only the
+    preconditions in the store stop it."""
     deployment = await start_with_duties(loop)
     holder = deployment.acting_holder(Duty.RENT)
 
@@ -191,7 +196,7 @@
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
     deployment.cloud.error_status = 503
-    # Fits large ones only
+    # It fits large machines only
     await deployment.submit(deployment.job(2, Pieces=4, RunS=60.0, Cores=8.0))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
@@ -241,9 +246,8 @@
     await deployment.wait_until_done("req-000001", seconds=30.0)
     acquisitions = len(recorded_events(deployment, "taken up"))
     await asyncio.sleep(120)
-    assert (
-        len(recorded_events(deployment, "taken up")) <= acquisitions + 3
-    )  # it does not go to and fro
+    # The duty does not move back and forth
+    assert len(recorded_events(deployment, "taken up")) <= acquisitions + 3
     deployment.net.heal(deployment.host(holder), FakeCloud.HOST)
     await finish_and_check(deployment)
 
@@ -263,7 +267,7 @@
     deployment.crash(old_controller)
     deployment.old_version_nodes = {old_controller}
     deployment.start_controller(old_controller)
-    # Only the old one is left: it leads the shard and rents for itself
+    # Only the controller of the old version remains: it leads the shard and rents by itself
     for name in deployment.nodes:
         if name != old_controller:
             deployment.crash(name)
