--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -1,4 +1,4 @@
-"""Renting and returning: what a replaced holder can still do, and faults of the cloud."""
+"""Renting and returning machines: replaced holders can do no harm, and faults of the cloud."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 async def _freeze_at(deployment: Deployment, when: str, prefix: str, name: str) -> None:
-    """The holder of a duty stands still when its next intent is recorded, or sent."""
+    """Freeze the holder of a duty when its next intent is recorded, or when it has been sent."""
     if when == "half sent":
         deployment.net.second_half_delay_s[FakeCloud.HOST] = 90.0
     if when == "before the check":
@@ -74,7 +74,7 @@
     holder = deployment.acting_holder(Duty.RENT)
 
     deployment.store.late_write_share, deployment.store.late_by_s = 1.0, (20.0, 20.0)
-    deployment.store.late_key_prefix = "history/rent/"  # what settles a request
+    deployment.store.late_key_prefix = "history/rent/"  # of the transaction that settles a request
     await deployment.submit(deployment.job(1, Pieces=8, RunS=20.0), deployment.other_node(holder))
     await deployment.wait_until(lambda: bool(deployment.cloud.scale_outs))
     await asyncio.sleep(1)
@@ -96,7 +96,7 @@
 async def test_new_shard_leader_starts_nothing_on_a_terminating_machine(
     loop: Loop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The machines that each shard leader knows to be terminating before it does anything.
+    # The machines that each shard leader knows as terminating before it does anything
     terminating_at_start: list[set[str]] = []
 
     start = ScaleIn.start
@@ -213,7 +213,7 @@
     deployment = await start_with_duties(loop)
 
     deployment.cloud.refused_names.add("large")
-    # Fits large ones only
+    # It fits large machines only
     await deployment.submit(deployment.job(1, Pieces=2, RunS=3.0, Cores=8.0))
     await deployment.submit(deployment.job(2, Pieces=6, RunS=3.0))
     await deployment.wait_until_done("req-000002")
@@ -222,12 +222,12 @@
     assert refused_requests
     assert all("400" in one["refused"] for one in refused_requests)
     offers = [(one["zone"], one["spot"]) for one in refused_requests]
-    assert len(offers) == len(set(offers))  # none is asked for twice: so there are few
+    assert len(offers) == len(set(offers))  # no offer is requested twice, which bounds their number
     deployment.cloud.refused_names.clear()
     await deployment.wait_until_done("req-000001", seconds=120.0)
     await deployment.submit(deployment.job(3, Pieces=5, RunS=20.0, Cores=4.0, Grades=["small"]))
     await deployment.wait_until_done("req-000003")
-    deployment.cloud.error_status = 503  # until they all are to go, in one batch
+    deployment.cloud.error_status = 503  # until all machines are recorded for return, in one batch
     await deployment.wait_until(
         lambda: (
             sum(
