--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -1,4 +1,4 @@
-"""Reclaiming: machines that stand in no record, have failed, or belong to no shard any more."""
+"""The reclaim duty: machines that are in no record, have failed, or belong to no shard any more."""
 
 import asyncio
 
@@ -31,15 +31,15 @@
         abandoned = unknown_machines.abandoned(
             [_listed("m-1")], pending_offers=[offer], listed_at=second * US
         )
-        assert abandoned == []  # a request in progress may have brought it
+        assert abandoned == []  # a request in progress may have rented it
         abandoned = unknown_machines.abandoned(
             [_listed("m-1")], pending_offers=[], listed_at=second * US
         )
-        assert bool(abandoned) == (second > 6)  # it may be one that was deleted
+        assert bool(abandoned) == (second > 6)  # until then it may be a deleted one
     unknown_machines.update([_listed("m-1")], known=["m-1"], listed_at=24 * US)
     unknown_machines.update([_listed("m-1")], known=[], listed_at=28 * US)
 
-    assert unknown_machines.abandoned([_listed("m-1")], [], 30 * US) == []  # known meanwhile
+    assert unknown_machines.abandoned([_listed("m-1")], [], 30 * US) == []  # was known in between
 
 
 @simulated
@@ -47,9 +47,8 @@
     loop: Loop,
 ) -> None:
     deployment = await start_with_duties(loop)
-    deployment.cloud.unanswered_rentals = (
-        4  # carried out, and not answered: the list shows them first
-    )
+    # The list shows these machines before their names are recorded
+    deployment.cloud.unanswered_rentals = 4
     await deployment.submit(deployment.job(1, Pieces=4, RunS=30.0))
     await deployment.wait_until(lambda: bool(deployment.cloud.machines))
 
@@ -63,14 +62,14 @@
     unknown_machine = deployment.cloud.machines["m-000900"] = FakeWorker(
         deployment, "m-000900", machine_type, "a", True
     )
-    unknown_machine.task.cancel()  # it never comes up, so nobody hears of it but by the list
+    unknown_machine.task.cancel()  # it never comes up, so only the list shows it
     await deployment.wait_until(lambda: bool(recorded_events(deployment, "adopted")), seconds=60.0)
     await finish_and_check(deployment)
 
 
 @simulated
 async def test_failed_machine_returned_by_two_duties_is_deleted_once(loop: Loop) -> None:
-    """Two holders of different duties touch one machine."""
+    """The holders of two duties act on the same machine."""
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
@@ -83,7 +82,7 @@
     booting = next(m for m in deployment.cloud.machines.values() if not m.up)
     booting.failed = True
     booting.task.cancel()
-    # Its shard leader would wait for it for another 17 s: the list tells sooner.
+    # Its shard leader would wait for another 17 s; the list shows the failure earlier.
     await deployment.wait_until(lambda: booting.name not in deployment.cloud.machines, seconds=14.0)
     assert recorded_events(deployment, "to be returned")
     await deployment.wait_until(lambda: failed.name not in deployment.cloud.machines, seconds=60.0)
