--- a/tests/test_duty_checker.py
+++ b/tests/test_duty_checker.py
@@ -1,4 +1,4 @@
-"""The duty checker finds what it is for, once a safeguard is taken out."""
+"""The duty checker finds a violation for each safeguard that is disabled."""
 
 import asyncio
 from typing import Any
