--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: duties, the exported history, and quiet times."""
+"""The operators' commands `duties` and `audit export`, and quiet times."""
 
 import asyncio
 import os
@@ -37,7 +37,7 @@
 SECOND = 1_000_000
 
 
-# Who holds what
+# The command `duties`
 
 
 @simulated
@@ -62,7 +62,7 @@
     pages = [await client._send_request(one, HistoryRequest("")) for one in addresses]
     assert pages[0] == pages[1] == pages[2]
     deployment.store.down = True
-    for wait_s in (1, 20):  # unanswered at first, then known to be away
+    for wait_s in (1, 20):  # right after the start of the outage, and once it is detected
         await asyncio.sleep(wait_s)
         for address in addresses:
             assert (await client._send_request(address, DutiesRequest())).unknown
@@ -142,11 +142,11 @@
     assert text in capsys.readouterr().err
 
 
-# The history
+# The command `audit export`, and the recorded history
 
 
 def _pages(duty: str, low: int, high: int) -> list[HistoryResponse]:
-    """Pages of ten events each, in the order of their keys in the ring."""
+    """Return pages of ten events each, in the order of their keys in the ring."""
     pages = []
     for number in range(low, high):
         events = [
@@ -198,7 +198,7 @@
     assert len(rows) == 3
     newest = max(rows, key=lambda page: page["number"])
 
-    assert newest["first"] + len(newest["events"]) == 401  # with the taking up
+    assert newest["first"] + len(newest["events"]) == 401  # including the acquisition of the duty
     assert not deployment.duty_checker.violations
 
 
@@ -239,7 +239,7 @@
 def test_quiet_time_follows_the_clock_of_its_time_zone(
     day: tuple[int, int, int], hours: int, tmp_path: Path
 ) -> None:
-    """It lasts from one to five by the wall: an hour less or more when the clock changes."""
+    """It lasts from 01:00 to 05:00 local time, an hour less or more when the clocks change."""
     start = _timestamp_us("Europe/Berlin", *day, 1)
     now = [start - 1]
     calendar = QuietCalendar(_calendar(tmp_path), lambda: now[0])
@@ -306,7 +306,7 @@
     os.utime(path, (2, 2))
     now[0] += 120 * SECOND
 
-    assert calendar.current() is None  # it is nine there
+    assert calendar.current() is None  # it is 9:00 there
 
 
 @simulated
@@ -345,9 +345,9 @@
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
     machine_count = len(deployment.cloud.machines)
-    await asyncio.sleep(200)  # without quiet times they go within 100 s
+    await asyncio.sleep(200)  # without quiet times they are returned within 100 s
     assert len(deployment.cloud.machines) == machine_count
-    # Long before 23:00
+    # The budget ends long before 23:00
     await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=900.0)
 
     deployment.assert_no_violation()
