--- a/tests/test_wire_format.py
+++ b/tests/test_wire_format.py
@@ -1,4 +1,4 @@
-"""Stored records and sent messages keep their encoding, so that versions can run side by side."""
+"""Stored records and messages keep their encoding, so that two versions can run side by side."""
 
 import msgspec
 import pytest
