--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,7 +1,7 @@
 """Packages import only lower layers, and there are no circular imports.
 
 Only imports that run when a module is loaded are checked. An import inside a function is deliberate
-(of libraries that few deployments need), and a comment beside it gives the reason.
+(for libraries that few deployments need), and a comment next to it gives the reason.
 """
 
 import ast
@@ -28,7 +28,7 @@
 )
 LAYER_OF = {name: number for number, names in enumerate(LAYERS) for name in names}
 ONLY_ERRORS = {"core", "errors"}  # the only packages that core may import
-# Packages that must not depend on the names on the wire.
+# Packages that must not depend on the messages in `wire`.
 WITHOUT_WIRE = {"core", "net", "runtime", "config", "errors"}
 
 
