--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The build step: the bytecode under target/ that keeps the start of a controller short."""
+"""The build step: it precompiles bytecode under target/, so that controllers start faster."""
 
 import os
 import shutil
@@ -10,7 +10,7 @@
 
 
 def test_precompile_writes_byte_code_although_the_environment_disables_it(tmp_path: Path) -> None:
-    """Otherwise every start compiles the modules of the standard library again."""
+    """Otherwise every start would compile the modules of the standard library again."""
     shutil.copy(ROOT / "run.py", tmp_path)
     shutil.copytree(ROOT / "basaltlead", tmp_path / "basaltlead")
     env = os.environ | {"PYTHONDONTWRITEBYTECODE": "1"}
