--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: tests that are listed there may fail, and no others."""
+"""Only the tests that KNOWN-RED.txt lists may fail."""
 
 import subprocess
 import sys
