--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,7 @@
-"""Names of code in the documents exist: files, packages, classes, members, constants, tests.
+"""Names of code in the documents exist: files, packages, classes, members, constants and tests.
 
-Checked are names in backticks, and the tests that the code names as proof of a safety argument.
-Protocol names count as known where `wire/` uses them, and keys of records where `storage/` does.
+The checked names are those in backticks, and the tests that comments in the code refer to. Names of
+message fields are known if `wire/` defines them, and keys of records if `storage/` uses them.
 """
 
 import ast
@@ -26,14 +26,14 @@
 CLASS = re.compile(r"[A-Z][a-z]+[A-Z]\w*")
 CONSTANT = re.compile(r"[A-Z]+_[A-Z_]+")
 TEST = re.compile(r"test_\w+")
-# Files that operators, the platform or the build write, and that need not stand here.
+# Files that operators, the platform or the build write, and that need not be in the repository.
 THEIR_FILES = {"settings.toml", "operator.yaml", "target/"}
-# Names of other programs and protocols.
+# Names that belong to other programs and protocols.
 FOREIGN = {"CLOCK_MONOTONIC", "CLOCK_BOOTTIME", "PyYAML"}
 
 
 class _Code:
-    """What the sources define."""
+    """The names that the sources define."""
 
     def __init__(self) -> None:
         package = [path for path in SOURCES if path.is_relative_to(ROOT / "basaltlead")]
@@ -61,7 +61,7 @@
 
 
 def _names_of(node: ast.stmt) -> set[str]:
-    """The names that a statement of a module or class body defines."""
+    """Return the names that a statement of a module or class body defines."""
     if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
         return {node.name}
     if isinstance(node, ast.AnnAssign):
@@ -84,7 +84,7 @@
 
 
 def _field_names(*modules: ModuleType) -> set[str]:
-    """The names of struct fields as they are sent, stored or written in settings files."""
+    """Return the names of struct fields as they are sent, stored or written in settings files."""
     return {
         field.encode_name
         for module in modules
@@ -100,7 +100,7 @@
 
 
 def _quoted(path: Path) -> list[str]:
-    """The names in backticks, but those in code blocks and the glossary's old names."""
+    """Return the names in backticks, except in code blocks and the glossary's old-name columns."""
     text = re.sub(r"^```.*?^```$", "", path.read_text(), flags=re.MULTILINE | re.DOTALL)
     if path.name == "glossary.md":
         text = re.sub(r"^((?:\|[^|\n]*){3})\|[^|\n]*\|[^|\n]*\|$", r"\1|", text, flags=re.MULTILINE)
@@ -113,7 +113,7 @@
 
 
 def _fault(name: str) -> str:
-    """What is wrong with a name; empty if it exists, or is no name of code."""
+    """Return what is wrong with a name; empty if it exists, or is not a name of code."""
     if name in FOREIGN:
         return ""
     if FILE.fullmatch(name):
@@ -136,7 +136,7 @@
     return ""
 
 
-# Tells of the sources as they were when something was measured.
+# This page refers to the sources as they were at the time of each measurement.
 HISTORY = ROOT / "docs" / "measurements.md"
 
 
