--- a/tests/test_runbook.py
+++ b/tests/test_runbook.py
@@ -1,6 +1,6 @@
-"""docs/operations.md explains each line that is logged at the levels info and error, and no others.
+"""docs/operations.md explains each line logged at the levels info and error, and no other lines.
 
-Lines are compared as templates: what varies in them is written as an ellipsis.
+Lines are compared as templates, with an ellipsis in place of each value.
 """
 
 import ast
@@ -9,14 +9,14 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 RUNBOOK = ROOT / "docs" / "operations.md"
-# `_log` is what a shard is given to log with: the level info.
+# `_log` is the log function that is passed to a shard. It logs at the level info.
 LEVELS = {"info": "I", "error": "E", "exception": "E", "_log": "I"}
 PLACEHOLDER = re.compile(r"%[-+#0]*\d*(?:\.\d+)?[sdfr]")
 VARIES = "…"
 
 
 def _template(argument: ast.expr) -> str:
-    """A log call's first argument, with an ellipsis for each part that varies."""
+    """Return a log call's first argument, with an ellipsis in place of each value."""
     if isinstance(argument, ast.JoinedStr):
         parts = [
             part.value if isinstance(part, ast.Constant) else VARIES for part in argument.values
@@ -28,7 +28,7 @@
 
 
 def _logged() -> set[tuple[str, str]]:
-    """Level and template of each line; those without any words of their own are left out."""
+    """Return the level and the template of each logged line, except templates without any words."""
     found = set()
     for path in sorted((ROOT / "basaltlead").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
