--- a/tests/test_wire_terms.py
+++ b/tests/test_wire_terms.py
@@ -1,4 +1,4 @@
-"""The tables of message fields in docs/glossary.md are complete: terms and names on the wire."""
+"""The message tables in docs/glossary.md are complete: names in the code and on the wire."""
 
 import importlib
 import inspect
@@ -17,14 +17,14 @@
 
 
 class MessageTerms(NamedTuple):
-    """A message's tag, if it has one, and its fields: the name in the code and that on the wire."""
+    """A message's tag, if it has one, and its fields: name in the code, name on the wire."""
 
     tag: str
     fields: dict[str, str]
 
 
 def _documented(interface: str) -> dict[str, MessageTerms]:
-    """The rows of the table that stands under an interface's own heading."""
+    """Return the rows of the table under an interface's heading."""
     section = GLOSSARY.read_text().partition(HEADING)[2]
     table = section.partition(f"### `wire/{interface}.py`")[2].partition("\n##")[0]
     rows = re.findall(r"^\| `(\w+)` \| (?:`([\w-]+)`)? ?\| (.*) \|$", table, re.MULTILINE)
@@ -35,7 +35,7 @@
 
 
 def _defined(interface: str) -> dict[str, MessageTerms]:
-    """The messages that an interface's module defines."""
+    """Return the messages that an interface's module defines."""
     module = importlib.import_module(f"basaltlead.wire.{interface}")
     return {
         name: MessageTerms(
