--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -48,18 +48,18 @@
     await deployment.submit(deployment.job(1, Cores=8.0))
     await asyncio.sleep(15)
     addresses = [f"{deployment.host(name)}:8081" for name in deployment.nodes]
-    answers = [await client._send_request(one, DutiesRequest()) for one in addresses]
-    assert answers[0] == answers[1] == answers[2]
-    answer = answers[0]
-    assert isinstance(answer, DutiesResponse)
-    assert answer.granted
-    assert not answer.unknown
-    assert {one.duty: one.holder for one in answer.duties} == {
+    responses = [await client._send_request(item, DutiesRequest()) for item in addresses]
+    assert responses[0] == responses[1] == responses[2]
+    response = responses[0]
+    assert isinstance(response, DutiesResponse)
+    assert response.granted
+    assert not response.unknown
+    assert {item.duty: item.holder for item in response.duties} == {
         d: deployment.holder(d) for d in Duty
     }
-    assert answer.open_count == len(answer.intents) > 0
-    assert all("400" in one.refused for one in answer.intents)
-    pages = [await client._send_request(one, HistoryRequest("")) for one in addresses]
+    assert response.open_count == len(response.intents) > 0
+    assert all("400" in item.refused for item in response.intents)
+    pages = [await client._send_request(item, HistoryRequest("")) for item in addresses]
     assert pages[0] == pages[1] == pages[2]
     deployment.store.down = True
     for wait_s in (1, 20):  # right after the start of the outage, and once it is detected
@@ -80,30 +80,30 @@
     return str(path)
 
 
-def _stub_response(answer: Any, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    asked: list[str] = []
+def _stub_response(response: Any, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    called_addresses: list[str] = []
 
     async def respond(address: str, request: Any) -> Any:
-        asked.append(address)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        called_addresses.append(address)
+        if isinstance(response, Exception):
+            raise response
+        return response
 
     monkeypatch.setattr(client, "_send_request", respond)
-    return asked
+    return called_addresses
 
 
 def test_the_command_shows_holders_and_open_intents(
     config: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    answer = DutiesResponse(
+    response = DutiesResponse(
         "",
         True,
         [HeldDuty("rent", "node-2", 7, 5 * SECOND), HeldDuty("return", "", 0, 0)],
         [OpenIntent("rent", "h-1-1", 3, 5 * SECOND, "cloud: 400")],
         1,
     )
-    asked = _stub_response(answer, monkeypatch)
+    called_addresses = _stub_response(response, monkeypatch)
     assert cli.main(["duties", "--config", config]) == 0
     output = capsys.readouterr().out
 
@@ -112,12 +112,12 @@
     assert "open intents: 1" in output
     assert "refused: cloud: 400" in output
     assert cli.main(["duties", "--json", "--controller", "node-1", "--config", config]) == 0
-    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesResponse) == answer
-    assert asked == ["10.0.0.1:8081", "10.0.0.2:8081"]
+    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesResponse) == response
+    assert called_addresses == ["10.0.0.1:8081", "10.0.0.2:8081"]
 
 
 @pytest.mark.parametrize(
-    ("answer", "arguments", "status", "text"),
+    ("response", "arguments", "status", "text"),
     [
         (OSError(111, "Connection refused"), [], 3, "10.0.0.1:8081: Connection refused"),
         (TimeoutError(), [], 3, "no answer within 5 s"),
@@ -129,7 +129,7 @@
     ids=["refused", "timeout", "closed", "unknown", "no such controller", "no such file"],
 )
 def test_errors_have_a_text_and_an_exit_status(
-    answer: Any,
+    response: Any,
     arguments: list[str],
     status: int,
     text: str,
@@ -137,7 +137,7 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    _stub_response(answer, monkeypatch)
+    _stub_response(response, monkeypatch)
     assert cli.main(["duties", "--config", config, *arguments]) == status
     assert text in capsys.readouterr().err
 
@@ -313,8 +313,8 @@
 async def test_quiet_budget_holds_across_failovers(loop: Loop) -> None:
     stored: list[StoredQuietReservation] = []
 
-    async def reserve(one: StoredQuietReservation) -> bool:
-        stored.append(one)
+    async def reserve(reservation: StoredQuietReservation) -> bool:
+        stored.append(reservation)
         return True
 
     spent, now = 0.0, 0
