--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -85,9 +85,7 @@
         self.rng = rng
         self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
         self.ports_in_use: set[tuple[str, int]] = set()  # ports that another process listens on
-        self.refusing_addresses: set[tuple[str, int]] = (
-            set()
-        )  # refuse connections, as a packet filter does
+        self.refusing_addresses: set[tuple[str, int]] = set()  # by a packet filter
         self.cut_links: set[frozenset[str]] = set()
         # What was sent over cut links, by link
         self.held_back: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
@@ -103,7 +101,7 @@
         self.cut_links.add(frozenset((a, b)))
 
     def heal(self, a: str, b: str, deliver: bool = True) -> None:
-        """Restore a cut link. What was held back is delivered now, or its connections are reset."""
+        """Restore a cut link. Data that was held back is delivered, or its connection is reset."""
         link = frozenset((a, b))
         self.cut_links.discard(link)
         for transport, data in self.held_back.pop(link, []):
@@ -134,7 +132,7 @@
         self.loop.call_at(at, self._deliver_on_host, transport, data)
 
     def _deliver_on_host(self, transport: Transport, data: bytes | None) -> None:
-        """Process the data in the receiver's context: later, if the receiving host is frozen."""
+        """Process the data in the receiver's context, and later if the receiving host is frozen."""
         context = contextvars.copy_context()
         context.run(HOST.set, transport.remote_host)
         context.run(PEER.set, transport.local_host)
@@ -195,7 +193,7 @@
 class _HostCallback:
     """A callback that is delayed while its host is frozen.
 
-    It does not run if it is cancelled before its turn
+    It does not run if it is cancelled in the meantime
     (test_timeout_that_fell_due_on_a_frozen_host_does_not_fire_once_it_is_over).
     """
 
@@ -226,6 +224,7 @@
         # Errors of the wall clock and of the monotonic clock, by host
         self.wall_clock_offset_s: dict[str, float] = {}
         self.steady_clock_offset_s: dict[str, float] = {}
+        # The delayed callbacks of each frozen host
         self.frozen: dict[str, list[tuple[_HostCallback, Any, contextvars.Context]]] = {}
 
     def time(self) -> float:
