--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of what several test files start from: jobs, machines, and a shard of its own."""
+"""Builders that several test files share: jobs, machines, task statuses, and a shard to drive."""
 
 from basaltlead.core.entities import Attempt, JobState, Machine
 from basaltlead.core.jobs import US, Job, MachineType, Shape
@@ -13,12 +13,12 @@
 
 
 def job_refs(first: int, last: int) -> list[str]:
-    """The references of the jobs with these numbers, both included."""
+    """Return the references of the jobs from number `first` to number `last`, inclusive."""
     return [f"req-{number:06d}" for number in range(first, last + 1)]
 
 
 def make_job(number: int = 1, **fields: object) -> Job:
-    """A job of one small task of team red; `fields` replace its values."""
+    """Return a job of team red with one small task; `fields` override its values."""
     values: dict[str, object] = {
         "ref": f"req-{number:06d}",
         "job_class": "reports",
@@ -44,22 +44,25 @@
     return Job(**(values | fields))  # type: ignore[arg-type]
 
 
-class Story:
-    """A shard with fencing token 7, granted at revision 100, and one synced machine, m-0."""
+class ShardHarness:
+    """A shard that a test drives by heartbeats and jobs, without a shard leader.
 
-    def __init__(self, machines: int = 1, limits: dict[str, TeamQuota] | None = None) -> None:
+    Its fencing token is 7, granted at revision 100. It starts with synced machines m-0, m-1, ...
+    """
+
+    def __init__(self, machines: int = 1, quotas: dict[str, TeamQuota] | None = None) -> None:
         self.now = 1000 * US
         self.logged: list[str] = []
         self.shard = Shard(
-            7, 100, self.now, TIMING, limits or {"red": TeamQuota()}, self.logged.append
+            7, 100, self.now, TIMING, quotas or {"red": TeamQuota()}, self.logged.append
         )
-        self.ticks: dict[str, int] = {}
+        self.sequences: dict[str, int] = {}
         for number in range(machines):
             self.add(f"m-{number}")
             self.heartbeat(f"m-{number}")
 
     def add(self, name: str, zone: str = "a", loaded: bool = False) -> Machine:
-        """Add a recorded machine, or one `loaded` from an earlier shard leader's records."""
+        """Add a new, recorded machine, or one `loaded` from the records of an earlier leader."""
         machine = Machine(name, MACHINE_TYPE, zone, False, self.now)
         if loaded:
             self.shard.load_machine(machine)
@@ -74,35 +77,36 @@
         *tasks: TaskStatus,
         fencing_token: int = 7,
         epoch: int = 1,
-        tick: int | None = None,
+        sequence: int | None = None,
     ) -> Heartbeat:
-        """A heartbeat of a machine, by default the next one in sequence."""
-        if tick is None:
-            tick = self.ticks[name] = self.ticks.get(name, 0) + 1
+        """Return a heartbeat of a machine, by default the next one in sequence."""
+        if sequence is None:
+            sequence = self.sequences[name] = self.sequences.get(name, 0) + 1
         return Heartbeat(
-            name, "10.1.0.1:9", "k", "a", False, epoch, tick, fencing_token, list(tasks)
+            name, "10.1.0.1:9", "k", "a", False, epoch, sequence, fencing_token, list(tasks)
         )
 
     def heartbeat(
         self, name: str, *tasks: TaskStatus, **fields: int
     ) -> list[tuple[str, str]] | None:
-        """Send a heartbeat; the commands in its answer as (verb, task), None if it is ignored."""
+        """Send a heartbeat; return the commands in the response as (verb, task) pairs, or None if
+        it is ignored."""
         commands = self.shard.heartbeat(self.make_heartbeat(name, *tasks, **fields), self.now)
         return None if commands is None else [(w.verb, f"{w.ref}/{w.index}") for w in commands]
 
     def submit(self, number: int = 1, version: int = 200, **fields: object) -> JobState:
-        """Accept a job at a version of the store, and plan."""
+        """Accept a job that was stored at this version, and plan."""
         job_state = self.shard.add_job(make_job(number, **fields), version, self.now)
         plan(self.shard, self.now)
         return job_state
 
     def attempt(self, job_state: JobState, index: int = 0) -> Attempt:
-        """The live attempt of one task of a job."""
+        """Return the live attempt of one task of a job."""
         return job_state.live[index]
 
 
 def task_status(attempt: Attempt, stage: str, why: str | None = None) -> TaskStatus:
-    """What a worker reports about an attempt: its stage and, if it ended, why."""
+    """Return a worker's report about an attempt: its stage and, if it has ended, the reason."""
     return TaskStatus(
         f"{attempt.job_state.job.ref}/{attempt.index}", attempt.attempt_number, stage, why
     )
--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol, checked from outside."""
+"""Checks the rules of the protocols, as seen from outside the controllers."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -9,10 +9,13 @@
 
 
 class RuleChecker:
-    """Watches the rules from outside: by what workers, users and the cloud see."""
+    """Records a violation for each rule that is broken, by what workers, users and the cloud see.
 
-    ANSWER_WITHIN_S = 75.0  # s without an answered question, once all faults have ended
-    START_WITHIN_S = 90.0  # s beside room on a machine that fits
+    The two time limits hold once all faults have ended.
+    """
+
+    ANSWER_WITHIN_S = 75.0  # in which at least one request about a job must be answered
+    START_WITHIN_S = 90.0  # in which a job must start while a suitable machine has room for it
     FIELDS = (
         "Ref",
         "Lane",
@@ -35,25 +38,26 @@
 
     def __init__(self, deployment: "Deployment") -> None:
         self.deployment = deployment
-        self.faults_over_at: float | None = None  # since when there is no fault any more
-        self.answered_at: dict[str, float] = {}
-        self.waiting_since: dict[str, float] = {}  # since when a job waits beside room
+        self.faults_over_at: float | None = None  # when all faults ended
+        self.answered_at: dict[str, float] = {}  # when users last got a response, by job
+        self.waiting_since: dict[str, float] = {}  # since when a job waits while there is room
         self.checked_at = 0.0
-        self.started_cancelled: list[tuple[str, float]] = []  # and how long after the user knew
-        self.running_on: dict[str, FakeWorker] = {}
-        self.results: set[str] = set()
-        self.last_stage: dict[str, str] = {}
-        self.cancelled_at: dict[str, float] = {}
+        # Tasks that started after their job was cancelled, and how long after the user was told
+        self.started_after_cancel: list[tuple[str, float]] = []
+        self.running_on: dict[str, FakeWorker] = {}  # by task
+        self.results: set[str] = set()  # tasks that have completed
+        self.last_stage: dict[str, str] = {}  # the last stage that users were told, by job
+        self.cancelled_at: dict[str, float] = {}  # when users were told that a job is cancelled
         self.starts = 0
         self.started: list[str] = []
         self.violations: list[str] = []
 
     def add_violation(self, text: str) -> None:
-        """Note that a rule was violated."""
+        """Record a violation."""
         self.violations.append(f"{self.deployment.loop.time():.2f} {text}")
 
-    def task_started(self, task: str, worker: FakeWorker, token: int) -> None:
-        """A worker starts to run a task."""
+    def task_started(self, task: str, worker: FakeWorker, attempt_number: int) -> None:
+        """Check the start of a task on a worker."""
         self.starts += 1
         self.started.append(task)
         ref = task.partition("/")[0]
@@ -62,18 +66,18 @@
             self.add_violation(f"ran_twice {task}: {self.running_on[task].name} and {worker.name}")
         self.running_on[task] = worker
         self._check_placement(ref, job, worker)
-        team = [
+        team_tasks = [
             t
             for t in self.running_on
             if self.deployment.jobs[t.partition("/")[0]]["Crew"] == job["Crew"]
         ]
-        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team)
-        most = self.deployment.limits.get(job["Crew"], 0)
-        if most and used > most + 1e-9:
+        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team_tasks)
+        cpus_max = self.deployment.team_cpus_max.get(job["Crew"], 0)
+        if cpus_max and used > cpus_max + 1e-9:
             self.add_violation(f"quota {job['Crew']}: {used}")
         if ref in self.cancelled_at:
-            late = self.deployment.loop.time() - self.cancelled_at[ref]
-            self.started_cancelled.append((task, late))
+            delay_s = self.deployment.loop.time() - self.cancelled_at[ref]
+            self.started_after_cancel.append((task, delay_s))
             self._check_cancelled(task)
 
     def _check_placement(self, ref: str, job: dict[str, Any], worker: FakeWorker) -> None:
@@ -94,21 +98,21 @@
         if self.deployment.loop.time() > self.cancelled_at[ref] + self.deployment.cancel_s:
             self.add_violation(f"ran_cancelled {task}")
 
-    def task_left(self, task: str, worker: FakeWorker) -> None:
-        """A task runs no more on a worker."""
+    def task_stopped(self, task: str, worker: FakeWorker) -> None:
+        """Record that a task no longer runs on a worker."""
         if self.running_on.get(task) is worker:
             del self.running_on[task]
 
     def starts_of(self, ref: str) -> int:
-        """How often tasks of a job were started."""
+        """Return how often tasks of a job were started."""
         return sum(task.partition("/")[0] == ref for task in self.started)
 
     def task_completed(self, task: str) -> None:
-        """A task has ended with a result."""
+        """Record that a task has ended with a result."""
         self.results.add(task)
 
     def check(self) -> None:
-        """Check the rules that depend on time; tests call it often."""
+        """Check the rules that depend on time. Tests must call this often."""
         for task in self.running_on:
             if task.partition("/")[0] in self.cancelled_at:
                 self._check_cancelled(task)
@@ -118,16 +122,17 @@
             self._check_waiting_jobs(now)
 
     def all_faults_over(self) -> None:
-        """All faults have ended."""
+        """Start to check the time limits, since all faults have ended."""
         self.faults_over_at = self.deployment.loop.time()
         self.waiting_since.clear()
 
     def _check_waiting_jobs(self, now: float) -> None:
-        """No job waits for long while a machine that fits has room and its team may use it."""
+        """Check that no job waits longer than START_WITHIN_S while its team's quota permits a start
+        and a suitable machine has room."""
         jobs = self.deployment.jobs
         running = {task.partition("/")[0] for task in self.running_on}
         for ref, stage in self.last_stage.items():
-            waits = (
+            is_waiting = (
                 stage not in ("done", "withdrawn")
                 and ref not in running
                 and not self.deployment.cancel_requested.get(ref)
@@ -135,34 +140,34 @@
                 and jobs[ref]["Shape"] != "group"
                 and self._has_room(jobs[ref])
             )
-            if not waits:
+            if not is_waiting:
                 self.waiting_since.pop(ref, None)
             elif now - self.waiting_since.setdefault(ref, now) > self.START_WITHIN_S:
                 self.add_violation(f"waited {ref}")
                 self.waiting_since[ref] = now
 
     def _has_room(self, job: dict[str, Any]) -> bool:
-        most = self.deployment.limits.get(job["Crew"], 0)
-        team = [
+        cpus_max = self.deployment.team_cpus_max.get(job["Crew"], 0)
+        team_tasks = [
             t
             for t in self.running_on
             if self.deployment.jobs[t.partition("/")[0]]["Crew"] == job["Crew"]
         ]
-        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team)
-        if most and used + job["Cores"] > most + 1e-9:
+        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in team_tasks)
+        if cpus_max and used + job["Cores"] > cpus_max + 1e-9:
             return False
         return any(
             worker.up and worker.preemption_at is None and worker.has_room_for(job)
             for worker in self.deployment.cloud.machines.values()
         )
 
-    def _may_run(self, job: dict[str, Any]) -> bool:
-        """Lacks it no field, and can it run at all?"""
+    def _is_valid(self, job: dict[str, Any]) -> bool:
+        """Whether a job has all fields and fits its team's quota and a machine type."""
         if any(job.get(field) is None for field in self.FIELDS):
             return False
-        most = self.deployment.limits.get(job["Crew"], 0)
+        cpus_max = self.deployment.team_cpus_max.get(job["Crew"], 0)
         count = 1 if job["Shape"] == "batch" else job["Pieces"]
-        return (not most or job["Cores"] * count <= most + 1e-9) and any(
+        return (not cpus_max or job["Cores"] * count <= cpus_max + 1e-9) and any(
             job["Cores"] <= machine_type["Cores"]
             and job["Gpus"] <= machine_type["Gpus"]
             and job["MemoryGb"] <= machine_type["MemoryGb"]
@@ -172,29 +177,33 @@
         )
 
     def user_answered(
-        self, ref: str, verb: str, status: int, body: dict[str, Any], before: str | None
+        self, ref: str, verb: str, status: int, body: dict[str, Any], known_stage: str | None
     ) -> None:
-        """Something was told to a user, who knew `before` when asking: of two questions asked
-        at the same time either answer may come first."""
-        if status == 404 and before is not None:
+        """Check the response to a user's request.
+
+        `known_stage` is the stage that the user knew when sending the request. A job must not go
+        back from that stage. `last_stage` may be later, since the responses to concurrent requests
+        arrive in any order.
+        """
+        if status == 404 and known_stage is not None:
             self.add_violation(f"forgotten {ref}")
-        if status in (400, 422) and before is not None:
+        if status in (400, 422) and known_stage is not None:
             self.add_violation(f"forgotten {ref}: {status}")
         now = self.deployment.loop.time()
         if status not in (200, 201):
-            known = max(self.faults_over_at or now, self.answered_at.get(ref, 0.0))
-            if before is not None and now - known > self.ANSWER_WITHIN_S:
+            answer_due_from = max(self.faults_over_at or now, self.answered_at.get(ref, 0.0))
+            if known_stage is not None and now - answer_due_from > self.ANSWER_WITHIN_S:
                 self.add_violation(f"forgotten {ref}: no answer")
             return
         self.answered_at[ref] = now
         if ref not in self.deployment.jobs:
             self.add_violation(f"invented {ref}")
             return
-        if verb == "submit" and not self._may_run(self.deployment.jobs[ref]):
+        if verb == "submit" and not self._is_valid(self.deployment.jobs[ref]):
             self.add_violation(f"bad job accepted {ref}")
         stage = body["Stage"]
-        if before in ("done", "withdrawn") and stage != before:
-            self.add_violation(f"went_back {ref}: {before}, then {stage}")
+        if known_stage in ("done", "withdrawn") and stage != known_stage:
+            self.add_violation(f"went_back {ref}: {known_stage}, then {stage}")
         if self.last_stage.get(ref) not in ("done", "withdrawn"):
             self.last_stage[ref] = stage
         elif stage in ("done", "withdrawn") and stage != self.last_stage[ref]:
--- a/tests/fakes/store.py
+++ b/tests/fakes/store.py
@@ -1,4 +1,4 @@
-"""A fake of the key-value store, by its protocol."""
+"""A fake of the key-value store: serves its protocol from memory."""
 
 import asyncio
 import json
@@ -14,7 +14,11 @@
 
 
 class FakeKeyValueStore:
-    """Keys, leases and watches; can refuse everybody or single hosts, and lose its answers."""
+    """Keys, leases and watches, with injected faults.
+
+    It can refuse all hosts or some, delay writes and lose their responses, and limit the rate and
+    size of writes.
+    """
 
     HOST = "10.2.0.1"
     ADDRESS = "10.2.0.1:2379"
@@ -22,31 +26,33 @@
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.revision = 0
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
-        self.log: list[dict[str, Any]] = []
-        self.leases: dict[int, tuple[float, float]] = {}
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}  # value, version, lease
+        self.change_log: list[dict[str, Any]] = []
+        self.leases: dict[int, tuple[float, float]] = {}  # when it expires, and its TTL, in s
         self.next_lease = 0
         self.down = False
-        self.refused_hosts: set[str] = set()  # hosts that alone get 503, as in an outage
-        self.late_write_share = 0.0  # that share is not answered, and carried out 2 to 12 s later
-        self.late_by_s = (2.0, 12.0)
-        self.late_key_prefix = ""  # of which only those that change a key with this prefix
+        self.refused_hosts: set[str] = set()  # only these hosts get 503, as in an outage
+        # This share of the transactions is applied with a delay, and their responses are lost;
+        # only transactions that change a key with the prefix are affected.
+        self.late_write_share = 0.0
+        self.late_by_s = (2.0, 12.0)  # minimum and maximum of the delay
+        self.late_key_prefix = ""
         self.corrupt_reply: Callable[[Response], Response] | None = None
         self.on_accept: Callable[[list[dict[str, Any]]], None] = lambda changes: None
-        self.event = asyncio.Event()
-        self.writes = 0
+        self.keys_changed = asyncio.Event()
+        self.writes = 0  # changes applied
         self.requests = 0
-        self.value_bytes = 8 * 1024
-        self.operations = 8  # puts and deletes in one transaction
-        self.oversized: list[str] = []  # what was refused for its size
-        self.write_rps: float | None = None  # changes a second; None: any number
-        self.write_burst_at = 0.0  # when its burst would be full again
-        self.refused_writes = 0  # how many transactions were answered with 429
-        self.slowness = 1.0  # how many times as long as usual its answers take
+        self.value_bytes = 8 * 1024  # maximum size of a value
+        self.max_operations = 8  # puts and deletes in one transaction
+        self.oversized: list[str] = []  # transactions refused because they exceeded a size limit
+        self.write_rps: float | None = None  # changes per second; None for no limit
+        self.write_burst_restored_at = 0.0  # when the whole burst is available again
+        self.refused_writes = 0  # transactions answered with 429
+        self.latency_factor = 1.0  # multiplies the usual latency
         self.rng = random.Random(1)
 
     async def start(self) -> None:
-        """Listen, and let leases expire."""
+        """Start the server and the expiry of leases."""
         server = Server(self.handle, 1000)
         await server.start(self.ADDRESS)
         self.loop.create_task(self._expire())
@@ -62,46 +68,46 @@
 
     def _end_lease(self, lease: int) -> None:
         self.leases.pop(lease, None)
-        gone = [key for key, (_, _, on) in self.keys.items() if on == lease]
-        if gone:
+        expired = [key for key, (_, _, key_lease) in self.keys.items() if key_lease == lease]
+        if expired:
             self.revision += 1
-            for key in gone:
+            for key in expired:
                 del self.keys[key]
-                self.log.append({"Drop": key, "Stamp": self.revision})
+                self.change_log.append({"Drop": key, "Stamp": self.revision})
             self._notify_watches()
 
     def _notify_watches(self) -> None:
-        self.event.set()
-        self.event = asyncio.Event()
+        self.keys_changed.set()
+        self.keys_changed = asyncio.Event()
 
     def is_unavailable_to(self, host: str) -> bool:
-        """Is there an outage, for all or for this one alone?"""
+        """Whether the store is down for all hosts or refuses this one."""
         return self.down or host in self.refused_hosts
 
     def _is_late(self, body: dict[str, Any]) -> bool:
         keys = [key_of(change) for change in body.get("Apply", [])]
-        named = any(key.startswith(self.late_key_prefix) for key in keys)
-        return named and self.rng.random() < self.late_write_share
+        matches = any(key.startswith(self.late_key_prefix) for key in keys)
+        return matches and self.rng.random() < self.late_write_share
 
     def end_outage(self) -> None:
-        """The outage ends; all leases start anew."""
+        """End the outage; all leases restart with their full TTL."""
         self.down = False
         now = self.loop.time()
         self.leases = {lease: (now + ttl, ttl) for lease, (_, ttl) in self.leases.items()}
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request, or corrupt the answer if a test asks for it."""
-        answer = await self._answer(request)
-        return answer if self.corrupt_reply is None else self.corrupt_reply(answer)
+        """Handle a request; the response is corrupted if a test has set `corrupt_reply`."""
+        response = await self._handle(request)
+        return response if self.corrupt_reply is None else self.corrupt_reply(response)
 
-    async def _answer(self, request: Request) -> Response:
-        rare = 0.2 if self.rng.random() < 0.01 else 0.002
-        await asyncio.sleep((rare if self.slowness > 1 else 0.002) * self.slowness)
+    async def _handle(self, request: Request) -> Response:
+        latency_s = 0.2 if self.rng.random() < 0.01 else 0.002
+        await asyncio.sleep((latency_s if self.latency_factor > 1 else 0.002) * self.latency_factor)
         query = {k: v[0] for k, v in parse_qs(request.query).items()}
         path = request.path
         self.requests += 1
         if path == "/changes":
-            return await self._changes(query, PEER.get())
+            return await self._watch(query, PEER.get())
         if self.is_unavailable_to(PEER.get()):
             return reply(503, {"error": "trouble"})
         body = json.loads(request.body) if request.body else {}
@@ -115,9 +121,9 @@
         if path == "/multi":
             if self._is_late(body):
                 await asyncio.sleep(self.rng.uniform(*self.late_by_s))
-                self._multi(body)
-                await asyncio.sleep(60)  # nobody waits for an answer any more
-            return self._multi(body)
+                self._transact(body)
+                await asyncio.sleep(60)  # past the client's timeout
+            return self._transact(body)
         if path == "/holds":
             self.next_lease += 1
             ttl = body["TtlMs"] / 1000
@@ -131,38 +137,41 @@
         return reply(200, {})
 
     def _list(self, query: dict[str, str]) -> Response:
-        most = int(query.get("Most", "1000"))
+        limit = int(query.get("Most", "1000"))
         names = sorted(
             k for k in self.keys if k.startswith(query["Starts"]) and k > query.get("Since", "")
         )
-        rows = [{"Path": k, "V": self.keys[k][0], "Stamp": self.keys[k][1]} for k in names[:most]]
-        return reply(200, {"Rows": rows, "HasNext": len(names) > most, "Ledger": self.revision})
+        rows = [{"Path": k, "V": self.keys[k][0], "Stamp": self.keys[k][1]} for k in names[:limit]]
+        return reply(200, {"Rows": rows, "HasNext": len(names) > limit, "Ledger": self.revision})
 
     def _within_rate(self, changes: int) -> bool:
-        """Above the rate, with a burst of a second's worth, changes are refused."""
+        """Whether so many changes are within `write_rps`, with a burst of one second's changes."""
         if self.write_rps is None:
             return True
-        full_at = max(self.write_burst_at, self.loop.time()) + changes / self.write_rps
-        if full_at - self.loop.time() > 1.0:
+        restored_at = max(self.write_burst_restored_at, self.loop.time()) + changes / self.write_rps
+        if restored_at - self.loop.time() > 1.0:
             return False
-        self.write_burst_at = full_at
+        self.write_burst_restored_at = restored_at
         return True
 
-    def _excess(self, body: dict[str, Any]) -> str:
-        """Which limit a transaction breaks."""
+    def _exceeded_limit(self, body: dict[str, Any]) -> str:
+        """Return the size limit that a transaction exceeds, or an empty string."""
         changes = body.get("Apply", [])
         values = [json.dumps(c["V"], separators=(",", ":")) for c in changes if "Put" in c]
         if max(map(len, values), default=0) > self.value_bytes:
             return f"value of {max(map(len, values))} bytes: {[c.get('Put') for c in changes]}"
-        if len(changes) > self.operations or len(body.get("Guards", [])) > 4 * self.operations:
+        if (
+            len(changes) > self.max_operations
+            or len(body.get("Guards", [])) > 4 * self.max_operations
+        ):
             return f"{len(changes)} changes, {len(body.get('Guards', []))} guards"
         return "over 64 KiB" if len(json.dumps(body)) > 64 * 1024 else ""
 
-    def _multi(self, body: dict[str, Any]) -> Response:
+    def _transact(self, body: dict[str, Any]) -> Response:
         if not self._within_rate(len(body.get("Apply", []))):
             self.refused_writes += 1
             return reply(429, {"error": "too many"})
-        excess = self._excess(body)
+        excess = self._exceeded_limit(body)
         if excess:
             self.oversized.append(excess)
             return reply(400, {"error": excess})
@@ -186,28 +195,30 @@
             if "Put" in change:
                 entry = (change["V"], self.revision, change.get("Permit"))
                 self.keys[change["Put"]] = entry
-                self.log.append({"Put": change["Put"], "V": change["V"], "Stamp": self.revision})
+                self.change_log.append(
+                    {"Put": change["Put"], "V": change["V"], "Stamp": self.revision}
+                )
             elif self.keys.pop(change["Drop"], None) is not None:
-                self.log.append({"Drop": change["Drop"], "Stamp": self.revision})
+                self.change_log.append({"Drop": change["Drop"], "Stamp": self.revision})
         self._notify_watches()
         return reply(200, {"Ledger": self.revision})
 
-    async def _changes(self, query: dict[str, str], host: str) -> Response:
-        end = self.loop.time() + int(query.get("HoldMs", "0")) / 1000
+    async def _watch(self, query: dict[str, str], host: str) -> Response:
+        deadline = self.loop.time() + int(query.get("HoldMs", "0")) / 1000
         since = int(query["Since"])
         if self.is_unavailable_to(host):
             return reply(503, {"error": "trouble"})
         while True:
             if not self.is_unavailable_to(host):
-                log = [
+                change_log = [
                     change
-                    for change in self.log
+                    for change in self.change_log
                     if change["Stamp"] > since and key_of(change).startswith(query["Starts"])
                 ]
-                if log or self.loop.time() >= end:
-                    return reply(200, {"Ledger": self.revision, "Log": log})
+                if change_log or self.loop.time() >= deadline:
+                    return reply(200, {"Ledger": self.revision, "Log": change_log})
             try:
-                async with asyncio.timeout(max(0.01, min(0.5, end - self.loop.time()))):
-                    await self.event.wait()
+                async with asyncio.timeout(max(0.01, min(0.5, deadline - self.loop.time()))):
+                    await self.keys_changed.wait()
             except TimeoutError:
                 pass
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A fake of a machine and its worker, by the protocol."""
+"""A fake of a machine and the worker on it, which speaks the workers' protocol."""
 
 import asyncio
 import json
@@ -16,11 +16,11 @@
 
 
 class FakeWorker:
-    """A machine: boots, sends heartbeats, runs tasks, respects fencing tokens and its lease."""
+    """A machine: boots, sends heartbeats, runs tasks, and respects fencing tokens and its lease."""
 
-    REPORT = 1.0
-    LEASE = 6.0
-    FETCH = 0.5  # s that an image takes to arrive
+    HEARTBEAT_INTERVAL_S = 1.0
+    LEASE_S = 6.0
+    IMAGE_FETCH_S = 0.5
 
     def __init__(
         self,
@@ -41,114 +41,114 @@
         self.address = f"{self.host}:9000"
         self.created_at = self.loop.time()
         self.epoch = 1
-        self.tick = 0
+        self.sequence = 0
         self.fencing_token = 0
         self.preemption_at: float | None = None
         self.up = False
         self.hung = False
-        self.unreachable = False  # its heartbeats arrive, but answers and commands don't reach it
-        self.faulty = False  # all that runs on it fails
-        self.answers_lost = False  # pushed commands are executed, and their answers lost
-        self.failed = False  # it has stopped by itself
-        self.sends_no_heartbeats = False  # it reaches no controller, while pushed commands reach it
-        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
-        self.images: set[str] = set()  # those that were fetched once
-        self.change = asyncio.Event()
-        self.lease_from = self.created_at
+        self.unreachable = False  # its heartbeats arrive, but responses and commands are lost
+        self.faulty = False  # every task on it fails
+        self.answers_lost = False  # pushed commands are executed, but their responses are lost
+        self.failed = False  # the machine has stopped by itself
+        self.sends_no_heartbeats = False  # it still executes pushed commands
+        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}  # by task and attempt number
+        self.images: set[str] = set()  # images fetched so far
+        self.state_changed = asyncio.Event()
+        self.lease_started_at = self.created_at
         self.task = on_host(self.host, self._boot_and_serve())
 
-    def age(self) -> float:
-        """Seconds since it was rented."""
+    def age_s(self) -> float:
+        """Return the seconds since the machine was rented."""
         return self.loop.time() - self.created_at
 
-    def listed(self) -> dict[str, Any]:
-        """Its row in the cloud's list."""
+    def list_row(self) -> dict[str, Any]:
+        """Return the machine's row in the cloud's list."""
         return {
             "Ref": self.name,
             "Addr": self.address,
             "Grade": self.machine_type["Label"],
             "Yard": self.zone,
             "Loaners": self.spot,
-            "HeldS": self.age(),
+            "HeldS": self.age_s(),
             "Stage": "failed" if self.failed else "running" if self.up else "starting",
         }
 
     def stop(self) -> None:
-        """The machine is deleted or dies."""
+        """Stop the machine, because it is deleted or crashes."""
         self.task.cancel()
-        self._kill_all()
+        self._stop_all_tasks()
         self.deployment.net.power_off(self.host)
 
-    def _kill_all(self) -> None:
+    def _stop_all_tasks(self) -> None:
         for (task, _), entry in self.tasks.items():
             if entry["Stage"] != "ended":
-                self.deployment.rule_checker.task_left(task, self)
+                self.deployment.rule_checker.task_stopped(task, self)
         self.tasks.clear()
 
     def begin_next_epoch(self) -> None:
-        """Its lease has expired."""
-        self._kill_all()
+        """End the epoch, because the lease has expired: all tasks stop."""
+        self._stop_all_tasks()
         self.epoch += 1
-        self.tick = 0
-        self.lease_from = self.loop.time()
-        self.change.set()
+        self.sequence = 0
+        self.lease_started_at = self.loop.time()
+        self.state_changed.set()
 
     async def _boot_and_serve(self) -> None:
         await asyncio.sleep(self.machine_type["ReadyS"])
         server = self.deployment.servers[self.host] = Server(self.handle, 100)
         await server.start(self.address)
         self.up = True
-        self.lease_from = self.loop.time()
-        task_clock = self.loop.create_task(self._advance_tasks())
+        self.lease_started_at = self.loop.time()
+        task_runner = self.loop.create_task(self._advance_tasks())
         try:
             await self._send_heartbeats()
         finally:
-            task_clock.cancel()
+            task_runner.cancel()
 
     async def _send_heartbeats(self) -> None:
         nodes = self.deployment.front_addresses()
-        at = self.deployment.rng.randrange(len(nodes))
+        node_index = self.deployment.rng.randrange(len(nodes))
         pools: dict[str, ConnectionPool] = {}
         while True:
             await poll_until(lambda: not self.hung, 0.1)
-            _, address = nodes[at % len(nodes)]
+            _, address = nodes[node_index % len(nodes)]
             pool = pools.setdefault(address, ConnectionPool(address, 2))
-            sent, epoch = self.loop.time(), self.epoch
+            sent_at, epoch = self.loop.time(), self.epoch
             if self.sends_no_heartbeats:
                 pool.close()
-                at += 1
+                node_index += 1
                 await asyncio.sleep(1)
                 continue
             body = json.dumps(self.heartbeat()).encode()
             if self.deployment.rng.random() < self.deployment.heartbeat_copy_rate:
                 on_host(self.host, self._send_copy(body))
             try:
-                status, answer = await pool.request("POST", "/agent/beat", body, 4_000_000)
+                status, response = await pool.request("POST", "/agent/beat", body, 4_000_000)
             except RequestFailed:
-                status, answer = 0, b""
+                status, response = 0, b""
             if self.unreachable:
                 pool.close()
-                await asyncio.sleep(max(0.0, sent + 4 - self.loop.time()))
+                await asyncio.sleep(max(0.0, sent_at + 4 - self.loop.time()))
                 status = 0
             if status == 200:
-                self._obey(json.loads(answer), sent, epoch)
-                await self._pause()
+                self._apply_response(json.loads(response), sent_at, epoch)
+                await self._wait_for_interval()
             elif status == 421:
                 pool.close()
-                shard_leader = json.loads(answer).get("Foreman")
-                found = [i for i, node in enumerate(nodes) if node[0] == shard_leader]
-                if found and found[0] != at % len(nodes):
-                    at = found[0]
+                shard_leader = json.loads(response).get("Foreman")
+                matching = [i for i, node in enumerate(nodes) if node[0] == shard_leader]
+                if matching and matching[0] != node_index % len(nodes):
+                    node_index = matching[0]
                     await asyncio.sleep(self.deployment.rng.uniform(0, 0.5))
                 else:
-                    at += 1
+                    node_index += 1
                     await asyncio.sleep(1)
             else:
-                at += 1
+                node_index += 1
                 await asyncio.sleep(1)
 
     async def _send_copy(self, body: bytes) -> None:
-        """Deliver a copy of a heartbeat late, to any node, whatever has become of the machine."""
+        """Deliver a late copy of a heartbeat to any controller, even if the machine is gone."""
         await asyncio.sleep(self.deployment.rng.uniform(0.5, 2.5 * self.deployment.lease))
         _, address = self.deployment.rng.choice(self.deployment.front_addresses())
         pool = ConnectionPool(address, 1)
@@ -159,22 +159,24 @@
         finally:
             pool.close()
 
-    async def _pause(self) -> None:
-        self.change.clear()
+    async def _wait_for_interval(self) -> None:
+        self.state_changed.clear()
         await asyncio.sleep(0.5)
         try:
-            async with asyncio.timeout(self.REPORT * self.deployment.rng.uniform(0.75, 1.25) - 0.5):
-                await self.change.wait()
+            async with asyncio.timeout(
+                self.HEARTBEAT_INTERVAL_S * self.deployment.rng.uniform(0.75, 1.25) - 0.5
+            ):
+                await self.state_changed.wait()
         except TimeoutError:
             pass
 
     def heartbeat(self) -> dict[str, Any]:
-        """The next heartbeat, as it is sent."""
-        self.tick += 1
+        """Return the next heartbeat, as it is sent."""
+        self.sequence += 1
         tasks = [
-            {"Piece": task, "Try": token, "Stage": e["Stage"]}
-            | ({"Cause": e["Cause"], "Saved": False} if e["Stage"] == "ended" else {})
-            for (task, token), e in self.tasks.items()
+            {"Piece": task, "Try": attempt_number, "Stage": entry["Stage"]}
+            | ({"Cause": entry["Cause"], "Saved": False} if entry["Stage"] == "ended" else {})
+            for (task, attempt_number), entry in self.tasks.items()
         ]
         preemption_at = (
             None if self.preemption_at is None else max(0.0, self.preemption_at - self.loop.time())
@@ -186,20 +188,20 @@
             "Yard": self.zone,
             "Loaners": self.spot,
             "Shift": self.epoch,
-            "Tick": self.tick,
+            "Tick": self.sequence,
             "Baton": self.fencing_token,
             "RecallS": preemption_at,
             "Pieces": tasks,
         }
 
-    def _obey(self, answer: dict[str, Any], sent: float, epoch: int) -> None:
-        if epoch != self.epoch or answer.get("Baton", -1) < self.fencing_token or self.hung:
+    def _apply_response(self, response: dict[str, Any], sent_at: float, epoch: int) -> None:
+        if epoch != self.epoch or response.get("Baton", -1) < self.fencing_token or self.hung:
             return
-        if answer["Baton"] > self.fencing_token:
-            self.fencing_token = answer["Baton"]
-            self.change.set()
-        self.lease_from = sent
-        self._execute(answer["Orders"])
+        if response["Baton"] > self.fencing_token:
+            self.fencing_token = response["Baton"]
+            self.state_changed.set()
+        self.lease_started_at = sent_at
+        self._execute(response["Orders"])
 
     def _execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
@@ -213,7 +215,7 @@
             elif key in self.tasks and self.tasks[key]["Stage"] != "ended":
                 self._end(key, "stopped")
         if commands:
-            self.change.set()
+            self.state_changed.set()
 
     def _start(self, key: tuple[str, int]) -> None:
         if key in self.tasks:
@@ -222,11 +224,11 @@
         if job is None:
             self.tasks[key] = {"Stage": "ended", "Cause": "no_such"}
             return
-        on = [t for (t, _), e in self.tasks.items() if e["Stage"] != "ended"]
-        if key[0] in on:
+        active = [t for (t, _), entry in self.tasks.items() if entry["Stage"] != "ended"]
+        if key[0] in active:
             self.tasks[key] = {"Stage": "ended", "Cause": "in_use"}
             return
-        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in on)
+        used = sum(self.deployment.jobs[t.partition("/")[0]]["Cores"] for t in active)
         if used + job["Cores"] > self.machine_type["Cores"] + 1e-9:
             self.tasks[key] = {"Stage": "ended", "Cause": "full"}
             return
@@ -237,39 +239,41 @@
         if self.deployment.caches_images and image in self.images:
             return 0.0
         self.images.add(image)
-        return self.FETCH
+        return self.IMAGE_FETCH_S
 
     def has_room_for(self, job: dict[str, Any]) -> bool:
-        """Might a task of the job be started here now?"""
+        """Whether a task of the job could be started here now; False if that is uncertain."""
         if job["Grades"] is not None and self.machine_type["Label"] not in job["Grades"]:
             return False
         if job["Yard"] not in (None, self.zone) or (self.spot and not job["Loaners"]):
             return False
         if job["OneZone"] or job["Apart"]:
-            return False  # where it may be depends on its other tasks
-        on = [t for (t, _), e in self.tasks.items() if e["Stage"] != "ended"]
-        used = [self.deployment.jobs[t.partition("/")[0]] for t in on]
+            return False  # its placement depends on its other tasks
+        active = [t for (t, _), entry in self.tasks.items() if entry["Stage"] != "ended"]
+        used = [self.deployment.jobs[t.partition("/")[0]] for t in active]
         return all(
-            sum(other[what] for other in used) + job[what] <= self.machine_type[what] + 1e-9
-            for what in ("Cores", "Gpus", "MemoryGb")
+            sum(other[resource] for other in used) + job[resource]
+            <= self.machine_type[resource] + 1e-9
+            for resource in ("Cores", "Gpus", "MemoryGb")
         )
 
     def finish(self, key: tuple[str, int], why: str) -> None:
-        """End an attempt."""
+        """End an attempt for this reason."""
         self._end(key, why)
 
     def _end(self, key: tuple[str, int], why: str) -> None:
         if self.tasks[key]["Stage"] != "fetching":
-            self.deployment.rule_checker.task_left(key[0], self)
+            self.deployment.rule_checker.task_stopped(key[0], self)
         self.tasks[key] = {"Stage": "ended", "Cause": why}
-        self.change.set()
+        self.state_changed.set()
 
     async def _advance_tasks(self) -> None:
-        """Tasks go on, and the lease runs out, unless the machine hangs."""
+        """Advance the tasks and check the lease. While the machine hangs, its tasks don't advance,
+        but the lease expires all the same."""
         while True:
             await asyncio.sleep(0.1)
             now = self.loop.time()
-            if now - self.lease_from > self.deployment.lease:
+            if now - self.lease_started_at > self.deployment.lease:
                 self.begin_next_epoch()
             for key, entry in list(self.tasks.items()):
                 if self.hung:
@@ -279,14 +283,14 @@
                 job = self.deployment.jobs[task.partition("/")[0]]
                 if entry["Stage"] == "fetching" and now >= entry["at"]:
                     self.deployment.rule_checker.task_started(task, self, key[1])
-                    whole = job["Shape"] == "group"
-                    entry["Stage"] = "gathering" if whole else "running"
+                    is_gang = job["Shape"] == "group"
+                    entry["Stage"] = "gathering" if is_gang else "running"
                     entry["at"] = now + self._run_s(job)
-                    self.change.set()
+                    self.state_changed.set()
                 if entry["Stage"] == "gathering" and self.deployment.gang_complete(task, key[1]):
                     entry["Stage"] = "running"
                     entry["at"] = now + job["RunS"]
-                    self.change.set()
+                    self.state_changed.set()
                 if entry["Stage"] == "running" and now >= entry["at"]:
                     if job["Shape"] == "group":
                         self.deployment.end_gang(task, key[1])
@@ -299,13 +303,14 @@
                         self._end(key, "done")
 
     def _run_s(self, job: dict[str, Any]) -> float:
-        """A replica runs for ever, but for those of a job that says otherwise."""
+        """Return the run time of a task. Replicas run forever, unless they fail or the job has
+        `EndsWith`."""
         if job["Shape"] != "service" or self.faulty or job.get("Broken"):
             return float(job["RunS"])
         return float(job["RunS"]) if "EndsWith" in job else 1e9
 
     async def handle(self, request: Request) -> Response:
-        """Answer a pushed command or a probe."""
+        """Handle pushed commands or a probe."""
         await poll_until(lambda: not (self.hung or self.unreachable), 0.2)
         if request.path == "/status":
             return reply(200, self.heartbeat())
@@ -314,7 +319,7 @@
             return reply(409, self.heartbeat())
         if body["Baton"] > self.fencing_token:
             self.fencing_token = body["Baton"]
-            self.change.set()
+            self.state_changed.set()
         self._execute(body["Orders"])
         await poll_until(lambda: not (self.answers_lost and body["Orders"]), 0.2)
         return reply(200, self.heartbeat())
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,7 +1,7 @@
-"""A simulation in memory: a fake clock, a fake network, and an event loop that runs on both.
+"""An in-memory simulation: a fake clock, a fake network, and an event loop that uses both.
 
-Controllers run in it unchanged. Time passes only when nobody has anything left to do, so a
-day takes as long as its code takes, and the same seed gives the same day.
+Controllers run in it unchanged. Time advances only when no callback is ready, so a simulated day
+takes only as long as its code needs, and the same seed gives the same run.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 from basaltlead.runtime import clock
 
 HOST: contextvars.ContextVar[str] = contextvars.ContextVar("host", default="10.9.9.9")
-PEER: contextvars.ContextVar[str] = contextvars.ContextVar("peer", default="")  # who is heard
+PEER: contextvars.ContextVar[str] = contextvars.ContextVar("peer", default="")  # sender of the data
 
 
 class _Selector(selectors.BaseSelector):
-    """Instead of waiting, advances the clock."""
+    """Advances the simulated clock instead of waiting."""
 
     def __init__(self) -> None:
         self.now = 1000.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("everybody waits for ever")
+            raise RuntimeError("deadlock: no callback is ready or scheduled")
         self.now += max(0.0, timeout)
         return []
 
@@ -43,20 +43,20 @@
 
 
 class Transport(asyncio.Transport):
-    """One end of a connection in memory."""
+    """One end of an in-memory connection."""
 
-    def __init__(self, net: "Network", here: str, there: str) -> None:
+    def __init__(self, net: "Network", local_host: str, remote_host: str) -> None:
         super().__init__()
         self.net = net
-        self.here = here
-        self.there = there
-        self.other: Transport | None = None
+        self.local_host = local_host
+        self.remote_host = remote_host
+        self.peer: Transport | None = None
         self.protocol: asyncio.Protocol | None = None
         self.closed = False
 
     def write(self, data: Any) -> None:
-        if not self.closed and self.other is not None:
-            self.net.carry(self, bytes(data))
+        if not self.closed and self.peer is not None:
+            self.net.send(self, bytes(data))
 
     def is_closing(self) -> bool:
         return self.closed
@@ -73,107 +73,112 @@
         self.closed = True
         if self.protocol is not None:
             self.net.loop.call_soon(self.protocol.connection_lost, None)
-        if self.other is not None:
-            self.net.carry(self, None)
+        if self.peer is not None:
+            self.net.send(self, None)
 
 
 class Network:
-    """Listeners by address; links between hosts that can be cut."""
+    """Connections between hosts, with injected faults: cut links, delays and refused addresses."""
 
     def __init__(self, loop: "Loop", rng: random.Random) -> None:
         self.loop = loop
         self.rng = rng
         self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
-        self.taken: set[tuple[str, int]] = set()  # ports that somebody else uses
-        self.refusing: set[tuple[str, int]] = set()  # a packet filter before these
-        self.cuts: set[frozenset[str]] = set()
-        self.held: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
-        self.order: dict[int, float] = {}
-        self.ends: dict[str, set[Transport]] = {}
-        self.slow: dict[str, float] = {}  # hosts that take so much longer for all they hear
-        self.halving: dict[str, float] = {}  # hosts to which the later half of all comes so late
+        self.ports_in_use: set[tuple[str, int]] = set()  # ports that another process listens on
+        self.refusing_addresses: set[tuple[str, int]] = set()  # by a packet filter
+        self.cut_links: set[frozenset[str]] = set()
+        # What was sent over cut links, by link
+        self.held_back: dict[frozenset[str], list[tuple[Transport, bytes | None]]] = {}
+        # Per transport, the earliest time of the next delivery, which keeps the bytes in order
+        self.next_arrival_at: dict[int, float] = {}
+        self.transports: dict[str, set[Transport]] = {}  # by local host
+        self.slow: dict[str, float] = {}  # added delay in s of all data to a host
+        # By host, the delay in s of the second half of all data sent to it
+        self.second_half_delay_s: dict[str, float] = {}
 
     def cut(self, a: str, b: str) -> None:
-        """Hold back all that two hosts send to each other."""
-        self.cuts.add(frozenset((a, b)))
+        """Cut the link between two hosts: what they send to each other is held back."""
+        self.cut_links.add(frozenset((a, b)))
 
     def heal(self, a: str, b: str, deliver: bool = True) -> None:
-        """Ends a cut. What was sent meanwhile arrives late, or is reset."""
+        """Restore a cut link. Data that was held back is delivered, or its connection is reset."""
         link = frozenset((a, b))
-        self.cuts.discard(link)
-        for end, data in self.held.pop(link, []):
+        self.cut_links.discard(link)
+        for transport, data in self.held_back.pop(link, []):
             if deliver:
-                self._later(end, data)
-            elif end.other is not None and not end.other.closed:
-                end.other.abort()
-
-    def carry(self, end: Transport, data: bytes | None) -> None:
-        """Send bytes, or the end of the connection (None), from one end to the other."""
-        link = frozenset((end.here, end.there))
-        late = self.halving.get(end.there)
-        if data is not None and late is not None and link not in self.cuts:
+                self._schedule_delivery(transport, data)
+            elif transport.peer is not None and not transport.peer.closed:
+                transport.peer.abort()
+
+    def send(self, transport: Transport, data: bytes | None) -> None:
+        """Send data, or the end of the connection (None), to the peer of a transport."""
+        link = frozenset((transport.local_host, transport.remote_host))
+        second_half_delay = self.second_half_delay_s.get(transport.remote_host)
+        if data is not None and second_half_delay is not None and link not in self.cut_links:
             middle = len(data) // 2
-            self._later(end, data[:middle])
-            self.loop.call_later(late, self._later, end, data[middle:])
-        elif link in self.cuts:
-            self.held.setdefault(link, []).append((end, data))
+            self._schedule_delivery(transport, data[:middle])
+            self.loop.call_later(
+                second_half_delay, self._schedule_delivery, transport, data[middle:]
+            )
+        elif link in self.cut_links:
+            self.held_back.setdefault(link, []).append((transport, data))
         else:
-            self._later(end, data)
+            self._schedule_delivery(transport, data)
 
-    def _later(self, end: Transport, data: bytes | None) -> None:
-        takes = self.rng.uniform(0.0003, 0.003) + self.slow.get(end.there, 0.0)
-        at = max(self.loop.time() + takes, self.order.get(id(end), 0.0))
-        self.order[id(end)] = at + 1e-7
-        self.loop.call_at(at, self._arrive, end, data)
+    def _schedule_delivery(self, transport: Transport, data: bytes | None) -> None:
+        delay_s = self.rng.uniform(0.0003, 0.003) + self.slow.get(transport.remote_host, 0.0)
+        at = max(self.loop.time() + delay_s, self.next_arrival_at.get(id(transport), 0.0))
+        self.next_arrival_at[id(transport)] = at + 1e-7
+        self.loop.call_at(at, self._deliver_on_host, transport, data)
 
-    def _arrive(self, end: Transport, data: bytes | None) -> None:
-        """What arrives is the receiver's to deal with: on its host, and when it is awake."""
+    def _deliver_on_host(self, transport: Transport, data: bytes | None) -> None:
+        """Process the data in the receiver's context, and later if the receiving host is frozen."""
         context = contextvars.copy_context()
-        context.run(HOST.set, end.there)
-        context.run(PEER.set, end.here)
-        self.loop.call_soon(self._take, end, data, context=context)
+        context.run(HOST.set, transport.remote_host)
+        context.run(PEER.set, transport.local_host)
+        self.loop.call_soon(self._deliver, transport, data, context=context)
 
     @staticmethod
-    def _take(end: Transport, data: bytes | None) -> None:
-        other = end.other
-        if other is None or other.closed or other.protocol is None:
+    def _deliver(transport: Transport, data: bytes | None) -> None:
+        peer = transport.peer
+        if peer is None or peer.closed or peer.protocol is None:
             return
         if data is None:
-            other.closed = True
-            other.protocol.connection_lost(None)
+            peer.closed = True
+            peer.protocol.connection_lost(None)
         else:
-            other.protocol.data_received(data)
+            peer.protocol.data_received(data)
 
     async def connect(
         self, factory: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> tuple[Transport, asyncio.Protocol]:
         """Open a connection from the current host."""
-        here = HOST.get()
+        local_host = HOST.get()
         await asyncio.sleep(self.rng.uniform(0.0003, 0.003))
-        if frozenset((here, host)) in self.cuts:
+        if frozenset((local_host, host)) in self.cut_links:
             await asyncio.sleep(3600)
-        make = self.listeners.get((host, port))
-        if make is None or (host, port) in self.refusing:
+        create_protocol = self.listeners.get((host, port))
+        if create_protocol is None or (host, port) in self.refusing_addresses:
             raise ConnectionRefusedError(f"{host}:{port}")
-        near, far = Transport(self, here, host), Transport(self, host, here)
-        near.other, far.other = far, near
-        far.protocol = make()
+        near, far = Transport(self, local_host, host), Transport(self, host, local_host)
+        near.peer, far.peer = far, near
+        far.protocol = create_protocol()
         near.protocol = factory()
         far.protocol.connection_made(far)
         near.protocol.connection_made(near)
-        for end in (near, far):
-            self.ends.setdefault(end.here, set()).add(end)
+        for transport in (near, far):
+            self.transports.setdefault(transport.local_host, set()).add(transport)
         return near, near.protocol
 
     def power_off(self, host: str) -> None:
-        """The host stops: its listeners are gone, its connections are reset."""
+        """Stop a host: its listeners close and its connections are reset."""
         for address in [address for address in self.listeners if address[0] == host]:
             del self.listeners[address]
-        for end in self.ends.pop(host, set()):
-            if not end.closed:
-                end.closed = True
-                end.protocol = None
-                self.carry(end, None)
+        for transport in self.transports.pop(host, set()):
+            if not transport.closed:
+                transport.closed = True
+                transport.protocol = None
+                self.send(transport, None)
 
 
 class _Listener:
@@ -186,15 +191,18 @@
 
 
 class _HostCallback:
-    """A callback that waits while its host stands still, and is not run if it is cancelled until
-    its turn comes (test_timeout_that_fell_due_on_a_frozen_host_does_not_fire_once_it_is_over)."""
+    """A callback that is delayed while its host is frozen.
+
+    It does not run if it is cancelled in the meantime
+    (test_timeout_that_fell_due_on_a_frozen_host_does_not_fire_once_it_is_over).
+    """
 
     __slots__ = ("callback", "handle", "loop")
 
     def __init__(self, loop: "Loop", callback: Any) -> None:
         self.loop = loop
         self.callback = callback
-        self.handle: asyncio.Handle | None = None  # by which whoever scheduled it may cancel it
+        self.handle: asyncio.Handle | None = None  # returned to the caller, who may cancel it
 
     def __call__(self, *args: Any) -> None:
         waiting = self.loop.frozen.get(HOST.get())
@@ -207,44 +215,46 @@
 
 
 class Loop(asyncio.base_events.BaseEventLoop):
-    """An event loop without sockets."""
+    """An event loop on simulated time, whose connections are those of a `Network`."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__()
         self._selector = _Selector()
         self.net = Network(self, random.Random(seed))
-        self.wall_off: dict[str, float] = {}  # how wrong a host's time of day is, in s
-        self.steady_off: dict[str, float] = {}  # by how much its steady clock has jumped
+        # Errors of the wall clock and of the monotonic clock, by host
+        self.wall_clock_offset_s: dict[str, float] = {}
+        self.steady_clock_offset_s: dict[str, float] = {}
+        # The delayed callbacks of each frozen host
         self.frozen: dict[str, list[tuple[_HostCallback, Any, contextvars.Context]]] = {}
 
     def time(self) -> float:
-        """Simulated seconds."""
+        """Return the simulated time in seconds."""
         return self._selector.now
 
-    # Hosts that stand still: their clocks run on, and all that falls due waits
+    # Frozen hosts: their clocks run on, and callbacks that become due are delayed
 
     def freeze(self, host: str) -> None:
-        """A host stands still."""
+        """Suspend a host: its callbacks are delayed until it is thawed."""
         self.frozen.setdefault(host, [])
 
     def thaw(self, host: str) -> None:
-        """A host goes on with all that fell due meanwhile."""
+        """Resume a frozen host, with all callbacks that became due in the meantime."""
         for callback, args, context in self.frozen.pop(host, []):
             super().call_soon(callback, *args, context=context)
 
     def call_soon(  # type: ignore[override]  # any callback and any arguments
         self, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        held = _HostCallback(self, callback)
-        held.handle = super().call_soon(held, *args, context=context)
-        return held.handle
+        wrapped = _HostCallback(self, callback)
+        wrapped.handle = super().call_soon(wrapped, *args, context=context)
+        return wrapped.handle
 
     def call_at(  # type: ignore[override]  # any callback and any arguments
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> Any:
-        held = _HostCallback(self, callback)
-        held.handle = super().call_at(when, held, *args, context=context)
-        return held.handle
+        wrapped = _HostCallback(self, callback)
+        wrapped.handle = super().call_at(when, wrapped, *args, context=context)
+        return wrapped.handle
 
     def _process_events(self, event_list: Any) -> None:
         pass
@@ -256,66 +266,65 @@
         return await self.net.connect(factory, host, port)
 
     async def create_server(self, factory: Any, host: Any = None, port: Any = None, **_: Any):  # type: ignore[override,no-untyped-def]
-        if (host, port) in self.net.taken:
+        if (host, port) in self.net.ports_in_use:
             raise OSError(errno.EADDRINUSE, "address in use")
         context = contextvars.copy_context()
 
-        def make() -> asyncio.Protocol:
+        def create_protocol() -> asyncio.Protocol:
             protocol: asyncio.Protocol = context.run(factory)
             return protocol
 
-        self.net.listeners[(host, port)] = make
+        self.net.listeners[(host, port)] = create_protocol
         return _Listener(self.net, (host, port))
 
 
-def play(scenario: Callable[[Loop], Coroutine[Any, Any, None]], seed: int = 1) -> None:
-    """Run a scenario to its end on a fresh loop and clock."""
+def run_scenario(scenario: Callable[[Loop], Coroutine[Any, Any, None]], seed: int = 1) -> None:
+    """Run a scenario to its end on a new loop; fails if any callback raised an exception."""
     loop = Loop(seed)
     failures: list[str] = []
     loop.set_exception_handler(lambda _, context: failures.append(str(context)))
     asyncio.set_event_loop(loop)
 
     def time_of_day() -> int:
-        return int((loop.time() + 1.7e9 + loop.wall_off.get(HOST.get(), 0.0)) * 1e9)
+        return int((loop.time() + 1.7e9 + loop.wall_clock_offset_s.get(HOST.get(), 0.0)) * 1e9)
 
     def steady() -> int:
-        return int((loop.time() + loop.steady_off.get(HOST.get(), 0.0)) * 1e9)
+        return int((loop.time() + loop.steady_clock_offset_s.get(HOST.get(), 0.0)) * 1e9)
 
     clock.replace_clocks(steady, time_of_day, seed)
     try:
         loop.run_until_complete(scenario(loop))
     finally:
-        for host in list(loop.frozen):  # what stands still can't be ended
+        for host in list(loop.frozen):  # tasks of a frozen host can't be cancelled
             loop.thaw(host)
-        left = asyncio.all_tasks(loop)
-        for task in left:
+        tasks = asyncio.all_tasks(loop)
+        for task in tasks:
             task.cancel()
-        loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        loop.run_until_complete(asyncio.gather(*tasks, return_exceptions=True))
         asyncio.set_event_loop(None)
         loop.close()
     assert not failures, failures
 
 
 def simulated(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an async test on a simulated loop, which it gets as its first argument.
+    """Run an async test on a simulated loop, which is passed as its first argument.
 
-    The other parameters come from pytest as usual. One that is called `seed` also seeds the delays
-    of the network.
+    The other arguments come from pytest as usual. One named `seed` also seeds the network's delays.
     """
     signature = inspect.signature(test)
     _, *others = signature.parameters.values()
 
     @functools.wraps(test)
     def run(**values: Any) -> None:
-        play(lambda loop: test(loop, **values), values.get("seed", 1))
+        run_scenario(lambda loop: test(loop, **values), values.get("seed", 1))
 
-    # Without this pytest would look for a fixture called `loop`.
+    # Otherwise pytest would look for a fixture named `loop`.
     run.__signature__ = signature.replace(parameters=others, return_annotation=None)  # type: ignore[attr-defined]
     return run
 
 
 async def poll_until(condition: Callable[[], bool], interval_s: float) -> None:
-    """Wait for a condition on plain attributes, which no event signals. Simulated time is free."""
+    """Wait for a condition that no event signals. Polling costs little in simulated time."""
     while True:
         if condition():
             return
@@ -323,10 +332,10 @@
 
 
 def on_host(host: str, coroutine: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
-    """A task on one of the hosts: its connections come from there."""
+    """Start a task on a host: its connections are opened from that host."""
     context = contextvars.copy_context()
     context.run(HOST.set, host)
     return asyncio.get_running_loop().create_task(coroutine, context=context)
 
 
-__all__ = ["HOST", "PEER", "Loop", "Network", "on_host", "play", "poll_until", "simulated"]
+__all__ = ["HOST", "PEER", "Loop", "Network", "on_host", "poll_until", "run_scenario", "simulated"]
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties with one holder each: who holds them, and what continues when a holder is lost."""
+"""Duties: each has one holder, and another one takes over when a holder fails or loses access."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from tests.duty_support import (
     DUTIES_ON,
     FAILOVER_S,
-    finish,
+    finish_and_check,
     open_intents,
     recorded_events,
     start_with_duties,
@@ -38,10 +38,10 @@
         lambda: deployment.holder(Duty.RENT) not in (None, lost), seconds=FAILOVER_S
     )
     await wait_for_all_holders(deployment)
-    moved = {duty: deployment.store.keys[duty.key][0]["baton"] for duty in Duty}
-    assert all(moved[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
-    assert all(moved[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
-    # It gets its part again, and nothing is without a holder for long
+    new_tokens = {duty: deployment.store.keys[duty.key][0]["baton"] for duty in Duty}
+    assert all(new_tokens[duty] > tokens[duty] for duty in Duty if holders[duty] == lost)
+    assert all(new_tokens[duty] == tokens[duty] for duty in Duty if holders[duty] != lost)
+    # The restarted controller gets a duty again, and no duty is without a holder for long
     deployment.start_controller(lost)
     await deployment.wait_until(
         lambda: any(deployment.holder(duty) == lost for duty in Duty), seconds=20.0
@@ -68,24 +68,24 @@
 async def test_regrant_to_the_same_controller_has_a_new_version(loop: Loop) -> None:
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
-    member = deployment.controllers[name].membership
+    membership = deployment.controllers[name].membership
     stale = deployment.controllers[name].duties.holders[Duty.RETURN]
     others = deployment.other_nodes(name)
 
-    assert await member.release(Duty.RETURN.key, release_leadership=False)
-    for other in others:  # so that it can only come back
+    assert await membership.release(Duty.RETURN.key, release_leadership=False)
+    for other in others:  # so that the duty can only be granted to the same controller
         deployment.crash(other)
-    held = deployment.controllers[name].duties.holders
+    holders = deployment.controllers[name].duties.holders
     await deployment.wait_until(
         lambda: (
-            held.get(Duty.RETURN, stale) is not stale and deployment.holder(Duty.RETURN) == name
+            holders.get(Duty.RETURN, stale) is not stale and deployment.holder(Duty.RETURN) == name
         ),
         seconds=4 * FAILOVER_S,
     )
-    fresh = held[Duty.RETURN]
+    new_holder = holders[Duty.RETURN]
     stale.stepped_down = False
     precondition = stale.preconditions()[1]
-    assert precondition.version < fresh.preconditions()[1].version
+    assert precondition.version < new_holder.preconditions()[1].version
     before = deployment.store.revision
 
     with pytest.raises(PreconditionFailed, match="c/duty/return"):
@@ -95,11 +95,15 @@
 
 @simulated
 async def test_regrant_before_the_answer_to_a_release_is_kept(loop: Loop) -> None:
-    """Only the holder that was handed back ends: the next one may be there already."""
+    """A release must end only the holder that was released.
+
+    If the response to the release is late, the duty may have been granted again by then, and the
+    controller already has the next holder.
+    """
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
 
-    for other in deployment.nodes:  # so that all that it hands back comes back
+    for other in deployment.nodes:  # so that all that it releases is granted to it again
         if other != name:
             deployment.crash(other)
     await deployment.wait_until(
@@ -108,12 +112,12 @@
     node = deployment.controllers[name]
     release = node.membership.release
 
-    async def answered_late(key: str, release_leadership: bool) -> bool:
+    async def delayed_release(key: str, release_leadership: bool) -> bool:
         done: bool = await release(key, release_leadership)
         await asyncio.sleep(5)
         return done
 
-    node.membership.release = answered_late
+    node.membership.release = delayed_release
     node.duties.holders[Duty.RETURN].step_down()
     node.shard_leaders[0].lease.stepped_down = True
     await asyncio.sleep(15)
@@ -136,23 +140,24 @@
 
     for duty in (Duty.RENT, Duty.RETURN, Duty.RECLAIM):
         holder = deployment.acting_holder(duty)
-        loop.wall_off[deployment.host(holder)] = wall
-        loop.steady_off[deployment.host(holder)] = steady
+        loop.wall_clock_offset_s[deployment.host(holder)] = wall
+        loop.steady_clock_offset_s[deployment.host(holder)] = steady
         await asyncio.sleep(4)
         await wait_for_all_holders(deployment)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
 async def test_store_refuses_holder_whose_steady_clock_stopped_during_suspend(loop: Loop) -> None:
-    """Its clock says that no time has passed, so its own check of the lease lets it act."""
+    """By its clock no time has passed, so its own check of the lease permits it to act. Only the
+    preconditions in the store stop it."""
     deployment = await start_with_duties(loop)
     holder = deployment.acting_holder(Duty.RENT)
 
     deployment.freeze(holder)
     await deployment.submit(deployment.job(1, Pieces=8, RunS=60.0), deployment.other_node(holder))
     await asyncio.sleep(60)
-    loop.steady_off[deployment.host(holder)] = -60.0
+    loop.steady_clock_offset_s[deployment.host(holder)] = -60.0
     stale = deployment.controllers[holder].duties.holders[Duty.RENT]
     lease_checks: list[bool] = []
 
@@ -164,7 +169,7 @@
     await deployment.wait_until(lambda: bool(lease_checks))
 
     assert lease_checks == [True]
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("duty", list(Duty))
@@ -182,7 +187,7 @@
     await deployment.wait_until(
         lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
     )
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -191,7 +196,7 @@
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
     deployment.cloud.error_status = 503
-    # Fits large ones only
+    # It fits large machines only
     await deployment.submit(deployment.job(2, Pieces=4, RunS=60.0, Cores=8.0))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
@@ -207,7 +212,7 @@
         lambda: not requested & set(open_intents(deployment, "hire/")), seconds=30.0
     )
     assert {f"hire/{name}" for name in deployment.cloud.scale_outs} >= requested
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
@@ -225,7 +230,7 @@
     )
     await asyncio.sleep(20)
     deployment.net.heal(deployment.host(holder), FakeKeyValueStore.HOST)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -239,11 +244,12 @@
         lambda: deployment.holder(Duty.RENT) not in (None, holder), seconds=40.0
     )
     await deployment.wait_until_done("req-000001", seconds=30.0)
-    moves = len(recorded_events(deployment, "taken up"))
+    acquisitions = len(recorded_events(deployment, "taken up"))
     await asyncio.sleep(120)
-    assert len(recorded_events(deployment, "taken up")) <= moves + 3  # it does not go to and fro
+    # The duty does not move back and forth
+    assert len(recorded_events(deployment, "taken up")) <= acquisitions + 3
     deployment.net.heal(deployment.host(holder), FakeCloud.HOST)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -256,22 +262,24 @@
     deployment.cloud.error_status = 503
     await deployment.submit(deployment.job(2, Pieces=16, RunS=15.0))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
-    old = deployment.acting_shard_leader()
+    old_controller = deployment.acting_shard_leader()
 
-    deployment.crash(old)
-    deployment.old_version_nodes = {old}
-    deployment.start_controller(old)
-    # Only the old one is left: it leads the shard and rents for itself
+    deployment.crash(old_controller)
+    deployment.old_version_nodes = {old_controller}
+    deployment.start_controller(old_controller)
+    # Only the controller of the old version remains: it leads the shard and rents by itself
     for name in deployment.nodes:
-        if name != old:
+        if name != old_controller:
             deployment.crash(name)
     deployment.cloud.error_status = 0
-    await deployment.wait_until(lambda: deployment.shard_leader() == old, seconds=4 * FAILOVER_S)
+    await deployment.wait_until(
+        lambda: deployment.shard_leader() == old_controller, seconds=4 * FAILOVER_S
+    )
     await deployment.wait_until_done("req-000002", seconds=120.0)
-    deployment.crash(old)
+    deployment.crash(old_controller)
     deployment.old_version_nodes = set()
     for name in deployment.nodes:
         deployment.start_controller(name)
     await wait_for_all_holders(deployment)
     await deployment.submit(deployment.job(3, Pieces=8, RunS=5.0))
-    await finish(deployment)
+    await finish_and_check(deployment)
--- a/tests/test_duty_checker.py
+++ b/tests/test_duty_checker.py
@@ -1,4 +1,4 @@
-"""The duty checker finds what it is for, once a safeguard is taken out."""
+"""The duty checker finds a violation for each safeguard that is disabled."""
 
 import asyncio
 from typing import Any
@@ -9,7 +9,7 @@
 from basaltlead.scaling.scale_in import ScaleIn
 from basaltlead.scaling.scale_out import ScaleOut
 from basaltlead.storage.records import StoredScaleOut
-from tests.duty_support import start_with_duties, when_recorded
+from tests.duty_support import call_when_recorded, start_with_duties
 from tests.simulation import Loop, simulated
 
 
@@ -22,18 +22,20 @@
     monkeypatch.setattr(DutyHolder, "stop", lambda holder: None)
 
     deployment = await start_with_duties(loop)
-    stale = deployment.store.keys["c/duty/rent"][0]["name"]
+    stale_holder = deployment.store.keys["c/duty/rent"][0]["name"]
     deployment.cloud.error_status = 503
 
-    when_recorded(deployment, "hire/", lambda: deployment.freeze(stale))
-    await deployment.submit(deployment.job(1, Pieces=8, RunS=30.0), deployment.other_node(stale))
+    call_when_recorded(deployment, "hire/", lambda: deployment.freeze(stale_holder))
+    await deployment.submit(
+        deployment.job(1, Pieces=8, RunS=30.0), deployment.other_node(stale_holder)
+    )
     await asyncio.sleep(30)
     deployment.freeze(deployment.store.keys["c/duty/rent"][0]["name"])
     deployment.cloud.error_status = 0
-    deployment.thaw(stale)
+    deployment.thaw(stale_holder)
     await asyncio.sleep(5)
 
-    assert any("rent: rented" in one for one in deployment.duty_checker.stale)
+    assert any("rent: rented" in one for one in deployment.duty_checker.violations)
 
 
 async def _delete_at_once(scale_ins: ScaleIn, names: list[str]) -> None:
@@ -61,5 +63,5 @@
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until(
-        lambda: any(found in one for one in deployment.duty_checker.stale), seconds=120.0
+        lambda: any(found in one for one in deployment.duty_checker.violations), seconds=120.0
     )
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -54,7 +54,7 @@
 
     deployment.isolate(first, store=False)  # it still reaches the key-value store
     await deployment.wait_until(
-        lambda: deployment.shard_leader() not in (None, first), seconds=FakeWorker.LEASE
+        lambda: deployment.shard_leader() not in (None, first), seconds=FakeWorker.LEASE_S
     )
     await deployment.wait_until_done("req-000001")
     deployment.rejoin(first)
@@ -104,7 +104,7 @@
 
     deployment.net.cut(deployment.host(shard_leader), deployment.store.HOST)
     assert await deployment.cancel("req-000001", other) == "withdrawn"
-    await asyncio.sleep(Deployment.CANCEL + 0.1)
+    await asyncio.sleep(Deployment.CANCEL_S + 0.1)
 
     assert deployment.running_tasks("req-000001") == []
     assert await deployment.poll("req-000001", other) == "withdrawn"
@@ -130,7 +130,7 @@
 
 @simulated
 async def test_team_never_uses_more_than_its_limit(loop: Loop) -> None:
-    deployment = Deployment(loop, limits={"red": 5})
+    deployment = Deployment(loop, team_cpus_max={"red": 5})
     await deployment.start()
 
     for number in range(1, 5):
@@ -216,7 +216,7 @@
     """A watch that lasted longer than the lease it renews once left a shard leader inactive."""
     deployment = Deployment(loop)
 
-    deployment.CANCEL = 11.0
+    deployment.CANCEL_S = 11.0
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=4))
     await asyncio.sleep(8)
@@ -271,11 +271,11 @@
 async def test_controller_waits_for_a_port_in_use(loop: Loop) -> None:
     deployment = Deployment(loop)
 
-    deployment.net.taken.add(("10.0.0.2", 8081))
+    deployment.net.ports_in_use.add(("10.0.0.2", 8081))
     await deployment.start()
     await asyncio.sleep(3)
     assert (await deployment.request("node-1", "GET", "/healthz"))[0] == 503
-    deployment.net.taken.clear()
+    deployment.net.ports_in_use.clear()
     await asyncio.sleep(3)
 
     assert (await deployment.request("node-1", "GET", "/healthz"))[0] == 200
@@ -457,5 +457,5 @@
     assert not failed.value.sent
     await asyncio.sleep(0.1)
     del failed, pool  # nothing may hold the reply any more
-    loop.net.ends.clear()
+    loop.net.transports.clear()
     gc.collect()
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -9,7 +9,10 @@
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
-LEASE, CANCEL = 10.0, 30.0  # s; with a session lease of a third of LEASE they leave little slack
+LEASE_S, CANCEL_S = (
+    10.0,
+    30.0,
+)  # s; with a session lease of a third of LEASE_S they leave little slack
 
 
 async def _run_checked(deployment: Deployment, seconds: float) -> None:
@@ -80,7 +83,7 @@
     await _confirmed_at_once(deployment, shard_leader, ref)
     for machine in deployment.cloud.machines.values():
         machine.hung = True
-        deployment.loop.call_later(0.8 * LEASE, setattr, machine, "hung", False)
+        deployment.loop.call_later(0.8 * LEASE_S, setattr, machine, "hung", False)
 
 
 Confirm = Callable[[Deployment, str, str], Awaitable[None]]
@@ -101,7 +104,7 @@
 async def test_cancellation_holds_when_the_store_refuses_the_leader_and_then_everybody(
     loop: Loop, confirm: Confirm, wait: float
 ) -> None:
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     await deployment.start_with_running_job(6, 500.0)
 
     for number in (1, 2):  # twice in a row
@@ -112,7 +115,7 @@
         deployment.store.down = True
         await _run_checked(deployment, 5)
         deployment.store.refused_hosts.clear()
-        await _run_checked(deployment, CANCEL)
+        await _run_checked(deployment, CANCEL_S)
         assert deployment.running_tasks(ref) == []
         deployment.store.end_outage()
         await deployment.submit(deployment.job(number + 1, Pieces=6, RunS=500.0))
@@ -129,7 +132,7 @@
 ) -> None:
     """All controllers end after a cancellation that the shard leader did not see. The next one is
     leased the shard, and the key-value store is out before it has read which jobs are open."""
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     shard_leader = await deployment.start_with_running_job(6, 500.0)
 
     await _confirmed_at_once(deployment, shard_leader, "req-000001")
@@ -139,7 +142,7 @@
     deployment.store.refused_hosts.clear()
     await poll_until(lambda: deployment.store.keys["c/block/0"][0]["baton"] != 1, 0.001)
     deployment.store.down = True
-    await _run_checked(deployment, 2 * CANCEL)
+    await _run_checked(deployment, 2 * CANCEL_S)
 
     assert deployment.running_tasks("req-000001") == []
     deployment.assert_no_violation()
@@ -147,18 +150,18 @@
 
 @simulated
 async def test_shard_leader_that_has_not_loaded_open_jobs_stops_nothing(loop: Loop) -> None:
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=12, Cores=4.0, Grades=["small"], RunS=40.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 12)
     shard_leader = deployment.acting_shard_leader()
     starts = deployment.rule_checker.starts
 
-    deployment.store.slowness = 250.0  # each answer takes half a second
+    deployment.store.latency_factor = 250.0  # each answer takes half a second
     deployment.crash(shard_leader)
     deployment.start_controller(shard_leader)
     await _run_checked(deployment, 8)
-    deployment.store.slowness = 1.0
+    deployment.store.latency_factor = 1.0
 
     await deployment.wait_until_done("req-000001", seconds=100)
     assert deployment.rule_checker.starts == starts
@@ -168,7 +171,7 @@
 @simulated
 async def test_refused_shard_leader_starts_no_task_of_a_cancelled_job(loop: Loop) -> None:
     """Others notify it directly; its lease lasts for a while yet, and more tasks than room wait."""
-    deployment = Deployment(loop, lease=LEASE, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     deployment.cloud.capacity = 2
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=1000, RunS=500.0, Grades=["large"]))
@@ -233,7 +236,7 @@
 
 @simulated
 async def test_overload_with_two_ranks_over_slow_links(loop: Loop) -> None:
-    deployment = Deployment(loop, limits={"red": 30})
+    deployment = Deployment(loop, team_cpus_max={"red": 30})
     deployment.cloud.capacity = 3
     await deployment.start()
 
@@ -281,7 +284,7 @@
 
 @simulated
 async def test_team_at_its_limit_with_failover_silent_machine_and_cancellation(loop: Loop) -> None:
-    deployment = Deployment(loop, limits={"red": 8})
+    deployment = Deployment(loop, team_cpus_max={"red": 8})
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=8, RunS=100.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 8)
@@ -298,7 +301,7 @@
     assert await deployment.cancel("req-000001", deployment.other_node(shard_leader)) == "withdrawn"
     since = loop.time()
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000002")) > 0, seconds=30)
-    assert loop.time() - since < 3 * FakeWorker.LEASE  # nobody waits for ever
+    assert loop.time() - since < 3 * FakeWorker.LEASE_S  # nobody waits for ever
     await _run_checked(deployment, 5)
     for name in deployment.nodes:
         deployment.net.heal(silent.host, deployment.host(name))
@@ -348,7 +351,7 @@
     await _run_checked(deployment, 2.0)
     for machine in machines:
         machine.hung = False
-    await _run_checked(deployment, Deployment.CANCEL)
+    await _run_checked(deployment, Deployment.CANCEL_S)
 
     assert deployment.running_tasks("req-000002") == []
     await _end_faults_and_finish(deployment, "req-000001")
@@ -368,7 +371,7 @@
     await _run_checked(deployment, 3)
     await deployment.request(second, "POST", "/agent/beat", old)
     machine.hung = True  # until its lease and with it its agent epoch has ended
-    await _run_checked(deployment, 2.5 * FakeWorker.LEASE)
+    await _run_checked(deployment, 2.5 * FakeWorker.LEASE_S)
     machine.hung = False
     await _run_checked(deployment, 3)
     for _ in range(3):
@@ -411,7 +414,7 @@
 
     for machine in silent:
         machine.sends_no_heartbeats = True
-    await _run_checked(deployment, FakeWorker.LEASE / 2 + 2)
+    await _run_checked(deployment, FakeWorker.LEASE_S / 2 + 2)
     ran = deployment.rule_checker.starts
     refs = job_refs(2, 7)
     for ref in refs:
@@ -532,7 +535,7 @@
 
     for number in range(2, 7):
         await deployment.submit(deployment.job(number, Pieces=2, RunS=200.0))
-    deployment.store.slowness = 8.0
+    deployment.store.latency_factor = 8.0
     await _run_checked(deployment, 3)
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
     cancels = []
@@ -542,12 +545,12 @@
         for asked in range(1, number):
             await deployment.poll(f"req-{asked:06d}")
     deployment.store.down = True
-    await _run_checked(deployment, Deployment.CANCEL + 5)
+    await _run_checked(deployment, Deployment.CANCEL_S + 5)
     deployment.store.refused_hosts.clear()
     deployment.store.end_outage()
-    deployment.store.slowness = 1.0
+    deployment.store.latency_factor = 1.0
     await asyncio.gather(*cancels)
-    await _run_checked(deployment, Deployment.CANCEL)
+    await _run_checked(deployment, Deployment.CANCEL_S)
 
     assert not any(deployment.running_tasks(f"req-{number:06d}") for number in range(2, 7))
     await _end_faults_and_finish(deployment, "req-000001", seconds=400)
@@ -571,7 +574,7 @@
         await deployment.poll("req-000001", first)
         await _run_checked(deployment, 0.3)
     assert await deployment.cancel("req-000002", other) == "withdrawn"
-    await _run_checked(deployment, Deployment.CANCEL)
+    await _run_checked(deployment, Deployment.CANCEL_S)
     assert deployment.running_tasks("req-000001") == []
     assert deployment.running_tasks("req-000002") == []
     deployment.rejoin_store_and_peers(first)
@@ -587,7 +590,7 @@
 
     for name in deployment.nodes:
         deployment.crash(name)
-    await _run_checked(deployment, 2 * FakeWorker.LEASE)
+    await _run_checked(deployment, 2 * FakeWorker.LEASE_S)
     assert deployment.running_tasks("req-000001") == []  # their leases have run out
     for name in deployment.nodes:
         deployment.start_controller(name)
@@ -667,7 +670,7 @@
     await deployment.start_with_running_job(2, 100.0)
     asked, other = deployment.nodes[:2]
 
-    deployment.store.slowness = 10.0  # 20 ms for an answer
+    deployment.store.latency_factor = 10.0  # 20 ms for an answer
     question = loop.create_task(deployment.request(asked, "GET", "/api/jobs/req-000001"))
     await asyncio.sleep(0.01)  # the read has reached the key-value store
     deployment.net.cut(deployment.host(asked), deployment.store.HOST)
@@ -689,7 +692,7 @@
     other = deployment.other_node(shard_leader)
     leader_host = deployment.host(shard_leader)
 
-    deployment.store.slowness = 10.0  # 20 ms for an answer
+    deployment.store.latency_factor = 10.0  # 20 ms for an answer
     await asyncio.sleep(0.5)
     deployment.net.cut(leader_host, deployment.store.HOST)
     await deployment.submit(deployment.job(2, Pieces=2, RunS=50.0), other)
@@ -703,6 +706,6 @@
     deployment.net.heal(leader_host, deployment.store.HOST)
     await _run_checked(deployment, 3)
 
-    assert deployment.rule_checker.started_cancelled == []
+    assert deployment.rule_checker.started_after_cancel == []
     assert deployment.shard_leader() == shard_leader
     deployment.assert_no_violation()
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -4,7 +4,7 @@
 from basaltlead.core.fleet_sizing import Demand
 from basaltlead.core.jobs import US
 from basaltlead.core.offers import Offer
-from tests.builders import MACHINE_TYPE, Story, make_job
+from tests.builders import MACHINE_TYPE, ShardHarness, make_job
 from tests.fakes import Deployment
 from tests.simulation import Loop, simulated
 
@@ -17,7 +17,7 @@
 def _rented(backlog_us: float, offers: dict[Offer, int | None]) -> list[bool]:
     """Whether each machine rented for a job of 40 tasks is a spot machine. `drain_us` is how long
     the machines rented already need for the backlog."""
-    harness = Story(machines=0)
+    harness = ShardHarness(machines=0)
     job_state = harness.shard.add_job(make_job(tasks=40), 200, harness.now)
     needs = [Demand(job_state, 40, backlog_us)]
     return [
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -58,7 +58,7 @@
         del deployment.cloud.machines[machine.name]
     rented_before = deployment.cloud.rented_count
     failed_at = loop.time()
-    while loop.time() < failed_at + 1.5 * FakeWorker.LEASE:
+    while loop.time() < failed_at + 1.5 * FakeWorker.LEASE_S:
         assert all(m.name in deployment.cloud.machines for m in healthy if m.tasks)
         await asyncio.sleep(0.5)
     assert all(m.epoch == 1 for m in healthy if m.name in deployment.cloud.machines)
@@ -86,7 +86,7 @@
             deployment.start_controller(name)
         await asyncio.sleep(0.2)
     await deployment.wait_until(
-        lambda: deployment.shard_leader() is not None, seconds=FakeWorker.LEASE
+        lambda: deployment.shard_leader() is not None, seconds=FakeWorker.LEASE_S
     )
 
     await deployment.wait_until_done(*refs, seconds=300)
@@ -172,7 +172,7 @@
 async def test_list_pages_of_different_age_lose_no_machine(loop: Loop) -> None:
     deployment = Deployment(loop)
     deployment.cloud.capacity = 30
-    deployment.cloud.page_rows = 4
+    deployment.cloud.max_page_rows = 4
     deployment.cloud.list_lag_s = 4.0
     await deployment.start()
     # Two scale-out requests are executed, but never answered
@@ -195,7 +195,7 @@
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
 
-    for tens, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE), start=2):
+    for tens, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE_S), start=2):
         frozen = deployment.shard_leader() or shard_leader
         for ones in range(4):
             await deployment.submit(deployment.job(10 * tens + ones, Pieces=3, RunS=5.0))
@@ -232,7 +232,7 @@
     deployment = Deployment(loop)
 
     for name, sign in zip(deployment.nodes, signs, strict=True):
-        loop.wall_off[deployment.host(name)] = sign * skew_s
+        loop.wall_clock_offset_s[deployment.host(name)] = sign * skew_s
     await deployment.start()
     submitted_at = loop.time()
     await deployment.submit(deployment.job(1, Pieces=3, RunS=40.0, GuessS=40.0, DueS=100.0))
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -7,12 +7,12 @@
 from basaltlead.core.entities import Machine
 from basaltlead.core.jobs import US
 from basaltlead.core.machine_state import MachineState
-from tests.builders import MACHINE_TYPE, TIMING, Story, task_status
+from tests.builders import MACHINE_TYPE, TIMING, ShardHarness, task_status
 
 FLAGS = ("up", "synced", "recorded", "lost", "faulty", "terminating")
 
 
-def _state(harness: Story, name: str = "m-0") -> MachineState:
+def _state(harness: ShardHarness, name: str = "m-0") -> MachineState:
     return harness.shard.machines[name].state(harness.now)
 
 
@@ -30,7 +30,7 @@
 
 
 def test_rented_machine_is_provisioned_then_synced_and_recorded_then_ready() -> None:
-    harness = Story(machines=0)
+    harness = ShardHarness(machines=0)
     machine = harness.add("m-0")
 
     machine.recorded = False
@@ -45,7 +45,7 @@
 
 
 def test_machine_from_the_records_is_syncing_until_it_shows_the_fencing_token() -> None:
-    harness = Story(machines=0)
+    harness = ShardHarness(machines=0)
     harness.add("m-9", loaded=True)
 
     assert _state(harness, "m-9") is MachineState.SYNCING
@@ -58,7 +58,7 @@
 def test_machine_is_cordoned_for_a_while_after_a_task_failed_there(
     reason: str, seconds: int
 ) -> None:
-    harness = Story()
+    harness = ShardHarness()
     attempt = harness.attempt(harness.submit())
 
     harness.heartbeat("m-0")
@@ -72,7 +72,7 @@
 
 
 def test_unknown_exit_reason_or_stage_counts_against_nobody() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
@@ -90,7 +90,7 @@
 
 
 def test_possibly_unreachable_machine_is_cordoned() -> None:
-    harness = Story()
+    harness = ShardHarness()
 
     harness.shard.mark_unreachable(harness.shard.machines["m-0"], harness.now)
     assert _state(harness) is MachineState.CORDONED
@@ -100,7 +100,7 @@
 
 
 def test_machine_with_a_preemption_notice_drains_until_it_is_withdrawn() -> None:
-    harness = Story()
+    harness = ShardHarness()
     notice = harness.make_heartbeat("m-0")
 
     notice.preemption_notice_s = 20.0
@@ -112,21 +112,21 @@
 
 
 def test_lost_machine_syncs_in_a_new_epoch_and_is_cordoned_until_it_is_reachable() -> None:
-    harness = Story()
+    harness = ShardHarness()
 
     harness.now += TIMING.lease_expiry_us + 1
     harness.shard.advance(harness.now)
     assert _state(harness) is MachineState.LOST
-    harness.heartbeat("m-0", epoch=2, tick=1, fencing_token=7)
+    harness.heartbeat("m-0", epoch=2, sequence=1, fencing_token=7)
     assert not harness.shard.machines["m-0"].lost
     assert _state(harness) is MachineState.CORDONED
-    harness.shard.receive_push_response(harness.make_heartbeat("m-0", epoch=2, tick=2), harness.now)
+    harness.shard.receive_push_response(harness.make_heartbeat("m-0", epoch=2, sequence=2), harness.now)
 
     assert _state(harness) is MachineState.READY
 
 
 def test_no_state_follows_terminating() -> None:
-    harness = Story()
+    harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
 
     machine.terminating = True
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: duties, the exported history, and quiet times."""
+"""The operators' commands `duties` and `audit export`, and quiet times."""
 
 import asyncio
 import os
@@ -37,7 +37,7 @@
 SECOND = 1_000_000
 
 
-# Who holds what
+# The command `duties`
 
 
 @simulated
@@ -48,21 +48,21 @@
     await deployment.submit(deployment.job(1, Cores=8.0))
     await asyncio.sleep(15)
     addresses = [f"{deployment.host(name)}:8081" for name in deployment.nodes]
-    answers = [await client._send_request(one, DutiesRequest()) for one in addresses]
-    assert answers[0] == answers[1] == answers[2]
-    answer = answers[0]
-    assert isinstance(answer, DutiesResponse)
-    assert answer.granted
-    assert not answer.unknown
-    assert {one.duty: one.holder for one in answer.duties} == {
+    responses = [await client._send_request(item, DutiesRequest()) for item in addresses]
+    assert responses[0] == responses[1] == responses[2]
+    response = responses[0]
+    assert isinstance(response, DutiesResponse)
+    assert response.granted
+    assert not response.unknown
+    assert {item.duty: item.holder for item in response.duties} == {
         d: deployment.holder(d) for d in Duty
     }
-    assert answer.open_count == len(answer.intents) > 0
-    assert all("400" in one.refused for one in answer.intents)
-    pages = [await client._send_request(one, HistoryRequest("")) for one in addresses]
+    assert response.open_count == len(response.intents) > 0
+    assert all("400" in item.refused for item in response.intents)
+    pages = [await client._send_request(item, HistoryRequest("")) for item in addresses]
     assert pages[0] == pages[1] == pages[2]
     deployment.store.down = True
-    for wait_s in (1, 20):  # unanswered at first, then known to be away
+    for wait_s in (1, 20):  # right after the start of the outage, and once it is detected
         await asyncio.sleep(wait_s)
         for address in addresses:
             assert (await client._send_request(address, DutiesRequest())).unknown
@@ -80,44 +80,44 @@
     return str(path)
 
 
-def _answering(answer: Any, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    asked: list[str] = []
+def _stub_response(response: Any, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    called_addresses: list[str] = []
 
-    async def ask(address: str, question: Any) -> Any:
-        asked.append(address)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+    async def respond(address: str, request: Any) -> Any:
+        called_addresses.append(address)
+        if isinstance(response, Exception):
+            raise response
+        return response
 
-    monkeypatch.setattr(client, "_send_request", ask)
-    return asked
+    monkeypatch.setattr(client, "_send_request", respond)
+    return called_addresses
 
 
 def test_the_command_shows_holders_and_open_intents(
     config: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    answer = DutiesResponse(
+    response = DutiesResponse(
         "",
         True,
         [HeldDuty("rent", "node-2", 7, 5 * SECOND), HeldDuty("return", "", 0, 0)],
         [OpenIntent("rent", "h-1-1", 3, 5 * SECOND, "cloud: 400")],
         1,
     )
-    asked = _answering(answer, monkeypatch)
+    called_addresses = _stub_response(response, monkeypatch)
     assert cli.main(["duties", "--config", config]) == 0
-    shown = capsys.readouterr().out
+    output = capsys.readouterr().out
 
-    assert "rent       node-2                      7 1970-01-01T00:00:05+00:00" in shown
-    assert "nobody" in shown
-    assert "open intents: 1" in shown
-    assert "refused: cloud: 400" in shown
+    assert "rent       node-2                      7 1970-01-01T00:00:05+00:00" in output
+    assert "nobody" in output
+    assert "open intents: 1" in output
+    assert "refused: cloud: 400" in output
     assert cli.main(["duties", "--json", "--controller", "node-1", "--config", config]) == 0
-    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesResponse) == answer
-    assert asked == ["10.0.0.1:8081", "10.0.0.2:8081"]
+    assert msgspec.json.decode(capsys.readouterr().out, type=DutiesResponse) == response
+    assert called_addresses == ["10.0.0.1:8081", "10.0.0.2:8081"]
 
 
 @pytest.mark.parametrize(
-    ("answer", "arguments", "status", "text"),
+    ("response", "arguments", "status", "text"),
     [
         (OSError(111, "Connection refused"), [], 3, "10.0.0.1:8081: Connection refused"),
         (TimeoutError(), [], 3, "no answer within 5 s"),
@@ -129,7 +129,7 @@
     ids=["refused", "timeout", "closed", "unknown", "no such controller", "no such file"],
 )
 def test_errors_have_a_text_and_an_exit_status(
-    answer: Any,
+    response: Any,
     arguments: list[str],
     status: int,
     text: str,
@@ -137,16 +137,16 @@
     monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    _answering(answer, monkeypatch)
+    _stub_response(response, monkeypatch)
     assert cli.main(["duties", "--config", config, *arguments]) == status
     assert text in capsys.readouterr().err
 
 
-# The history
+# The command `audit export`, and the recorded history
 
 
 def _pages(duty: str, low: int, high: int) -> list[HistoryResponse]:
-    """Pages of ten events each, in the order of their keys in the ring."""
+    """Return pages of ten events each, in the order of their keys in the ring."""
     pages = []
     for number in range(low, high):
         events = [
@@ -175,12 +175,12 @@
 
 
 def test_failed_export_leaves_no_file(tmp_path: Path) -> None:
-    def broken() -> Any:
+    def failing_pages() -> Any:
         yield from _pages("rent", 0, 2)
         raise client.StateUnavailable("the state service does not answer")
 
     with pytest.raises(client.StateUnavailable):
-        export(broken(), str(tmp_path / "history.parquet"))
+        export(failing_pages(), str(tmp_path / "history.parquet"))
     assert list(tmp_path.iterdir()) == []
 
 
@@ -198,8 +198,8 @@
     assert len(rows) == 3
     newest = max(rows, key=lambda page: page["number"])
 
-    assert newest["first"] + len(newest["events"]) == 401  # with the taking up
-    assert not deployment.duty_checker.stale
+    assert newest["first"] + len(newest["events"]) == 401  # including the acquisition of the duty
+    assert not deployment.duty_checker.violations
 
 
 # Quiet times
@@ -227,7 +227,7 @@
     return str(path)
 
 
-def _at(zone: str, *moment: int) -> int:
+def _timestamp_us(zone: str, *moment: int) -> int:
     return int(datetime(*moment, tzinfo=ZoneInfo(zone)).timestamp() * US)  # type: ignore[misc,arg-type]
 
 
@@ -239,18 +239,18 @@
 def test_quiet_time_follows_the_clock_of_its_time_zone(
     day: tuple[int, int, int], hours: int, tmp_path: Path
 ) -> None:
-    """It lasts from one to five by the wall: an hour less or more when the clock changes."""
-    start = _at("Europe/Berlin", *day, 1)
+    """It lasts from 01:00 to 05:00 local time, an hour less or more when the clocks change."""
+    start = _timestamp_us("Europe/Berlin", *day, 1)
     now = [start - 1]
-    times = QuietCalendar(_calendar(tmp_path), lambda: now[0])
-    assert times.current() is None
+    calendar = QuietCalendar(_calendar(tmp_path), lambda: now[0])
+    assert calendar.current() is None
     now[0] = start
-    assert times.current() == QuietTime(start, start + hours * HOUR_US)
+    assert calendar.current() == QuietTime(start, start + hours * HOUR_US)
     now[0] = start + hours * HOUR_US - 1
-    assert times.current() is not None
+    assert calendar.current() is not None
     now[0] += 1
 
-    assert times.current() is None
+    assert calendar.current() is None
 
 
 @pytest.mark.parametrize(
@@ -292,42 +292,42 @@
 
 
 def test_calendar_that_becomes_invalid_leaves_the_last_valid_one_in_force(tmp_path: Path) -> None:
-    now = [_at("Europe/Berlin", 2026, 5, 5, 2)]
+    now = [_timestamp_us("Europe/Berlin", 2026, 5, 5, 2)]
     path = _calendar(tmp_path)
-    times = QuietCalendar(path, lambda: now[0])
-    assert times.current() is not None
+    calendar = QuietCalendar(path, lambda: now[0])
+    assert calendar.current() is not None
     Path(path).write_text("nonsense")
     os.utime(path, (1, 1))
     with pytest.raises(SettingsError):
         read_calendar(path)
     now[0] += 120 * SECOND
-    assert times.current() is not None
+    assert calendar.current() is not None
     _calendar(tmp_path, "Asia/Tokyo")
     os.utime(path, (2, 2))
     now[0] += 120 * SECOND
 
-    assert times.current() is None  # it is nine there
+    assert calendar.current() is None  # it is 9:00 there
 
 
 @simulated
 async def test_quiet_budget_holds_across_failovers(loop: Loop) -> None:
     stored: list[StoredQuietReservation] = []
 
-    async def reserve(one: StoredQuietReservation) -> bool:
-        stored.append(one)
+    async def reserve(reservation: StoredQuietReservation) -> bool:
+        stored.append(reservation)
         return True
 
     spent, now = 0.0, 0
 
     for _ in range(40):
-        allowance = QuietBudget(2.0, reserve)
+        budget = QuietBudget(2.0, reserve)
         if stored:
-            allowance.load(stored[-1])
+            budget.load(stored[-1])
         for _ in range(200):
             now += SECOND
-            if allowance.begin_pass(QuietTime(1, HOUR_US), now):
-                await allowance.reserve_more()
-            spent += 3.0 / 3600 * allowance.charge(3.0)
+            if budget.begin_pass(QuietTime(1, HOUR_US), now):
+                await budget.reserve_more()
+            spent += 3.0 / 3600 * budget.charge(3.0)
 
     assert 0.5 < spent <= 2.0 + 1e-9
 
@@ -344,10 +344,10 @@
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
-    held = len(deployment.cloud.machines)
-    await asyncio.sleep(200)  # without quiet times they go within 100 s
-    assert len(deployment.cloud.machines) == held
-    # Long before 23:00
+    machine_count = len(deployment.cloud.machines)
+    await asyncio.sleep(200)  # without quiet times they are returned within 100 s
+    assert len(deployment.cloud.machines) == machine_count
+    # The budget ends long before 23:00
     await deployment.wait_until(lambda: not deployment.cloud.machines, seconds=900.0)
 
     deployment.assert_no_violation()
--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -1,4 +1,4 @@
-"""Renting and returning: what a replaced holder can still do, and faults of the cloud."""
+"""Renting and returning machines: replaced holders can do no harm, and faults of the cloud."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 from basaltlead.scaling.scale_in import ScaleIn
 from tests.duty_support import (
     FAILOVER_S,
-    finish,
+    call_when_recorded,
+    finish_and_check,
     open_intents,
     recorded_events,
     start_with_duties,
-    when_recorded,
 )
 from tests.fakes import Deployment
 from tests.fakes.cloud import FakeCloud
@@ -20,18 +20,18 @@
 
 
 async def _freeze_at(deployment: Deployment, when: str, prefix: str, name: str) -> None:
-    """The holder of a duty stands still when its next intent is recorded, or sent."""
+    """Freeze the holder of a duty when its next intent is recorded, or when it has been sent."""
     if when == "half sent":
-        deployment.net.halving[FakeCloud.HOST] = 90.0
+        deployment.net.second_half_delay_s[FakeCloud.HOST] = 90.0
     if when == "before the check":
-        when_recorded(deployment, prefix, lambda: deployment.freeze(name))
+        call_when_recorded(deployment, prefix, lambda: deployment.freeze(name))
         await deployment.wait_until(
             lambda: deployment.host(name) in deployment.loop.frozen, seconds=120.0
         )
         return
     deployment.cloud.answer_delay_s = 5.0
     recorded = asyncio.Event()
-    when_recorded(deployment, prefix, recorded.set)
+    call_when_recorded(deployment, prefix, recorded.set)
     await deployment.wait_until(recorded.is_set, seconds=120.0)
     await asyncio.sleep(0.6)
     deployment.freeze(name)
@@ -59,13 +59,13 @@
         lambda: deployment.holder(duty) not in (None, holder), seconds=2 * FAILOVER_S
     )
     deployment.cloud.answer_delay_s = 0.02
-    deployment.net.halving.clear()
+    deployment.net.second_half_delay_s.clear()
     await asyncio.sleep(60)
     rented = len(deployment.cloud.scale_outs)
     deployment.thaw(holder)
     await asyncio.sleep(10)
     assert len(deployment.cloud.scale_outs) == rented
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -74,7 +74,7 @@
     holder = deployment.acting_holder(Duty.RENT)
 
     deployment.store.late_write_share, deployment.store.late_by_s = 1.0, (20.0, 20.0)
-    deployment.store.late_key_prefix = "history/rent/"  # what settles a request
+    deployment.store.late_key_prefix = "history/rent/"  # of the transaction that settles a request
     await deployment.submit(deployment.job(1, Pieces=8, RunS=20.0), deployment.other_node(holder))
     await deployment.wait_until(lambda: bool(deployment.cloud.scale_outs))
     await asyncio.sleep(1)
@@ -85,35 +85,37 @@
     )
     settled = {k: v[1] for k, v in deployment.store.keys.items() if k.startswith("hire/")}
     await asyncio.sleep(20)
-    left = {k: v[1] for k, v in deployment.store.keys.items() if k in settled}
-    assert left.items() <= settled.items()  # none was written again
+    remaining = {k: v[1] for k, v in deployment.store.keys.items() if k in settled}
+    assert remaining.items() <= settled.items()  # none was written again
     assert len(recorded_events(deployment, "rented")) == len(settled)
     deployment.start_controller(holder)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
 async def test_new_shard_leader_starts_nothing_on_a_terminating_machine(
     loop: Loop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The machines that each shard leader knows to be terminating before it does anything.
-    at_first: list[set[str]] = []
+    # The machines that each shard leader knows as terminating before it does anything
+    terminating_at_start: list[set[str]] = []
 
     start = ScaleIn.start
 
-    def noting_start(scale_ins: ScaleIn) -> None:
+    def recording_start(scale_ins: ScaleIn) -> None:
         machines = scale_ins.context.shard.machines.values()
-        at_first.append({machine.name for machine in machines if machine.terminating})
+        terminating_at_start.append({machine.name for machine in machines if machine.terminating})
         start(scale_ins)
 
-    monkeypatch.setattr(ScaleIn, "start", noting_start)
+    monkeypatch.setattr(ScaleIn, "start", recording_start)
 
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
-    when_recorded(deployment, "return/", lambda: setattr(deployment.cloud, "error_status", 503))
+    call_when_recorded(
+        deployment, "return/", lambda: setattr(deployment.cloud, "error_status", 503)
+    )
     await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
-    going = {
+    terminating = {
         name
         for key in open_intents(deployment, "return/")
         for name in deployment.store.keys[key][0]["names"]
@@ -128,11 +130,14 @@
     )
     for _ in range(100):
         await asyncio.sleep(0.1)
-        assert not {worker.name for worker in deployment.rule_checker.running_on.values()} & going
-    assert going <= set(deployment.cloud.machines)
-    assert at_first[-1] == going
+        assert (
+            not {worker.name for worker in deployment.rule_checker.running_on.values()}
+            & terminating
+        )
+    assert terminating <= set(deployment.cloud.machines)
+    assert terminating_at_start[-1] == terminating
     deployment.start_controller(shard_leader)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("error_status", [429, 503])
@@ -146,14 +151,14 @@
     await asyncio.sleep(8)
     deployment.cloud.error_status = 0
     await deployment.wait_until_done("req-000001")
-    when_recorded(
+    call_when_recorded(
         deployment, "return/", lambda: setattr(deployment.cloud, "error_status", error_status)
     )
     await deployment.wait_until(
         lambda: deployment.cloud.error_status == error_status, seconds=120.0
     )
     await asyncio.sleep(8)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -171,7 +176,7 @@
     deployment.cloud.answer_delay_s = 0.02
     machines = [name for names in deployment.cloud.scale_outs.values() for name in names]
     assert len(machines) == len(set(machines)) == deployment.cloud.rented_count
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
@@ -196,7 +201,7 @@
     await asyncio.sleep(150)
     deployment.net.heal(deployment.host(holder), FakeCloud.HOST, deliver=True)
     deployment.start_controller(holder)
-    await finish(deployment)
+    await finish_and_check(deployment)
 
 
 @simulated
@@ -208,21 +213,21 @@
     deployment = await start_with_duties(loop)
 
     deployment.cloud.refused_names.add("large")
-    # Fits large ones only
+    # It fits large machines only
     await deployment.submit(deployment.job(1, Pieces=2, RunS=3.0, Cores=8.0))
     await deployment.submit(deployment.job(2, Pieces=6, RunS=3.0))
     await deployment.wait_until_done("req-000002")
     await asyncio.sleep(150)
-    hanging = [v[0] for k, v in deployment.store.keys.items() if k.startswith("hire/")]
-    assert hanging
-    assert all("400" in one["refused"] for one in hanging)
-    offers = [(one["zone"], one["spot"]) for one in hanging]
-    assert len(offers) == len(set(offers))  # none is asked for twice: so there are few
+    refused_requests = [v[0] for k, v in deployment.store.keys.items() if k.startswith("hire/")]
+    assert refused_requests
+    assert all("400" in one["refused"] for one in refused_requests)
+    offers = [(one["zone"], one["spot"]) for one in refused_requests]
+    assert len(offers) == len(set(offers))  # no offer is requested twice, which bounds their number
     deployment.cloud.refused_names.clear()
     await deployment.wait_until_done("req-000001", seconds=120.0)
     await deployment.submit(deployment.job(3, Pieces=5, RunS=20.0, Cores=4.0, Grades=["small"]))
     await deployment.wait_until_done("req-000003")
-    deployment.cloud.error_status = 503  # until they all are to go, in one batch
+    deployment.cloud.error_status = 503  # until all machines are recorded for return, in one batch
     await deployment.wait_until(
         lambda: (
             sum(
@@ -234,10 +239,12 @@
         ),
         seconds=200.0,
     )
-    victim = next(iter(deployment.cloud.machines))
-    deployment.cloud.refused_names.add(victim)
+    refused_machine = next(iter(deployment.cloud.machines))
+    deployment.cloud.refused_names.add(refused_machine)
     deployment.cloud.error_status = 0
-    await deployment.wait_until(lambda: set(deployment.cloud.machines) == {victim}, seconds=200.0)
+    await deployment.wait_until(
+        lambda: set(deployment.cloud.machines) == {refused_machine}, seconds=200.0
+    )
     await deployment.wait_until(lambda: bool(recorded_events(deployment, "refused")))
     deployment.cloud.refused_names.clear()
-    await finish(deployment)
+    await finish_and_check(deployment)
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -7,11 +7,11 @@
 from basaltlead.core.planning import plan
 from basaltlead.core.teams import TeamQuota
 from basaltlead.wire.workers import TaskStatus
-from tests.builders import TIMING, Story, make_job, task_status
+from tests.builders import TIMING, ShardHarness, make_job, task_status
 
 
 def test_task_is_started_ends_and_is_forgotten_only_once_its_result_is_stored() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
@@ -27,7 +27,7 @@
 
 
 def test_lost_start_command_is_repeated_with_the_same_attempt_number() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     attempt_number = harness.attempt(job_state).attempt_number
 
@@ -37,7 +37,7 @@
 
 
 def test_late_copy_of_an_old_heartbeat_is_ignored() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
     old_heartbeat = harness.make_heartbeat("m-0")
@@ -53,7 +53,7 @@
 
 
 def test_heartbeats_of_an_expired_agent_epoch_are_ignored() -> None:
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
@@ -71,7 +71,7 @@
 
 
 def test_silent_machine_keeps_its_tasks_until_its_lease_has_provably_expired() -> None:
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
@@ -86,20 +86,20 @@
 
 
 def test_new_agent_epoch_ends_all_attempts_on_the_machine() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
     harness.heartbeat("m-0")
     harness.heartbeat("m-0", task_status(attempt, "running"))
-    harness.heartbeat("m-0", epoch=2, tick=1)
+    harness.heartbeat("m-0", epoch=2, sequence=1)
 
     assert not job_state.live
     assert job_state.waiting == 1
 
 
 def test_heartbeat_without_our_fencing_token_does_not_sync_the_machine() -> None:
-    harness = Story(machines=0)
+    harness = ShardHarness(machines=0)
     harness.add("m-9", loaded=True)
     job_state = harness.submit(version=50)  # accepted before the grant
 
@@ -116,7 +116,7 @@
 
 
 def test_jobs_accepted_after_the_grant_do_not_wait_for_silent_machines() -> None:
-    harness = Story(machines=1)
+    harness = ShardHarness(machines=1)
     harness.add("m-9", loaded=True)
     before_grant, after_grant = harness.submit(1, version=50), harness.submit(2, version=150)
 
@@ -131,7 +131,7 @@
 
 
 def test_unacknowledged_start_holds_its_task_until_it_is_resolved() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     machine = harness.shard.machines["m-0"]
 
@@ -151,7 +151,7 @@
 
 
 def test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
 
     _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
@@ -168,7 +168,7 @@
 
 def test_refused_start_that_may_arrive_again_does_not_delay_the_task() -> None:
     """Such a task waited forever if the fleet had a single machine."""
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
 
     _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
@@ -185,7 +185,7 @@
 
 
 def test_refused_push_returns_its_attempt_to_planned_at_once() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
 
     _, pushed_starts = harness.shard.take_push_commands(harness.shard.machines["m-0"])
@@ -195,7 +195,7 @@
 
 
 def test_heartbeat_older_than_the_answer_to_a_push_does_not_end_the_attempt() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     older_heartbeat = harness.make_heartbeat("m-0")  # sent before the worker had the command
 
@@ -211,7 +211,7 @@
 
 
 def test_stopped_task_starts_elsewhere_only_after_it_has_ended() -> None:
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
@@ -229,7 +229,7 @@
 
 
 def test_no_task_starts_on_a_machine_that_is_not_recorded() -> None:
-    harness = Story(machines=0)
+    harness = ShardHarness(machines=0)
     machine = harness.add("m-0")
 
     machine.recorded = False
@@ -244,7 +244,7 @@
 
 
 def test_limited_team_waits_while_tasks_of_unknown_size_may_run() -> None:
-    harness = Story(limits={"red": TeamQuota(cpus_max=2.0)})
+    harness = ShardHarness(quotas={"red": TeamQuota(cpus_max=2.0)})
     harness.add("m-9", loaded=True)
     job_state = harness.submit(tasks=3)
 
@@ -260,7 +260,7 @@
 
 
 def test_cancelled_job_is_halted_and_forgotten() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
@@ -276,7 +276,7 @@
 def test_unsynced_machine_gets_halts_for_closed_jobs_in_the_first_answer() -> None:
     """That answer renews the worker's lease and may be the last to arrive: a task without a halt in
     it would run on for a whole lease."""
-    harness = Story()
+    harness = ShardHarness()
     harness.add("m-9", loaded=True)
     harness.submit(number=2, version=50)
 
@@ -293,7 +293,7 @@
 
 def test_machine_silent_for_half_a_lease_gets_no_new_tasks() -> None:
     """It may still execute pushed commands, but these do not renew its lease."""
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
 
     harness.now += TIMING.lease_us // 2 + 1
     harness.heartbeat("m-1")
@@ -306,7 +306,7 @@
 
 
 def test_broken_gang_restarts_only_after_all_its_attempts_have_ended() -> None:
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
     job_state = harness.submit(shape=Shape.GANG, tasks=2, cpus=3.0)
     first, second = harness.attempt(job_state, 0), harness.attempt(job_state, 1)
 
@@ -329,7 +329,7 @@
 
 
 def test_one_zone_and_spread_zones_apply_together() -> None:
-    harness = Story(machines=3)
+    harness = ShardHarness(machines=3)
 
     harness.shard.machines["m-2"].zone = "b"
     job_state = harness.submit(tasks=4, one_zone=True, spread_zones=True)
@@ -339,7 +339,7 @@
 
 
 def test_higher_rank_preempts_lower_rank_and_equal_rank_does_not() -> None:
-    harness = Story()
+    harness = ShardHarness()
     low = harness.submit(1, tasks=4, rank=0)
 
     for attempt in list(low.live.values()):
@@ -361,7 +361,7 @@
 
 
 def test_task_on_a_machine_with_preemption_notice_checkpoints_in_time() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit(checkpoint_interval_us=20 * US, checkpoint_duration_s=5.0)
     attempt = harness.attempt(job_state)
 
@@ -379,7 +379,7 @@
 
 
 def test_guarantee_preempts_work_beyond_another_teams_guarantee() -> None:
-    harness = Story(limits={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
+    harness = ShardHarness(quotas={"red": TeamQuota(cpus=3.0), "blue": TeamQuota(cpus=1.0)})
     blue = harness.submit(1, team="blue", tasks=4)
 
     for attempt in blue.live.values():
@@ -393,7 +393,7 @@
 
 
 def test_waiting_gangs_are_placed_before_arrays_of_their_rank() -> None:
-    harness = Story()
+    harness = ShardHarness()
     filler = harness.submit(1, tasks=4)
     array, gang = harness.submit(2, tasks=4), harness.submit(3, shape=Shape.GANG, tasks=2, cpus=2.0)
 
@@ -408,40 +408,40 @@
 def test_machine_whose_lease_expired_despite_answers_must_prove_it_is_reachable() -> None:
     """Its heartbeats arrive, but answers and commands don't reach it: its tasks are moved to other
     machines, and no new ones are started there."""
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
     job_state = harness.submit()
     unreachable = harness.attempt(job_state).machine
 
     harness.heartbeat(unreachable.name)
     harness.now += TIMING.lease_us
-    harness.heartbeat(unreachable.name, epoch=2, tick=1)
+    harness.heartbeat(unreachable.name, epoch=2, sequence=1)
     for name in harness.shard.machines:
         if name != unreachable.name:
             harness.heartbeat(name)
     plan(harness.shard, harness.now)
     assert job_state.live[0].machine is not unreachable
     assert not unreachable.usable(harness.now)
-    harness.shard.receive_push_response(harness.make_heartbeat(unreachable.name, epoch=2, tick=2), harness.now
+    harness.shard.receive_push_response(harness.make_heartbeat(unreachable.name, epoch=2, sequence=2), harness.now
     )
 
     assert unreachable.usable(harness.now)
 
 
 def test_agent_epoch_longer_than_a_lease_proves_that_the_machine_is_reachable() -> None:
-    harness = Story()
+    harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
 
-    harness.heartbeat("m-0", epoch=2, tick=1)
+    harness.heartbeat("m-0", epoch=2, sequence=1)
     assert not machine.usable(harness.now)
-    for tick in range(2, 13):
+    for sequence in range(2, 13):
         harness.now += US
-        harness.heartbeat("m-0", epoch=2, tick=tick)
+        harness.heartbeat("m-0", epoch=2, sequence=sequence)
 
     assert machine.usable(harness.now)
 
 
 def test_unacknowledged_push_keeps_new_tasks_off_until_a_command_takes_effect() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     machine = harness.shard.machines["m-0"]
 
@@ -459,15 +459,15 @@
 def test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever() -> None:
     """After a failover, heartbeats of a machine that our answers don't reach, or late copies of
     heartbeats, may keep arriving."""
-    harness = Story()
+    harness = ShardHarness()
     harness.add("m-9", loaded=True)
     job_state = harness.submit(version=50)
 
     assert not job_state.live
-    for tick in range(1, 40):
+    for sequence in range(1, 40):
         harness.now += US
         harness.heartbeat(
-            "m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, tick=tick
+            "m-9", TaskStatus("req-000001/0", 5, "running"), fencing_token=6, sequence=sequence
         )
         harness.heartbeat("m-0")
         harness.shard.advance(harness.now)
@@ -481,7 +481,7 @@
 
 
 def test_heartbeat_copies_do_not_restore_a_lost_machine() -> None:
-    harness = Story()
+    harness = ShardHarness()
     machine = harness.add("m-9", loaded=True)
 
     harness.now += TIMING.lease_expiry_us + 1
@@ -502,14 +502,14 @@
     assert not machine.up
     assert not machine.attempts
     assert not machine.last_heartbeat_at
-    harness.heartbeat("m-9", epoch=4, tick=1)  # our token proves that it is alive
+    harness.heartbeat("m-9", epoch=4, sequence=1)  # our token proves that it is alive
 
     assert not machine.lost
     assert machine.synced
 
 
 def test_stragglers_move_off_a_slow_machine_but_a_job_slow_everywhere_stays() -> None:
-    harness = Story(machines=3)
+    harness = ShardHarness(machines=3)
     job_state = harness.submit(tasks=9)
 
     slow = job_state.live[0].machine
@@ -565,7 +565,7 @@
 
 
 def test_job_returns_to_the_only_machine_although_it_was_slow() -> None:
-    harness = Story()
+    harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
 
@@ -586,7 +586,7 @@
 
 def test_room_is_reserved_for_a_large_waiting_gang() -> None:
     """Otherwise single tasks of its rank would take any room as soon as it is freed."""
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
 
     running = [harness.submit(number, cpus=2.0, shape=Shape.GANG) for number in range(1, 5)]
     large = harness.submit(9, tasks=2, cpus=4.0, shape=Shape.GANG, one_zone=True)
@@ -607,14 +607,14 @@
     assert len(large.live) == 2
 
 
-def _attempts_on(harness: Story, name: str) -> list[Attempt]:
+def _attempts_on(harness: ShardHarness, name: str) -> list[Attempt]:
     return list(harness.shard.machines[name].attempts.values())
 
 
 def test_machine_is_settled_although_an_orphaned_attempt_stays_listed() -> None:
     """A pushed start without an answer may still arrive, so the worker must not forget the attempt.
     The machine can be returned all the same once the result is stored."""
-    harness = Story()
+    harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
@@ -631,7 +631,7 @@
 
 
 def test_machine_with_a_running_task_of_a_closed_job_is_not_settled() -> None:
-    harness = Story()
+    harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
 
     of_closed_job = TaskStatus("req-000009/0", 3, "running")
@@ -641,7 +641,7 @@
 
 
 def test_job_with_objective_reclaims_its_share_from_checkpointed_job_without_objective() -> None:
-    harness = Story()
+    harness = ShardHarness()
 
     harness.shard.machines["m-0"].images["img"] = 1.0
     low = harness.submit(
@@ -665,7 +665,7 @@
     "case", ["no checkpoint", "other has objective", "same rank", "no objective", "no share"]
 )
 def test_job_with_objective_preempts_nothing_else(case: str) -> None:
-    harness = Story()
+    harness = ShardHarness()
     checkpoint_fields = (
         {}
         if case == "no checkpoint"
@@ -690,7 +690,7 @@
 
 def test_jobs_that_fail_everywhere_do_not_count_against_a_machine() -> None:
     """Otherwise four such jobs that are still open would mark a healthy machine as faulty."""
-    harness = Story(machines=2)
+    harness = ShardHarness(machines=2)
 
     for number in range(1, 5):
         job_state = harness.submit(number)
--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -31,17 +31,17 @@
 from basaltlead.core.worker_lease import WorkerLease
 from basaltlead.shard.command_log import log_commands
 from basaltlead.wire.workers import Heartbeat
-from tests.builders import TIMING, Story, task_status
+from tests.builders import TIMING, ShardHarness, task_status
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
 
-def _push_starts(harness: Story, machine: Machine) -> list[Attempt]:
+def _push_starts(harness: ShardHarness, machine: Machine) -> list[Attempt]:
     """Push the pending commands of a machine; returns the starts, which stay in flight."""
     return harness.shard.take_push_commands(machine)[1]
 
 
-def _receive_push_answer(harness: Story, starts: list[Attempt], epoch: int, executed: bool) -> None:
+def _receive_push_answer(harness: ShardHarness, starts: list[Attempt], epoch: int, executed: bool) -> None:
     """Receive the answer to a push, with the machine's epoch and the starts if it executed them."""
     machine = starts[0].machine.name
     tasks = [task_status(attempt, "running") for attempt in starts] if executed else []
@@ -53,12 +53,12 @@
     harness.shard.acknowledge_starts(starts, executed)
 
 
-def _receive_probe_answer(harness: Story, machine: str, epoch: int) -> None:
+def _receive_probe_answer(harness: ShardHarness, machine: str, epoch: int) -> None:
     """Receive the answer to a probe, which lists no task."""
     harness.shard.receive_push_response(harness.make_heartbeat(machine, epoch=epoch), harness.now)
 
 
-def _start_in_new_epoch(harness: Story, machine: Machine, job_state: JobState) -> Attempt:
+def _start_in_new_epoch(harness: ShardHarness, machine: Machine, job_state: JobState) -> Attempt:
     """Start the task in epoch 2. The first push is refused, since it names epoch 1."""
     _receive_push_answer(harness, _push_starts(harness, machine), epoch=2, executed=False)
     plan(harness.shard, harness.now)
@@ -68,7 +68,7 @@
 
 def test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch() -> None:
     # Given a machine of an earlier shard leader that commands reach, but that reaches no controller
-    harness = Story(machines=0)
+    harness = ShardHarness(machines=0)
     machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
     _receive_probe_answer(harness, "m-0", epoch=1)
@@ -102,7 +102,7 @@
 
 def test_machine_that_shows_itself_again_is_not_lost_again_at_once() -> None:
     # Given a machine that was lost
-    harness = Story()
+    harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
     harness.now += TIMING.lease_expiry_us + US
     harness.shard.advance(harness.now)
@@ -170,7 +170,7 @@
 
 
 def test_log_tells_since_what_the_lease_of_a_lost_machine_was_counted() -> None:
-    harness = Story(machines=0)
+    harness = ShardHarness(machines=0)
     machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
     _receive_probe_answer(harness, "m-0", epoch=1)
@@ -193,7 +193,7 @@
 def test_debug_log_tells_what_was_known_when_a_command_was_sent(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    harness = Story()
+    harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
     harness.submit()
     harness.now += 2 * US
@@ -247,7 +247,7 @@
 
 def test_epoch_that_only_a_push_has_shown_does_not_make_a_silent_machine_usable() -> None:
     # Given a machine that was silent for more than half a lease
-    harness = Story()
+    harness = ShardHarness()
     harness.now += TIMING.lease_us // 2 + US
 
     # When an answer to a probe shows its next epoch
--- a/tests/tools/measure_duties.py
+++ b/tests/tools/measure_duties.py
@@ -1,7 +1,7 @@
 """Measures duties in simulated time: python3 -m tests.tools.measure_duties
 
-How long a duty is without an acting holder, by cause; changes of the key-value store for each
-machine that is rented and returned; and what duties cost while there is no job.
+It prints how long a duty has no acting holder, by cause, how many changes in the key-value store
+each machine that is rented and returned needs, and the load on the store while there is no job.
 """
 
 import asyncio
@@ -13,10 +13,10 @@
 from basaltlead.duties.model import Duty
 from tests.fakes import Deployment
 from tests.fakes.store import FakeKeyValueStore
-from tests.simulation import Loop, play, poll_until
+from tests.simulation import Loop, poll_until, run_scenario
 
 SEEDS = range(1, 11)
-RESOLUTION_S = 0.01  # of the measured times
+RESOLUTION_S = 0.01  # of the measured durations
 CAUSES: dict[str, Callable[[Deployment, str], Any]] = {
     "crash": lambda deployment, name: deployment.crash(name),
     "stands still": lambda deployment, name: deployment.freeze(name),
@@ -27,7 +27,7 @@
 
 
 async def _until_held_by_another(deployment: Deployment, duty: Duty, name: str) -> None:
-    """Return once a controller other than this one acts for the duty."""
+    """Wait until another controller than this one acts for the duty."""
     while True:
         if deployment.holder(duty) not in (None, name):
             return
@@ -35,8 +35,8 @@
 
 
 def failover(cause: str, duty: Duty, seed: int) -> float:
-    """Seconds until another controller acts for the duty."""
-    took: list[float] = []
+    """Return the seconds until another controller acts for the duty."""
+    durations_s: list[float] = []
 
     async def scenario(loop: Loop) -> None:
         deployment = Deployment(loop, seed, operator={"duties": True}, lease=20.0, cancel=60.0)
@@ -46,16 +46,16 @@
         name = deployment.holder(duty)
         assert name is not None
         CAUSES[cause](deployment, name)
-        at = loop.time()
+        lost_at = loop.time()
         await poll_until(lambda: deployment.holder(duty) not in (None, name), 0.01)
-        took.append(loop.time() - at)
+        durations_s.append(loop.time() - lost_at)
 
-    play(scenario, seed)
-    return took[0]
+    run_scenario(scenario, seed)
+    return durations_s[0]
 
 
-def changes_for_each_machine(duties: bool) -> dict[str, float]:
-    """Changes by prefix of row, for each machine of a fleet that comes and goes."""
+def changes_per_machine(duties: bool) -> dict[str, float]:
+    """Return the changes per machine that is rented and returned, by key prefix."""
     counts: Counter[str] = Counter()
     machines: list[int] = []
 
@@ -76,14 +76,14 @@
         await asyncio.sleep(60)
         machines.append(deployment.cloud.rented_count)
 
-    play(scenario)
+    run_scenario(scenario)
     prefixes = ("hire", "mach", "return", "history")
-    each = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
-    return each | {"machines": machines[0], "all": round(sum(each.values()), 2)}
+    per_machine = {prefix: round(counts[prefix] / machines[0], 2) for prefix in prefixes}
+    return per_machine | {"machines": machines[0], "all": round(sum(per_machine.values()), 2)}
 
 
 def idle_cost(duties: bool) -> dict[str, float]:
-    """Requests and changes a second of all controllers while there is no job."""
+    """Return the requests and changes per second of all controllers while there is no job."""
     rates: dict[str, float] = {}
 
     async def scenario(loop: Loop) -> None:
@@ -95,7 +95,7 @@
         rates["requests"] = round((deployment.store.requests - requests) / 300, 2)
         rates["changes"] = round((deployment.store.writes - writes) / 300, 2)
 
-    play(scenario)
+    run_scenario(scenario)
     return rates
 
 
@@ -103,11 +103,11 @@
     """Print all figures."""
     for cause in CAUSES:
         for duty in Duty:
-            took = sorted(failover(cause, duty, seed) for seed in SEEDS)
-            median, worst = statistics.median(took), took[-1]
+            durations_s = sorted(failover(cause, duty, seed) for seed in SEEDS)
+            median, worst = statistics.median(durations_s), durations_s[-1]
             print(f"failover, {cause}, {duty}: median {median:.2f} s, worst {worst:.2f} s")
     for duties in (False, True):
-        print(f"duties {duties}: changes for each machine {changes_for_each_machine(duties)}")
+        print(f"duties {duties}: changes for each machine {changes_per_machine(duties)}")
         print(f"duties {duties}: idle {idle_cost(duties)} a second")
 
 
