--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -54,12 +54,12 @@
     other = deployment.other_node(shard_leader)
 
     deployment.store.down = True
-    ride = deployment.controllers[shard_leader].settings.staleness_us / 1e6
+    staleness_s = deployment.controllers[shard_leader].settings.staleness_us / 1e6
     if what == "restarted":
         deployment.crash(other)
         await asyncio.sleep(0.3)
         deployment.start_controller(other)
-        await asyncio.sleep(ride - 1.5)
+        await asyncio.sleep(staleness_s - 1.5)
         assert deployment.shard_leader() == shard_leader  # it may defer failovers all the same
     else:
         if what == "stands still":
@@ -68,7 +68,7 @@
             deployment.net.slow[deployment.host(other)] = 2.5
         else:
             deployment.net.cut(deployment.host(shard_leader), deployment.host(other))
-        await asyncio.sleep(ride - 1.5)
+        await asyncio.sleep(staleness_s - 1.5)
     await asyncio.sleep(2.5)
     assert deployment.shard_leader() is None
     deployment.thaw(other)
