--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -42,29 +42,29 @@
     deployment.assert_no_violation()
 
 
-@pytest.mark.parametrize("what", ["restarted", "stands still", "cut off", "slow"])
+@pytest.mark.parametrize("fault", ["restarted", "stands still", "cut off", "slow"])
 @simulated
 async def test_shard_leader_stops_when_cancellations_can_not_be_confirmed_any_more(
-    loop: Loop, what: str
+    loop: Loop, fault: str
 ) -> None:
     """One of the others can't confirm which cancellations it has acknowledged."""
     # With a longer lease, deferrals outlast a slow link.
-    deployment = Deployment(loop, operator={"right_s": 6.0} if what == "slow" else None)
+    deployment = Deployment(loop, operator={"right_s": 6.0} if fault == "slow" else None)
     shard_leader = await deployment.start_with_running_job(2, 300.0)
     other = deployment.other_node(shard_leader)
 
     deployment.store.down = True
     staleness_s = deployment.controllers[shard_leader].settings.staleness_us / 1e6
-    if what == "restarted":
+    if fault == "restarted":
         deployment.crash(other)
         await asyncio.sleep(0.3)
         deployment.start_controller(other)
         await asyncio.sleep(staleness_s - 1.5)
         assert deployment.shard_leader() == shard_leader  # it may defer failovers all the same
     else:
-        if what == "stands still":
+        if fault == "stands still":
             deployment.freeze(other)
-        elif what == "slow":  # its confirmation is older than it seems
+        elif fault == "slow":  # its confirmation is older than it seems
             deployment.net.slow[deployment.host(other)] = 2.5
         else:
             deployment.net.cut(deployment.host(shard_leader), deployment.host(other))
