--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -133,18 +133,18 @@
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
     member = deployment.controllers["node-0"].membership
 
-    gone = Grant("node-x", "incarnation", 1)
+    grant = Grant("node-x", "incarnation", 1)
     # Just started: may have granted a deferral in an earlier run
-    assert not member.deferrals.may_replace(gone)
+    assert not member.deferrals.may_replace(grant)
     await asyncio.sleep(member.ttl_us * 1.02 / 1e6)
-    assert member.deferrals.may_replace(gone)
+    assert member.deferrals.may_replace(grant)
     deployment.store.down = True
     await asyncio.sleep(member.ttl_us / 2e6)
     member.cluster.members["node-x"] = Versioned(MemberRecord("node-x", "incarnation"), 1)
     assert member.deferrals.defer_failover("node-x", "incarnation", member.ttl_us) > 0
     del member.cluster.members["node-x"]  # its session lease has ended
 
-    assert not member.deferrals.may_replace(gone)
+    assert not member.deferrals.may_replace(grant)
     # Replaced by itself
     assert member.deferrals.may_replace(Grant("node-1", "an earlier incarnation", 1))
 
