--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -101,7 +101,7 @@
     shard_leader = await deployment.start_with_running_job(2, 30.0)
     dead = _worker_running(deployment, "req-000001/0")
 
-    held = dead.heartbeat()
+    late_heartbeat = dead.heartbeat()
     dead.stop()
     del deployment.cloud.machines[dead.name]
     key = f"mach/{dead.name}"
@@ -111,8 +111,8 @@
     second = deployment.acting_shard_leader()
     await deployment.wait_until(lambda: deployment.controllers[second].shard_leaders[0].loaded)
     for _ in range(20):
-        held["Tick"] += 1
-        await deployment.request(second, "POST", "/agent/beat", held)
+        late_heartbeat["Tick"] += 1
+        await deployment.request(second, "POST", "/agent/beat", late_heartbeat)
         await asyncio.sleep(0.5)
     assert key not in deployment.store.keys
     assert dead.name not in deployment.controllers[second].shard_leaders[0].shard.machines
