--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -253,8 +253,8 @@
         await deployment.submit(deployment.job(number, Cores=4.0, Yard="b", RunS=200.0))
     await deployment.submit(deployment.job(5, Cores=4.0, Yard="a", RunS=200.0))
     await deployment.wait_until(lambda: len(deployment.rule_checker.running_on) == 5)
-    dark = [m for m in deployment.cloud.machines.values() if m.zone == "b"]
-    for machine in dark:
+    silent_machines = [m for m in deployment.cloud.machines.values() if m.zone == "b"]
+    for machine in silent_machines:
         for name in deployment.nodes:
             deployment.net.cut(machine.host, deployment.host(name))
     await asyncio.sleep(FakeWorker.LEASE)
