--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -83,10 +83,10 @@
     )
     status, _ = await deployment.request(first, "GET", "/healthz")
     assert status == 503  # users go elsewhere
-    asked = loop.time()
+    asked_at = loop.time()
     status, _ = await deployment.request(first, "POST", "/api/jobs", deployment.job(2))
     assert status == 503
-    assert loop.time() - asked < 0.1
+    assert loop.time() - asked_at < 0.1
     await deployment.wait_until_done("req-000001")
     assert deployment.rule_checker.starts == starts  # nothing had to be started again
     deployment.rejoin_store_and_peers(first)
