--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -9,7 +9,10 @@
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
-LEASE_S, CANCEL = 10.0, 30.0  # s; with a session lease of a third of LEASE they leave little slack
+LEASE_S, CANCEL_S = (
+    10.0,
+    30.0,
+)  # s; with a session lease of a third of LEASE they leave little slack
 
 
 async def _run_checked(deployment: Deployment, seconds: float) -> None:
@@ -101,7 +104,7 @@
 async def test_cancellation_holds_when_the_store_refuses_the_leader_and_then_everybody(
     loop: Loop, confirm: Confirm, wait: float
 ) -> None:
-    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     await deployment.start_with_running_job(6, 500.0)
 
     for number in (1, 2):  # twice in a row
@@ -112,7 +115,7 @@
         deployment.store.down = True
         await _run_checked(deployment, 5)
         deployment.store.refused_hosts.clear()
-        await _run_checked(deployment, CANCEL)
+        await _run_checked(deployment, CANCEL_S)
         assert deployment.running_tasks(ref) == []
         deployment.store.end_outage()
         await deployment.submit(deployment.job(number + 1, Pieces=6, RunS=500.0))
@@ -129,7 +132,7 @@
 ) -> None:
     """All controllers end after a cancellation that the shard leader did not see. The next one is
     leased the shard, and the key-value store is out before it has read which jobs are open."""
-    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     shard_leader = await deployment.start_with_running_job(6, 500.0)
 
     await _confirmed_at_once(deployment, shard_leader, "req-000001")
@@ -139,7 +142,7 @@
     deployment.store.refused_hosts.clear()
     await poll_until(lambda: deployment.store.keys["c/block/0"][0]["baton"] != 1, 0.001)
     deployment.store.down = True
-    await _run_checked(deployment, 2 * CANCEL)
+    await _run_checked(deployment, 2 * CANCEL_S)
 
     assert deployment.running_tasks("req-000001") == []
     deployment.assert_no_violation()
@@ -147,7 +150,7 @@
 
 @simulated
 async def test_shard_leader_that_has_not_loaded_open_jobs_stops_nothing(loop: Loop) -> None:
-    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=12, Cores=4.0, Grades=["small"], RunS=40.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 12)
@@ -168,7 +171,7 @@
 @simulated
 async def test_refused_shard_leader_starts_no_task_of_a_cancelled_job(loop: Loop) -> None:
     """Others notify it directly; its lease lasts for a while yet, and more tasks than room wait."""
-    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL)
+    deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     deployment.cloud.capacity = 2
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=1000, RunS=500.0, Grades=["large"]))
