--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -86,8 +86,8 @@
         deployment.loop.call_later(0.8 * LEASE_S, setattr, machine, "hung", False)
 
 
-Confirm = Callable[[Deployment, str, str], Awaitable[None]]
-CONFIRMATIONS: list[Confirm] = [
+ConfirmCancellation = Callable[[Deployment, str, str], Awaitable[None]]
+CONFIRMATIONS: list[ConfirmCancellation] = [
     _confirmed_at_once,
     _confirmed_just_before,
     _confirmed_a_while_after,
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("confirm", CONFIRMATIONS, ids=lambda confirm: confirm.__name__[1:])
 @simulated
 async def test_cancellation_holds_when_the_store_refuses_the_leader_and_then_everybody(
-    loop: Loop, confirm: Confirm, wait: float
+    loop: Loop, confirm: ConfirmCancellation, wait: float
 ) -> None:
     deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     await deployment.start_with_running_job(6, 500.0)
