--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -200,10 +200,10 @@
 async def _end_faults_and_finish(deployment: Deployment, *refs: str, seconds: float = 200) -> None:
     """End all faults: every job is answered soon, and those that were not cancelled run."""
     deployment.end_all_faults()
-    over = deployment.loop.time()
+    faults_over_at = deployment.loop.time()
     for ref in deployment.jobs:
         while await deployment.poll(ref) not in ("pending", "running", "done", "withdrawn"):
-            assert deployment.loop.time() < over + 75, f"forgotten {ref}"
+            assert deployment.loop.time() < faults_over_at + 75, f"forgotten {ref}"
             await asyncio.sleep(1)
     await deployment.wait_until_done(*refs, seconds=seconds)
     deployment.assert_no_violation()
