--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -264,11 +264,11 @@
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) >= 3)
 
     for round_ in range(3):
-        held = _workers_running(deployment, "req-000001") + _workers_running(
+        workers = _workers_running(deployment, "req-000001") + _workers_running(
             deployment, "req-000002"
         )
-        if held:
-            victim = held[round_ % len(held)]
+        if workers:
+            victim = workers[round_ % len(workers)]
             if round_ == 1:
                 victim.hung = True
             elif victim.name in deployment.cloud.machines:
