--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -316,15 +316,15 @@
     await deployment.start_with_running_job(6, 100.0)
     await deployment.submit(deployment.job(2, Shape="group", Pieces=2, Cores=2.0, RunS=30.0))
 
-    for moment in range(10):
-        if outage and moment in (2, 6):
+    for failover in range(10):
+        if outage and failover in (2, 6):
             deployment.store.down = True
-        if moment in (4, 8) and deployment.store.down:
+        if failover in (4, 8) and deployment.store.down:
             deployment.store.end_outage()
-        leader = deployment.shard_leader() or deployment.nodes[moment % 3]
+        leader = deployment.shard_leader() or deployment.nodes[failover % 3]
         if leader in deployment.controller_tasks:
             deployment.crash(leader)
-        await _run_checked(deployment, 0.4 if moment % 3 else 3.0)
+        await _run_checked(deployment, 0.4 if failover % 3 else 3.0)
         deployment.start_controller(leader)
         await _run_checked(deployment, 10)
 
