--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -633,7 +633,7 @@
     good = deployment.job(1, Pieces=2, RunS=30.0)
 
     assert await deployment.submit(good) == 201
-    never = [
+    impossible = [
         {"Yard": "nowhere"},
         {"Grades": []},
         {"Grades": ["huge"]},
@@ -643,7 +643,7 @@
         {"Shape": "group", "Pieces": 3, "OneZone": True, "Apart": True},
         {"Shape": "group", "Pieces": 3, "Yard": "a", "Apart": True},
     ]
-    for number, fields in enumerate(never, 10):
+    for number, fields in enumerate(impossible, 10):
         job = deployment.job(number, **fields)
         assert (await deployment.request("node-0", "POST", "/api/jobs", job))[0] == 422, fields
     malformed = [{"Pieces": None}, {"Cores": "1"}, {"Pieces": 0}, {"Rank": "urgent"}]
