--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -671,14 +671,14 @@
     asked, other = deployment.nodes[:2]
 
     deployment.store.slowness = 10.0  # 20 ms for an answer
-    question = loop.create_task(deployment.request(asked, "GET", "/api/jobs/req-000001"))
+    pending_poll = loop.create_task(deployment.request(asked, "GET", "/api/jobs/req-000001"))
     await asyncio.sleep(0.01)  # the read has reached the key-value store
     deployment.net.cut(deployment.host(asked), deployment.store.HOST)
     await asyncio.sleep(0.03)  # it has been answered, and the answer is held up
     assert await deployment.cancel("req-000001", other) == "withdrawn"
     await asyncio.sleep(0.05)
     deployment.net.heal(deployment.host(asked), deployment.store.HOST)
-    status, body = await question
+    status, body = await pending_poll
 
     assert (status, body["Stage"]) == (200, "withdrawn")
     deployment.assert_no_violation()
