--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -542,8 +542,8 @@
     for number in range(2, 7):
         cancels.append(loop.create_task(deployment.cancel(f"req-{number:06d}")))
         await _run_checked(deployment, 0.4)
-        for asked in range(1, number):
-            await deployment.poll(f"req-{asked:06d}")
+        for polled in range(1, number):
+            await deployment.poll(f"req-{polled:06d}")
     deployment.store.down = True
     await _run_checked(deployment, Deployment.CANCEL + 5)
     deployment.store.refused_hosts.clear()
@@ -668,16 +668,16 @@
     """The controller has heard of the cancellation by the time its own read comes back."""
     deployment = Deployment(loop)
     await deployment.start_with_running_job(2, 100.0)
-    asked, other = deployment.nodes[:2]
+    polled, other = deployment.nodes[:2]
 
     deployment.store.slowness = 10.0  # 20 ms for an answer
-    pending_poll = loop.create_task(deployment.request(asked, "GET", "/api/jobs/req-000001"))
+    pending_poll = loop.create_task(deployment.request(polled, "GET", "/api/jobs/req-000001"))
     await asyncio.sleep(0.01)  # the read has reached the key-value store
-    deployment.net.cut(deployment.host(asked), deployment.store.HOST)
+    deployment.net.cut(deployment.host(polled), deployment.store.HOST)
     await asyncio.sleep(0.03)  # it has been answered, and the answer is held up
     assert await deployment.cancel("req-000001", other) == "withdrawn"
     await asyncio.sleep(0.05)
-    deployment.net.heal(deployment.host(asked), deployment.store.HOST)
+    deployment.net.heal(deployment.host(polled), deployment.store.HOST)
     status, body = await pending_poll
 
     assert (status, body["Stage"]) == (200, "withdrawn")
