--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -43,7 +43,7 @@
 
 CONTACTS = [*Contact, *4 * [Contact.MUTE]]  # mostly mute: only those begin a new epoch and hear us
 
-Trouble = Callable[[Deployment, random.Random], Awaitable[None]]
+LeaderFault = Callable[[Deployment, random.Random], Awaitable[None]]
 
 
 async def _crash(deployment: Deployment, rng: random.Random) -> None:
@@ -101,7 +101,7 @@
     """Nothing befalls the shard leader."""
 
 
-TROUBLES: list[Trouble] = [
+TROUBLES: list[LeaderFault] = [
     _crash,
     _hand_over_and_back,
     _pause,
