--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -101,7 +101,7 @@
     """Nothing befalls the shard leader."""
 
 
-TROUBLES: list[LeaderFault] = [
+LEADER_FAULTS: list[LeaderFault] = [
     _crash,
     _hand_over_and_back,
     _pause,
@@ -141,7 +141,7 @@
     up = [machine for machine in deployment.cloud.machines.values() if machine.up]
     silent = [machine for machine in up if rng.random() < rng.choice([0.2, 0.5])]
     contact = rng.choice(CONTACTS)
-    trouble = rng.choice(TROUBLES)
+    trouble = rng.choice(LEADER_FAULTS)
     _set_contact(silent, contact, True)
     await asyncio.sleep(rng.uniform(0.0, deployment.lease * 0.6))
     pending = asyncio.ensure_future(trouble(deployment, rng))
