--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -141,10 +141,10 @@
     up = [machine for machine in deployment.cloud.machines.values() if machine.up]
     silent = [machine for machine in up if rng.random() < rng.choice([0.2, 0.5])]
     contact = rng.choice(CONTACTS)
-    trouble = rng.choice(LEADER_FAULTS)
+    leader_fault = rng.choice(LEADER_FAULTS)
     _set_contact(silent, contact, True)
     await asyncio.sleep(rng.uniform(0.0, deployment.lease * 0.6))
-    pending = asyncio.ensure_future(trouble(deployment, rng))
+    pending = asyncio.ensure_future(leader_fault(deployment, rng))
     await asyncio.sleep(deployment.lease * rng.uniform(0.5, 2.5))
     _set_contact(silent, contact, False)
     await pending
