--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -32,7 +32,7 @@
 SERVICE_REF = f"req-{SERVICE:06d}"
 
 
-class Contact(StrEnum):
+class ContactLoss(StrEnum):
     """How a machine falls out of contact: the attribute of the fake worker."""
 
     MUTE = "sends_no_heartbeats"
@@ -41,7 +41,10 @@
     ANSWERS_LOST = "answers_lost"
 
 
-CONTACTS = [*Contact, *4 * [Contact.MUTE]]  # mostly mute: only those begin a new epoch and hear us
+CONTACTS = [
+    *ContactLoss,
+    *4 * [ContactLoss.MUTE],
+]  # mostly mute: only those begin a new epoch and hear us
 
 LeaderFault = Callable[[Deployment, random.Random], Awaitable[None]]
 
@@ -131,7 +134,7 @@
         await asyncio.sleep(rng.expovariate(JOBS_A_SECOND))
 
 
-def _set_contact(machines: list[FakeWorker], contact: Contact, lost: bool) -> None:
+def _set_contact(machines: list[FakeWorker], contact: ContactLoss, lost: bool) -> None:
     for machine in machines:
         setattr(machine, contact, lost)
 
