--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -41,7 +41,7 @@
     ANSWERS_LOST = "answers_lost"
 
 
-CONTACTS = [
+CONTACT_LOSSES = [
     *ContactLoss,
     *4 * [ContactLoss.MUTE],
 ]  # mostly mute: only those begin a new epoch and hear us
@@ -143,7 +143,7 @@
     """Machines fall out of contact, something befalls the shard leader, all of it ends."""
     up = [machine for machine in deployment.cloud.machines.values() if machine.up]
     silent = [machine for machine in up if rng.random() < rng.choice([0.2, 0.5])]
-    contact = rng.choice(CONTACTS)
+    contact = rng.choice(CONTACT_LOSSES)
     leader_fault = rng.choice(LEADER_FAULTS)
     _set_contact(silent, contact, True)
     await asyncio.sleep(rng.uniform(0.0, deployment.lease * 0.6))
