--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -134,9 +134,9 @@
         await asyncio.sleep(rng.expovariate(JOBS_A_SECOND))
 
 
-def _set_contact_loss(machines: list[FakeWorker], contact: ContactLoss, lost: bool) -> None:
+def _set_contact_loss(machines: list[FakeWorker], contact: ContactLoss, active: bool) -> None:
     for machine in machines:
-        setattr(machine, contact, lost)
+        setattr(machine, contact, active)
 
 
 async def _meet(deployment: Deployment, rng: random.Random) -> None:
