--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -134,22 +134,22 @@
         await asyncio.sleep(rng.expovariate(JOBS_A_SECOND))
 
 
-def _set_contact_loss(machines: list[FakeWorker], contact: ContactLoss, active: bool) -> None:
+def _set_contact_loss(machines: list[FakeWorker], contact_loss: ContactLoss, active: bool) -> None:
     for machine in machines:
-        setattr(machine, contact, active)
+        setattr(machine, contact_loss, active)
 
 
 async def _meet(deployment: Deployment, rng: random.Random) -> None:
     """Machines fall out of contact, something befalls the shard leader, all of it ends."""
     up = [machine for machine in deployment.cloud.machines.values() if machine.up]
     silent = [machine for machine in up if rng.random() < rng.choice([0.2, 0.5])]
-    contact = rng.choice(CONTACT_LOSSES)
+    contact_loss = rng.choice(CONTACT_LOSSES)
     leader_fault = rng.choice(LEADER_FAULTS)
-    _set_contact_loss(silent, contact, True)
+    _set_contact_loss(silent, contact_loss, True)
     await asyncio.sleep(rng.uniform(0.0, deployment.lease * 0.6))
     pending = asyncio.ensure_future(leader_fault(deployment, rng))
     await asyncio.sleep(deployment.lease * rng.uniform(0.5, 2.5))
-    _set_contact_loss(silent, contact, False)
+    _set_contact_loss(silent, contact_loss, False)
     await pending
     await asyncio.sleep(rng.uniform(1.0, deployment.lease))
 
