--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -35,7 +35,7 @@
 class ContactLoss(StrEnum):
     """How a machine falls out of contact: the attribute of the fake worker."""
 
-    MUTE = "sends_no_heartbeats"
+    NO_HEARTBEATS = "sends_no_heartbeats"
     DEAF = "unreachable"
     HUNG = "hung"
     ANSWERS_LOST = "answers_lost"
@@ -43,7 +43,7 @@
 
 CONTACT_LOSSES = [
     *ContactLoss,
-    *4 * [ContactLoss.MUTE],
+    *4 * [ContactLoss.NO_HEARTBEATS],
 ]  # mostly mute: only those begin a new epoch and hear us
 
 LeaderFault = Callable[[Deployment, random.Random], Awaitable[None]]
