--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -36,7 +36,7 @@
     """How a machine falls out of contact: the attribute of the fake worker."""
 
     NO_HEARTBEATS = "sends_no_heartbeats"
-    DEAF = "unreachable"
+    UNREACHABLE = "unreachable"
     HUNG = "hung"
     ANSWERS_LOST = "answers_lost"
 
