--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -139,7 +139,7 @@
         setattr(machine, contact_loss, active)
 
 
-async def _meet(deployment: Deployment, rng: random.Random) -> None:
+async def _run_overlapping_faults(deployment: Deployment, rng: random.Random) -> None:
     """Machines fall out of contact, something befalls the shard leader, all of it ends."""
     up = [machine for machine in deployment.cloud.machines.values() if machine.up]
     silent = [machine for machine in up if rng.random() < rng.choice([0.2, 0.5])]
@@ -178,7 +178,7 @@
     checks = loop.create_task(_check_rules(deployment))
     users = loop.create_task(_submit_jobs(deployment, rng))
     for _ in range(ROUNDS):
-        await _meet(deployment, rng)
+        await _run_overlapping_faults(deployment, rng)
         assert not checks.done()
     users.cancel()
     deployment.end_all_faults()
