--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -161,7 +161,7 @@
         await asyncio.sleep(0.25)
 
 
-async def _play_day(loop: Loop, seed: int) -> None:
+async def _run_scenario(loop: Loop, seed: int) -> None:
     rng = random.Random(seed)
     limits = {"blue": 6.0} if seed % 3 == 0 else None
     operator = {"blocks": 3 if seed % 5 == 0 else 1}
@@ -193,4 +193,4 @@
 
 @pytest.mark.parametrize("seed", range(SOAK_SEEDS))
 def test_rules_hold_while_machines_are_out_of_contact(seed: int) -> None:
-    play(lambda loop: _play_day(loop, seed), seed)
+    play(lambda loop: _run_scenario(loop, seed), seed)
