--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -66,7 +66,7 @@
         await asyncio.sleep(rng.uniform(1.0, 4.0))
 
 
-async def _pause(deployment: Deployment, rng: random.Random) -> None:
+async def _freeze(deployment: Deployment, rng: random.Random) -> None:
     """The shard leader stands still while its clocks run on."""
     name = deployment.shard_leader()
     if name is None:
@@ -107,7 +107,7 @@
 LEADER_FAULTS: list[LeaderFault] = [
     _crash,
     _hand_over_and_back,
-    _pause,
+    _freeze,
     _lose_store,
     _refused_alone,
     _outage,
