--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -84,7 +84,7 @@
     deployment.net.heal(host, deployment.store.HOST, deliver=rng.random() < 0.5)
 
 
-async def _refused_alone(deployment: Deployment, rng: random.Random) -> None:
+async def _refuse_leader(deployment: Deployment, rng: random.Random) -> None:
     """The key-value store refuses the shard leader alone."""
     host = deployment.host(deployment.shard_leader() or deployment.nodes[0])
     deployment.store.refused_hosts.add(host)
@@ -109,7 +109,7 @@
     _hand_over_and_back,
     _freeze,
     _lose_store,
-    _refused_alone,
+    _refuse_leader,
     _outage,
     _none,
 ]
