--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -27,7 +27,7 @@
 ROUNDS = 3  # meetings a day
 MACHINES = 12
 LEASES_S = (8.0, 11.0, 14.0)
-JOBS_A_SECOND = 1.0
+JOBS_PER_S = 1.0
 SERVICE = 1001  # number of the only one
 SERVICE_REF = f"req-{SERVICE:06d}"
 
@@ -131,7 +131,7 @@
         await deployment.submit(job)
         if rng.random() < 0.15:
             await deployment.cancel(job["Ref"])
-        await asyncio.sleep(rng.expovariate(JOBS_A_SECOND))
+        await asyncio.sleep(rng.expovariate(JOBS_PER_S))
 
 
 def _set_contact_loss(machines: list[FakeWorker], contact_loss: ContactLoss, active: bool) -> None:
