--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -28,8 +28,8 @@
 MACHINES = 12
 LEASES_S = (8.0, 11.0, 14.0)
 JOBS_PER_S = 1.0
-SERVICE = 1001  # number of the only one
-SERVICE_REF = f"req-{SERVICE:06d}"
+SERVICE_NUMBER = 1001  # number of the only one
+SERVICE_REF = f"req-{SERVICE_NUMBER:06d}"
 
 
 class ContactLoss(StrEnum):
@@ -117,7 +117,7 @@
 
 async def _submit_jobs(deployment: Deployment, rng: random.Random) -> None:
     """Submit small jobs for as long as the day lasts, and a service; some are cancelled."""
-    await deployment.submit(deployment.service(SERVICE, Pieces=2, Loaners=True))
+    await deployment.submit(deployment.service(SERVICE_NUMBER, Pieces=2, Loaners=True))
     for number in range(2, 1000):
         gang = rng.random() < 0.2
         job = deployment.job(
