--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -10,7 +10,7 @@
 from tests.simulation import Loop, play, poll_until
 
 
-async def _users(deployment: Deployment, rng: random.Random, jobs: int) -> None:
+async def _submit_jobs(deployment: Deployment, rng: random.Random, jobs: int) -> None:
     """Submits, repeats, cancels and polls, at any node."""
     for number in range(1, jobs + 1):
         shape = rng.choice(["batch", "batch", "group"])
@@ -303,7 +303,7 @@
         await deployment.start()
         fault_kinds = FAULT_KINDS + DUTY_FAULT_KINDS * duties
         faults = loop.create_task(_inject_faults(deployment, rng, fault_kinds))
-        users = loop.create_task(_users(deployment, rng, count))
+        users = loop.create_task(_submit_jobs(deployment, rng, count))
         upgrade = loop.create_task(_upgrade_and_serve(deployment, rng, services))
         while not (users.done() and upgrade.done()):
             deployment.rule_checker.check()
