--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -37,7 +37,7 @@
         await asyncio.sleep(rng.uniform(0, 4))
 
 
-async def _service_users(deployment: Deployment, rng: random.Random, services: int) -> None:
+async def _submit_services(deployment: Deployment, rng: random.Random, services: int) -> None:
     """Start services, look at them, and cancel some, once the cluster takes any."""
     for number in range(501, 501 + services):
         job = deployment.service(
@@ -281,7 +281,7 @@
     lowering = asyncio.get_running_loop().call_later(
         rng.uniform(0, 20), deployment.apply_announced_limits
     )
-    await _service_users(deployment, rng, services)
+    await _submit_services(deployment, rng, services)
     lowering.cancel()
     deployment.apply_announced_limits()
 
