--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -274,7 +274,9 @@
     _run_with_faults(seed, shards=1, machines=12, count=15, services=8, duties=True)
 
 
-async def _upgrade_and_serve(deployment: Deployment, rng: random.Random, services: int) -> None:
+async def _upgrade_and_submit_services(
+    deployment: Deployment, rng: random.Random, services: int
+) -> None:
     if not services:
         return
     await _upgrade(deployment, rng)
@@ -304,7 +306,7 @@
         fault_kinds = FAULT_KINDS + DUTY_FAULT_KINDS * duties
         faults = loop.create_task(_inject_faults(deployment, rng, fault_kinds))
         users = loop.create_task(_submit_jobs(deployment, rng, count))
-        upgrade = loop.create_task(_upgrade_and_serve(deployment, rng, services))
+        upgrade = loop.create_task(_upgrade_and_submit_services(deployment, rng, services))
         while not (users.done() and upgrade.done()):
             deployment.rule_checker.check()
             for shard in range(shards):
