--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -101,7 +101,7 @@
         await asyncio.sleep(seconds)
         deployment.store.end_outage()
 
-    async def refused(name: str, seconds: float) -> None:
+    async def lose_store(name: str, seconds: float) -> None:
         deployment.net.cut(deployment.host(name), deployment.store.HOST)
         await asyncio.sleep(seconds)
         deployment.net.heal(
@@ -205,7 +205,7 @@
         elif fault_kind == 4:
             fault = outage(seconds)
         elif fault_kind == 5:
-            fault = refused(name, seconds)
+            fault = lose_store(name, seconds)
         elif fault_kind == 6:
             fault = break_machine("hung", seconds)
         elif fault_kind == 7:
