--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -127,7 +127,7 @@
         await asyncio.sleep(seconds)
         deployment.net.slow.pop(deployment.host(name), None)
 
-    async def slow_state(seconds: float) -> None:
+    async def slow_store(seconds: float) -> None:
         deployment.store.slowness = 10.0
         await asyncio.sleep(seconds)
         deployment.store.slowness = 1.0
@@ -217,7 +217,7 @@
         elif fault_kind == 10 and deployment.host(name) not in deployment.net.slow:
             fault = slow(name, seconds)
         elif fault_kind == 11:
-            fault = slow_state(seconds)
+            fault = slow_store(seconds)
         elif fault_kind == 12:
             fault = peers_refuse(seconds)
         elif fault_kind == 13:
