--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -148,7 +148,7 @@
         await asyncio.sleep(seconds)
         deployment.store.late_write_share = 0.0
 
-    async def refused_then_all(name: str) -> None:
+    async def refused_before_outage(name: str) -> None:
         deployment.store.refused_hosts.add(deployment.host(name))
         await asyncio.sleep(rng.uniform(0.5, 3))
         deployment.store.down = True
@@ -231,7 +231,7 @@
         elif fault_kind == 17:
             fault = late_writes(seconds)
         elif fault_kind == 18:
-            fault = refused_then_all(name)
+            fault = refused_before_outage(name)
         elif fault_kind == 19:
             fault = break_machine("sends_no_heartbeats", seconds)
         elif fault_kind == 21:
