--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -171,7 +171,7 @@
         await asyncio.sleep(seconds)
         deployment.cloud.answer_delay_s = 0.02
 
-    async def hang_many(seconds: float) -> None:
+    async def hang_machines(seconds: float) -> None:
         machines = [m for m in deployment.cloud.machines.values() if m.up and rng.random() < 0.4]
         for machine in machines:
             machine.hung = True
@@ -223,7 +223,7 @@
         elif fault_kind == 13:
             fault = freeze(name, seconds)
         elif fault_kind == 14:
-            fault = hang_many(seconds)
+            fault = hang_machines(seconds)
         elif fault_kind == 15:
             fault = die_many()
         elif fault_kind == 16:
