--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -179,7 +179,7 @@
         for machine in machines:
             machine.hung = False
 
-    async def die_many() -> None:
+    async def kill_machines() -> None:
         for name in list(deployment.cloud.machines):
             if rng.random() < 0.3:
                 deployment.cloud.machines.pop(name).stop()
@@ -225,7 +225,7 @@
         elif fault_kind == 14:
             fault = hang_machines(seconds)
         elif fault_kind == 15:
-            fault = die_many()
+            fault = kill_machines()
         elif fault_kind == 16:
             fault = refused_alone(name, seconds)
         elif fault_kind == 17:
