--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -184,7 +184,7 @@
             if rng.random() < 0.3:
                 deployment.cloud.machines.pop(name).stop()
 
-    async def die() -> None:
+    async def kill_machine() -> None:
         if deployment.cloud.machines:
             name = rng.choice(list(deployment.cloud.machines))
             deployment.cloud.machines.pop(name).stop()
@@ -242,7 +242,7 @@
         elif fault_kind == 23:
             fault = freeze(deployment.holder(rng.choice(list(Duty))) or name, 60.0)
         else:
-            fault = die()
+            fault = kill_machine()
         pending.append(asyncio.get_running_loop().create_task(fault))
 
 
