--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -81,7 +81,7 @@
     """Inject one fault after the other, often before the last one is over."""
     pending: list[asyncio.Task[None]] = []
 
-    async def cut(name: str, store: bool, seconds: float) -> None:
+    async def isolate(name: str, store: bool, seconds: float) -> None:
         deployment.isolate(name, store=store, cloud=rng.random() < 0.5)
         await asyncio.sleep(seconds)
         deployment.rejoin(name, deliver=rng.random() < 0.7)
@@ -197,9 +197,9 @@
         if deployment.host(name) in deployment.loop.frozen:
             continue  # nothing else can befall it
         if fault_kind == 0:
-            fault = cut(name, True, seconds)
+            fault = isolate(name, True, seconds)
         elif fault_kind == 1:
-            fault = cut(name, False, seconds)
+            fault = isolate(name, False, seconds)
         elif fault_kind in (2, 3):
             fault = crash(name, min(seconds, 3.0))
         elif fault_kind == 4:
