--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -320,9 +320,11 @@
         # Everything heals; every job that was accepted and not cancelled must come to its end.
         deployment.end_all_faults()
         assert not any(task.done() for task in deployment.controller_tasks.values())
-        left = [ref for ref in deployment.jobs if ref not in deployment.rule_checker.cancelled_at]
-        service_refs = [ref for ref in left if deployment.jobs[ref]["Shape"] == "service"]
-        jobs = set(left) - set(service_refs)
+        uncancelled = [
+            ref for ref in deployment.jobs if ref not in deployment.rule_checker.cancelled_at
+        ]
+        service_refs = [ref for ref in uncancelled if deployment.jobs[ref]["Shape"] == "service"]
+        jobs = set(uncancelled) - set(service_refs)
         if limits is None:
             await deployment.wait_until_done(*jobs, seconds=400)
         # Services hold a team's limit for as long as they stand: others of it wait for that.
