--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -19,8 +19,8 @@
 
 def _machines_of(deployment: Deployment, ref: str) -> list[str]:
     """The machines that hold the job's replicas."""
-    on = deployment.rule_checker.running_on
-    return [worker.name for task, worker in on.items() if task.partition("/")[0] == ref]
+    running_on = deployment.rule_checker.running_on
+    return [worker.name for task, worker in running_on.items() if task.partition("/")[0] == ref]
 
 
 @simulated
