--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -90,10 +90,10 @@
 
     name = _machines_of(deployment, "req-000001")[0]
     deployment.cloud.machines.pop(name).stop()
-    died = loop.time()
+    died_at = loop.time()
 
     await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE + 10)
-    assert loop.time() > died
+    assert loop.time() > died_at
     deployment.assert_no_violation()
 
 
