--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -326,8 +326,8 @@
         await Server(machine.handle, 100).start(address)
     workers = WorkerClient(max_connections=4)
     command = DirectCommand(0, 1, [])
-    asked = [workers.command(address, command) for address in addresses]
-    answers = await asyncio.gather(*asked)
+    calls = [workers.command(address, command) for address in addresses]
+    answers = await asyncio.gather(*calls)
 
     assert all(heartbeat.machine == machine.name for _, heartbeat in answers)
     assert len(workers.pools) <= 4
