--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -392,14 +392,14 @@
     workers = WorkerClient(max_connections=1)
     async with workers.call_slots:
         command = DirectCommand(shard_leader.lease.fencing_token, machine.epoch, [halt])
-        asked = loop.create_task(
+        call = loop.create_task(
             workers.command(machine.address, command, lambda: shard_leader.holds_valid_lease)
         )
         await asyncio.sleep(0.1)
         shard_leader.lease.stepped_down = True
 
     with pytest.raises(RequestFailed) as caught:
-        await asked
+        await call
     assert not caught.value.sent
     assert deployment.running_tasks("req-000001") == ["req-000001/0"]
     deployment.assert_no_violation()
