--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -292,26 +292,26 @@
     bad = await user_api.handle(Request("POST", "/api/jobs", "", b"[]"))
     assert bad.status == 400  # malformed is told apart, and not asked again
     pool = ConnectionPool(dict(deployment.front_addresses())["node-0"], 1)
-    asked = loop.time()
+    asked_at = loop.time()
     status, _ = await pool.request("GET", "/api/jobs/req-000001")
     assert status == 503
-    assert loop.time() - asked < 0.1
+    assert loop.time() - asked_at < 0.1
     user_api.store.request_limiter.full_at = 0.0
     answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 200
     # Connections hang: nobody answers, nobody refuses
     deployment.cut_from_store_and_peers("node-0")
-    asked = loop.time()
+    asked_at = loop.time()
     answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 503
     assert "Retry-After" in answer.headers
-    assert loop.time() - asked < 2.0  # users wait no longer
+    assert loop.time() - asked_at < 2.0  # users wait no longer
     await asyncio.sleep(3)
-    asked = loop.time()
+    asked_at = loop.time()
     answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
 
     assert answer.status == 503
-    assert loop.time() == asked
+    assert loop.time() == asked_at
     deployment.assert_no_violation()
 
 
@@ -340,9 +340,9 @@
     records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
     for _ in range(10):
         await asyncio.sleep(0.5)
-        asked = loop.time()
+        asked_at = loop.time()
         await budget.take()  # a submission
-        assert loop.time() - asked < 0.1
+        assert loop.time() - asked_at < 0.1
     assert 15 <= sum(record.done() for record in records) < 50  # and they do get their turn
     await asyncio.gather(*records)
 
