--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -336,12 +336,12 @@
 @simulated
 async def test_background_writes_wait_for_user_writes(loop: Loop) -> None:
     """Hundreds of machines and results fill the limit on writes by themselves."""
-    budget = RateLimiter(rate=20.0)
-    records = [loop.create_task(budget.take_low_priority(4)) for _ in range(50)]
+    limiter = RateLimiter(rate=20.0)
+    records = [loop.create_task(limiter.take_low_priority(4)) for _ in range(50)]
     for _ in range(10):
         await asyncio.sleep(0.5)
         asked_at = loop.time()
-        await budget.take()  # a submission
+        await limiter.take()  # a submission
         assert loop.time() - asked_at < 0.1
     assert 15 <= sum(record.done() for record in records) < 50  # and they do get their turn
     await asyncio.gather(*records)
