--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -343,9 +343,7 @@
         asked_at = loop.time()
         await limiter.take()  # a submission
         assert loop.time() - asked_at < 0.1
-    assert (
-        15 <= sum(record.done() for record in background_writes) < 50
-    )  # and they do get their turn
+    assert 15 <= sum(write.done() for write in background_writes) < 50  # and they do get their turn
     await asyncio.gather(*background_writes)
 
 
