--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -429,13 +429,13 @@
             )
             await asyncio.sleep(25.0)
 
-    streams = [loop.create_task(stream()), loop.create_task(gangs())]
+    submitters = [loop.create_task(stream()), loop.create_task(gangs())]
     await deployment.wait_until(
         lambda: any(task.startswith("req-000001/") for task in deployment.rule_checker.running_on),
         seconds=240,
     )
     await asyncio.sleep(300)
-    for one in streams:
+    for one in submitters:
         one.cancel()
     done = sum(1 for task in deployment.rule_checker.results if task.startswith("req-000001/"))
 
