--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -435,8 +435,8 @@
         seconds=240,
     )
     await asyncio.sleep(300)
-    for one in submitters:
-        one.cancel()
+    for submitter in submitters:
+        submitter.cancel()
     done = sum(1 for task in deployment.rule_checker.results if task.startswith("req-000001/"))
 
     assert done > 50
