--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -203,10 +203,10 @@
     assert await status("POST", "/agent/beat", b"{}") == 400
     assert await status("GET", "/" + "x" * 20_000) == 431
     assert await status("GET", "/healthz") == 200
-    nulls = {k: v for k, v in good.items() if v is not None} | {"Extra": 1}
+    without_nulls = {k: v for k, v in good.items() if v is not None} | {"Extra": 1}
     deployment.jobs["req-000001"] = good
 
-    assert await status("POST", "/api/jobs", nulls) == 201
+    assert await status("POST", "/api/jobs", without_nulls) == 201
     await deployment.wait_until_done("req-000001")
     deployment.assert_no_violation()
 
