--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -28,7 +28,7 @@
 from tests.simulation import Loop, simulated
 
 DATA = json.loads((Path(__file__).parent / "data" / "production_records.json").read_text())
-TYPES: dict[str, Any] = {
+RECORD_TYPES: dict[str, Any] = {
     "c/baton": Counter,
     "c/block": Grant,
     "c/leader": MemberRecord,
@@ -56,7 +56,7 @@
     machine_types = set()
     for key, value in DATA["records"]:
         machine_type = _record_type(key)
-        read = msgspec.json.decode(msgspec.json.encode(value), type=TYPES[machine_type])
+        read = msgspec.json.decode(msgspec.json.encode(value), type=RECORD_TYPES[machine_type])
         machine_types.add(machine_type)
         if isinstance(read, MemberRecord):
             assert read.version == 0
@@ -66,7 +66,7 @@
             assert job_of(read.submission).shape is shapes[value["job"]["Shape"]]
         elif not isinstance(read, MemberRecord):
             assert msgspec.to_builtins(read) == value
-    assert machine_types == set(TYPES)
+    assert machine_types == set(RECORD_TYPES)
 
 
 def test_messages_of_the_old_version_are_read_and_written_alike() -> None:
