--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -53,11 +53,11 @@
 
 
 def test_records_of_the_old_version_are_read_with_their_meaning() -> None:
-    machine_types = set()
+    record_types = set()
     for key, value in DATA["records"]:
         machine_type = _record_type(key)
         read = msgspec.json.decode(msgspec.json.encode(value), type=RECORD_TYPES[machine_type])
-        machine_types.add(machine_type)
+        record_types.add(machine_type)
         if isinstance(read, MemberRecord):
             assert read.version == 0
         if isinstance(read, StoredJob):
@@ -66,7 +66,7 @@
             assert job_of(read.submission).shape is shapes[value["job"]["Shape"]]
         elif not isinstance(read, MemberRecord):
             assert msgspec.to_builtins(read) == value
-    assert machine_types == set(RECORD_TYPES)
+    assert record_types == set(RECORD_TYPES)
 
 
 def test_messages_of_the_old_version_are_read_and_written_alike() -> None:
