--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -55,9 +55,9 @@
 def test_records_of_the_old_version_are_read_with_their_meaning() -> None:
     record_types = set()
     for key, value in DATA["records"]:
-        machine_type = _record_type(key)
-        read = msgspec.json.decode(msgspec.json.encode(value), type=RECORD_TYPES[machine_type])
-        record_types.add(machine_type)
+        record_type = _record_type(key)
+        read = msgspec.json.decode(msgspec.json.encode(value), type=RECORD_TYPES[record_type])
+        record_types.add(record_type)
         if isinstance(read, MemberRecord):
             assert read.version == 0
         if isinstance(read, StoredJob):
