--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -223,7 +223,7 @@
     await asyncio.sleep(4.0)
 
 
-async def _roll(deployment: Deployment, away: float = 2.0) -> None:
+async def _upgrade_all(deployment: Deployment, away: float = 2.0) -> None:
     for name in deployment.nodes:
         await _upgrade(deployment, name, away)
 
@@ -395,7 +395,7 @@
             deployment.job(number, Shape=shape, Pieces=3, RunS=rng.choice([2.0, 15.0]))
         )
     await asyncio.sleep(rng.uniform(4, 8))
-    rolling = loop.create_task(_roll(deployment, rng.choice([0.3, 2.0])))
+    rolling = loop.create_task(_upgrade_all(deployment, rng.choice([0.3, 2.0])))
     await asyncio.sleep(rng.uniform(0, 6))
     faulting = loop.create_task(fault(deployment))
     await deployment.cancel("req-000002")
