--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -213,19 +213,19 @@
     deployment.assert_no_violation()
 
 
-async def _upgrade(deployment: Deployment, name: str, away: float = 2.0) -> None:
+async def _upgrade(deployment: Deployment, name: str, downtime_s: float = 2.0) -> None:
     """Kill a controller, and start it in the new version."""
     if name in deployment.controller_tasks:
         deployment.crash(name)
-    await asyncio.sleep(away)
+    await asyncio.sleep(downtime_s)
     deployment.old_version_nodes.discard(name)
     deployment.start_controller(name)
     await asyncio.sleep(4.0)
 
 
-async def _upgrade_all(deployment: Deployment, away: float = 2.0) -> None:
+async def _upgrade_all(deployment: Deployment, downtime_s: float = 2.0) -> None:
     for name in deployment.nodes:
-        await _upgrade(deployment, name, away)
+        await _upgrade(deployment, name, downtime_s)
 
 
 # Failovers from one version to the other
