--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -317,10 +317,10 @@
     assert await deployment.submit(deployment.service(1)) == 201
     await deployment.wait_until_served("req-000001")
     shard_leader = deployment.acting_shard_leader()
-    back, other = (name for name in deployment.nodes if name != shard_leader)
-    deployment.crash(back)
-    deployment.old_version_nodes.add(back)
-    deployment.start_controller(back)
+    returned, other = (name for name in deployment.nodes if name != shard_leader)
+    deployment.crash(returned)
+    deployment.old_version_nodes.add(returned)
+    deployment.start_controller(returned)
     deployment.crash(other)
     await asyncio.sleep(3)
     # Only the old one is left: it takes the shard, and can't load it
@@ -332,7 +332,7 @@
     await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE + 20)
     for name in deployment.nodes:
         assert await deployment.poll("req-000001", name) == "running"
-    assert await deployment.cancel("req-000001", back) == "withdrawn"
+    assert await deployment.cancel("req-000001", returned) == "withdrawn"
     await asyncio.sleep(Deployment.CANCEL)
 
     assert deployment.running_tasks("req-000001") == []
