--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -175,8 +175,8 @@
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
 
     deployment.crash("node-2")
-    gone = deployment.controllers["node-0"].membership.cluster.members
-    await deployment.wait_until(lambda: "node-2" not in gone, seconds=20)
+    members = deployment.controllers["node-0"].membership.cluster.members
+    await deployment.wait_until(lambda: "node-2" not in members, seconds=20)
     await asyncio.sleep(2)
     deployment.store.keys["c/member/node-2"] = (  # no watch tells of it
         {"name": "node-2", "life": "ab"},
