--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -157,9 +157,9 @@
 def test_services_are_allowed_while_no_member_is_of_an_older_version() -> None:
     assert not versions.services_allowed(ClusterView())  # nothing is known yet
     assert not versions.services_allowed(_cluster(a=1, b=0))
-    one_away = _cluster(a=1, b=1)
-    assert versions.services_allowed(one_away)  # without its key the third does nothing
-    preconditions = versions.member_preconditions(one_away, ["b", "c"])
+    one_absent = _cluster(a=1, b=1)
+    assert versions.services_allowed(one_absent)  # without its key the third does nothing
+    preconditions = versions.member_preconditions(one_absent, ["b", "c"])
 
     assert [(precondition.key, precondition.version) for precondition in preconditions] == [
         ("c/member/b", 5),
