--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "rule"),
+    ("violate", "rule"),
     [
         (_ran_twice, "ran_twice"),
         (_quota, "quota"),
@@ -161,10 +161,10 @@
 )
 @simulated
 async def test_rule_checker_reports_violation(
-    loop: Loop, what: Callable[[Deployment], None], rule: str
+    loop: Loop, violate: Callable[[Deployment], None], rule: str
 ) -> None:
-    deployment = Deployment(loop, limits={"red": 5} if what is _quota else None)
-    what(deployment)
+    deployment = Deployment(loop, limits={"red": 5} if violate is _quota else None)
+    violate(deployment)
     assert any(rule in text for text in deployment.rule_checker.violations), (
         deployment.rule_checker.violations
     )
