--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -35,16 +35,16 @@
 LIMITS = StoreLimits(rps=100.0, write_rps=50.0, value_bytes=200, operations=3)
 
 
-def _excess(preconditions: int, values: list[int], total: int) -> str:
+def _limit_error(preconditions: int, values: list[int], total: int) -> str:
     return LIMITS.limit_error(preconditions, len(values), values, total)
 
 
 def test_each_limit_is_exact_to_the_byte_and_to_the_operation() -> None:
-    assert _excess(12, [200, 200, 200], TRANSACTION_BYTES) == ""
-    assert "guards" in _excess(13, [1], 100)
-    assert "operations" in _excess(1, [1, 1, 1, 1], 100)
-    assert "201 bytes" in _excess(1, [200, 201], 500)
-    assert f"{TRANSACTION_BYTES + 1} bytes" in _excess(1, [1], TRANSACTION_BYTES + 1)
+    assert _limit_error(12, [200, 200, 200], TRANSACTION_BYTES) == ""
+    assert "guards" in _limit_error(13, [1], 100)
+    assert "operations" in _limit_error(1, [1, 1, 1, 1], 100)
+    assert "201 bytes" in _limit_error(1, [200, 201], 500)
+    assert f"{TRANSACTION_BYTES + 1} bytes" in _limit_error(1, [1], TRANSACTION_BYTES + 1)
 
 
 def test_rows_are_batched_by_operations_and_by_bytes() -> None:
