--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -92,9 +92,9 @@
 def test_results_of_any_job_fit_into_values_and_are_read_back(value_bytes: int, tasks: int) -> None:
     layout = ResultLayout(value_bytes)
     job_state = _job_state(tasks)
-    wanted = set(range(0, tasks, 7)) | {tasks - 1}
+    expected = set(range(0, tasks, 7)) | {tasks - 1}
 
-    for index in wanted:
+    for index in expected:
         job_state.finish(index)
     rows = layout.unstored(job_state, 0)
     again = _job_state(tasks)
@@ -105,11 +105,11 @@
         assert part is not None
         load_results(again, 0, *part, msgspec.Raw(raw), layout)
 
-    assert {index for index in range(tasks) if again.is_done(index)} == wanted
-    assert {index for row in rows for index in row.tasks} == wanted
+    assert {index for index in range(tasks) if again.is_done(index)} == expected
+    assert {index for row in rows for index in row.tasks} == expected
     assert {row.key for row in rows} <= set(layout.keys(job_state.job.ref, tasks, [0]))
     assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.max_rows(tasks, 1)
-    assert sum(row.value.count for row in rows) == len(wanted)
+    assert sum(row.value.count for row in rows) == len(expected)
 
 
 def test_results_stored_under_larger_limits_are_read_and_not_rewritten() -> None:
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("", StoreLimits(250.0, 50.0, 32_768, 16)),
         ("[facts.state.next]\nvalue_kb = 2.0", StoreLimits(250.0, 50.0, 2048, 16)),
@@ -312,11 +312,11 @@
     ids=["none announced", "one announced", "all announced, one of them higher"],
 )
 def test_the_lower_of_both_limits_holds_from_the_start(
-    text: str, wanted: StoreLimits, tmp_path: Path
+    text: str, expected: StoreLimits, tmp_path: Path
 ) -> None:
     from basaltlead.config import loader
 
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace("{next}", text))
 
-    assert loader.load(str(path)).store_limits == wanted
+    assert loader.load(str(path)).store_limits == expected
