--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -97,15 +97,15 @@
     for index in expected:
         job_state.finish(index)
     rows = layout.unstored(job_state, 0)
-    again = _job_state(tasks)
+    loaded = _job_state(tasks)
     for row in rows:
         raw = encode(row.value)
         assert len(raw) <= value_bytes
         _, part = parse_open_key(row.key)
         assert part is not None
-        load_results(again, 0, *part, msgspec.Raw(raw), layout)
+        load_results(loaded, 0, *part, msgspec.Raw(raw), layout)
 
-    assert {index for index in range(tasks) if again.is_done(index)} == expected
+    assert {index for index in range(tasks) if loaded.is_done(index)} == expected
     assert {index for row in rows for index in row.tasks} == expected
     assert {row.key for row in rows} <= set(layout.keys(job_state.job.ref, tasks, [0]))
     assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.max_rows(tasks, 1)
