--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -236,7 +236,7 @@
     await deployment.submit(deployment.job(2, Pieces=3, Shape="group", Cores=2.0, RunS=6.0))
     await deployment.submit(deployment.job(3, Pieces=4, Apart=True))
     await deployment.wait_until(
-        lambda: len({deployment.shard_leader(b) for b in range(3)} - {None}) == 3
+        lambda: len({deployment.shard_leader(shard) for shard in range(3)} - {None}) == 3
     )
 
     await deployment.wait_until_done("req-000001", "req-000002", "req-000003")
@@ -249,7 +249,7 @@
     deployment = Deployment(loop, operator={"blocks": 3})
     await deployment.start()
     await deployment.wait_until(
-        lambda: len({deployment.shard_leader(b) for b in range(3)} - {None}) == 3
+        lambda: len({deployment.shard_leader(shard) for shard in range(3)} - {None}) == 3
     )
     await deployment.submit(deployment.job(1, Pieces=24, RunS=25.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) >= 12)
@@ -260,7 +260,7 @@
     await deployment.wait_until(lambda: deployment.shard_leader(1) not in (None, victim), seconds=8)
     deployment.start_controller(victim)
     await deployment.wait_until(
-        lambda: len({deployment.shard_leader(b) for b in range(3)} - {None}) == 3
+        lambda: len({deployment.shard_leader(shard) for shard in range(3)} - {None}) == 3
     )
 
     await deployment.wait_until_done("req-000001")
