--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -1,4 +1,4 @@
-"""Leases, failover deferrals and failovers."""
+"""Session leases, failover deferrals and failovers."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
     for _ in range(int((lease_s + 5) * 10)):
         await asyncio.sleep(0.1)
         assert deployment.shard_leader() == shard_leader
-    for name in deployment.nodes:  # as healthy as any: nobody could do better
+    for name in deployment.nodes:  # all have lost the store, so none is better than another
         assert (await deployment.request(name, "GET", "/healthz"))[0] == 200
     deployment.store.end_outage()
 
@@ -47,8 +47,11 @@
 async def test_shard_leader_stops_when_cancellations_can_not_be_confirmed_any_more(
     loop: Loop, fault: str
 ) -> None:
-    """One of the others can't confirm which cancellations it has acknowledged."""
-    # With a longer lease, deferrals outlast a slow link.
+    """During a store outage a shard leader may act only while every other controller lists the
+    cancellations that it has confirmed. One of them can't: it was restarted, is frozen, is cut off
+    from the shard leader, or answers too late."""
+    # With the default session lease of 1.8 s, deferrals would end before they arrive over the slow
+    # link.
     deployment = Deployment(loop, operator={"right_s": 6.0} if fault == "slow" else None)
     shard_leader = await deployment.start_with_running_job(2, 300.0)
     other = deployment.other_node(shard_leader)
@@ -60,11 +63,13 @@
         await asyncio.sleep(0.3)
         deployment.start_controller(other)
         await asyncio.sleep(staleness_s - 1.5)
-        assert deployment.shard_leader() == shard_leader  # it may defer failovers all the same
+        assert (
+            deployment.shard_leader() == shard_leader
+        )  # the restarted controller still defers failovers
     else:
         if fault == "stands still":
             deployment.freeze(other)
-        elif fault == "slow":  # its confirmation is older than it seems
+        elif fault == "slow":  # its answers arrive too late to count as confirmations
             deployment.net.slow[deployment.host(other)] = 2.5
         else:
             deployment.net.cut(deployment.host(shard_leader), deployment.host(other))
@@ -134,7 +139,7 @@
     member = deployment.controllers["node-0"].membership
 
     grant = Grant("node-x", "incarnation", 1)
-    # Just started: may have granted a deferral in an earlier run
+    # It has just started, and may have granted a deferral in an earlier run.
     assert not member.deferrals.may_replace(grant)
     await asyncio.sleep(member.ttl_us * 1.02 / 1e6)
     assert member.deferrals.may_replace(grant)
@@ -145,13 +150,13 @@
     del member.cluster.members["node-x"]  # its session lease has ended
 
     assert not member.deferrals.may_replace(grant)
-    # Replaced by itself
+    # The holder was replaced by its own next incarnation.
     assert member.deferrals.may_replace(Grant("node-1", "an earlier incarnation", 1))
 
 
 @simulated
 async def test_grant_based_on_an_outdated_view_fails(loop: Loop) -> None:
-    """The grant's precondition is the key that proves that the old shard leader's lease ended."""
+    """A precondition of the grant proves that the old shard leader's session lease has ended."""
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
@@ -160,7 +165,7 @@
     shard_leader = deployment.acting_shard_leader()
     other = deployment.other_node(shard_leader)
     member = deployment.controllers[other].membership
-    # It believes, wrongly, that the shard leader is gone and that it leads itself.
+    # Its view is wrong: the shard leader's member key is gone, and it is the leader itself.
     leader = deployment.store.keys["c/leader"]
     deployment.store.keys["c/leader"] = (leader[0], leader[1], None)
     del member.cluster.members[shard_leader]
@@ -188,8 +193,8 @@
 
 @simulated
 async def test_deferrals_do_not_revive_an_ended_session_lease(loop: Loop) -> None:
-    """A shard leader cut off alone was replaced; an outage for all came next, and the deferrals it
-    then got made it act again beside its successor."""
+    """A shard leader that alone lost the key-value store was replaced. Then the store was down for
+    all, and the deferrals that the old one was granted made it act again beside its successor."""
     deployment = Deployment(loop)
     first = await deployment.start_with_running_job(4, 60.0)
 
@@ -198,7 +203,7 @@
     deployment.store.down = True
     for _ in range(80):
         await asyncio.sleep(0.1)
-        assert deployment.shard_leader() != first  # and never two
+        assert deployment.shard_leader() != first  # fails also if two act
     deployment.store.end_outage()
     deployment.net.heal(deployment.host(first), deployment.store.HOST)
 
