--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are only partly visible: one-way links, late copies, quick restarts."""
+"""Partial faults: one-way links, late copies of messages, quick restarts."""
 
 import asyncio
 
@@ -72,7 +72,8 @@
 
 @simulated
 async def test_shard_leader_that_reaches_only_its_workers_steps_down_in_time(loop: Loop) -> None:
-    """It reaches neither the key-value store nor its peers; its workers' leases must not end."""
+    """It reaches neither the key-value store nor its peers. Its successor must act before the
+    leases of its workers expire."""
     deployment = Deployment(loop)
     first = await deployment.start_with_running_job(6, 40.0)
     starts = deployment.rule_checker.starts
@@ -82,13 +83,13 @@
         lambda: deployment.shard_leader() not in (None, first), seconds=FakeWorker.LEASE
     )
     status, _ = await deployment.request(first, "GET", "/healthz")
-    assert status == 503  # users go elsewhere
+    assert status == 503  # the load balancer sends users elsewhere
     asked_at = loop.time()
     status, _ = await deployment.request(first, "POST", "/api/jobs", deployment.job(2))
     assert status == 503
     assert loop.time() - asked_at < 0.1
     await deployment.wait_until_done("req-000001")
-    assert deployment.rule_checker.starts == starts  # nothing had to be started again
+    assert deployment.rule_checker.starts == starts  # no task was restarted
     deployment.rejoin_store_and_peers(first)
     await asyncio.sleep(5)
 
@@ -136,7 +137,7 @@
         await asyncio.sleep(0.15)
         deployment.start_controller(name)
         await asyncio.sleep(0.4 + 0.3 * (moment % 4))
-        deployment.shard_leader()  # never two
+        deployment.shard_leader()  # fails if two act
         deployment.rule_checker.check()
 
     await deployment.wait_until_done(*job_refs(1, 5), seconds=200)
@@ -147,7 +148,8 @@
 async def test_each_controller_knows_each_accepted_job_soon_after_the_last_fault(
     loop: Loop,
 ) -> None:
-    """All crash during an outage, with one of them cut off: nobody is forgotten."""
+    """All controllers restart during a store outage, while one of them is isolated; no accepted job
+    may be forgotten."""
     deployment = Deployment(loop)
     await deployment.start()
     refs = job_refs(1, 6)
@@ -212,7 +214,7 @@
         lambda: deployment.shard_leader() not in (None, shard_leader), seconds=20
     )
     await asyncio.sleep(3 * FakeWorker.LEASE)
-    assert not any(m.tasks for m in inside)  # nobody renews their leases
+    assert not any(m.tasks for m in inside)  # nothing renews their leases
     for near in hosts:
         for far in outside:
             deployment.net.heal(near, far)
@@ -223,7 +225,7 @@
 
 @simulated
 async def test_machines_are_not_returned_while_no_heartbeats_arrive_at_all(loop: Loop) -> None:
-    """All are silent at once, then some are back a little sooner than others."""
+    """All machines fall silent at once, then some are heard again sooner than others."""
     deployment = Deployment(loop, nodes=1)
     await deployment.start()
 
@@ -234,7 +236,9 @@
     assert len(rented) > 1
     deployment.isolate("node-0", store=False, cloud=False)
     await asyncio.sleep(2.5 * FakeWorker.LEASE)
-    assert set(deployment.cloud.machines) == rented  # nor does it rent what it would not hear
+    assert (
+        set(deployment.cloud.machines) == rented
+    )  # and none is rented, since it could not be heard
     deployment.rejoin("node-0")
     await asyncio.sleep(15)
     assert rented <= set(deployment.cloud.machines)
@@ -275,9 +279,8 @@
     shard_leader = await deployment.start_with_running_job(6, 40.0)
     starts = deployment.rule_checker.starts
 
-    deployment.net.slow[deployment.host(shard_leader)] = (
-        0.15  # every answer it waits for takes longer
-    )
+    # seconds by which each message to it is delayed
+    deployment.net.slow[deployment.host(shard_leader)] = 0.15
     await deployment.submit(deployment.job(2, RunS=2.0))
     for _ in range(20):
         await asyncio.sleep(1)
