--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -1,12 +1,12 @@
-"""Machines out of contact while the shard leader is replaced or in trouble, by seed.
-
-`tests/test_random_faults.py` draws its faults one by one, each of one machine or one controller. It
-never came to a machine that begins a new agent epoch unheard, is given a task there, and is taken
-for lost before that epoch is over: this needs a shard leader granted in the second half of the
-lease of a machine that reaches no controller, a job accepted within half a lease of the grant, room
-on another machine that has the image, and a cloud that does not delete the machine first. Here the
-meeting itself is drawn: which machines fall out of contact and how, what befalls the shard leader
-how much later, and jobs all along.
+"""Random losses of contact with machines while the shard leader has a fault too, by seed.
+
+`tests/test_random_faults.py` draws each fault separately, for one machine or one controller. It
+never produced this sequence: a machine begins a new agent epoch unheard, is given a task there, and
+is taken for lost before that epoch is over. The sequence requires a shard leader granted in the
+second half of the lease of a machine that reaches no controller, a job accepted within half a lease
+of the grant, room on another machine that has the image, and a cloud that does not delete the
+machine first. The tests here draw the combination: which machines lose contact and how, and which
+fault the shard leader has how much later. Jobs are submitted all the time.
 """
 
 import asyncio
@@ -21,19 +21,19 @@
 from tests.simulation import Loop, play
 
 SEEDS = 40
-# A longer soak is started by hand, with the number of its seeds in this variable.
+# The environment variable that sets the number of seeds, for a longer soak test started by hand.
 SOAK_SEEDS_VARIABLE = "BASALTLEAD_SOAK_SEEDS"
 SOAK_SEEDS = int(os.environ.get(SOAK_SEEDS_VARIABLE, SEEDS))
-ROUNDS = 3  # meetings a day
+ROUNDS = 3  # of overlapping faults in a scenario
 MACHINES = 12
 LEASES_S = (8.0, 11.0, 14.0)
 JOBS_PER_S = 1.0
-SERVICE_NUMBER = 1001  # number of the only one
+SERVICE_NUMBER = 1001  # of the only service
 SERVICE_REF = f"req-{SERVICE_NUMBER:06d}"
 
 
 class ContactLoss(StrEnum):
-    """How a machine falls out of contact: the attribute of the fake worker."""
+    """How a machine loses contact; the values are attributes of `FakeWorker`."""
 
     NO_HEARTBEATS = "sends_no_heartbeats"
     UNREACHABLE = "unreachable"
@@ -41,16 +41,14 @@
     ANSWERS_LOST = "answers_lost"
 
 
-CONTACT_LOSSES = [
-    *ContactLoss,
-    *4 * [ContactLoss.NO_HEARTBEATS],
-]  # mostly mute: only those begin a new epoch and hear us
+# Most send no heartbeats: only such machines begin a new epoch and still receive commands.
+CONTACT_LOSSES = [*ContactLoss, *4 * [ContactLoss.NO_HEARTBEATS]]
 
 LeaderFault = Callable[[Deployment, random.Random], Awaitable[None]]
 
 
 async def _crash(deployment: Deployment, rng: random.Random) -> None:
-    """The shard leader ends, and comes back soon or late."""
+    """The shard leader crashes, and restarts 0.2 to 8 s later."""
     name = deployment.shard_leader()
     if name is None:
         return
@@ -60,14 +58,14 @@
 
 
 async def _hand_over_and_back(deployment: Deployment, rng: random.Random) -> None:
-    """One shard leader ends after the other, each back before the next one ends."""
+    """Two shard leaders crash in turn; the first has restarted before the second crashes."""
     for _ in range(2):
         await _crash(deployment, rng)
         await asyncio.sleep(rng.uniform(1.0, 4.0))
 
 
 async def _freeze(deployment: Deployment, rng: random.Random) -> None:
-    """The shard leader stands still while its clocks run on."""
+    """The shard leader freezes while its clocks run on."""
     name = deployment.shard_leader()
     if name is None:
         return
@@ -85,7 +83,7 @@
 
 
 async def _refuse_leader(deployment: Deployment, rng: random.Random) -> None:
-    """The key-value store refuses the shard leader alone."""
+    """The key-value store refuses only the shard leader."""
     host = deployment.host(deployment.shard_leader() or deployment.nodes[0])
     deployment.store.refused_hosts.add(host)
     await asyncio.sleep(rng.uniform(4.0, 15.0))
@@ -93,7 +91,7 @@
 
 
 async def _outage(deployment: Deployment, rng: random.Random) -> None:
-    """The key-value store is down for all, soon after the shard leader has ended."""
+    """The shard leader crashes and restarts; then the key-value store is down for all."""
     await _crash(deployment, rng)
     deployment.store.down = True
     await asyncio.sleep(rng.uniform(2.0, 10.0))
@@ -101,7 +99,7 @@
 
 
 async def _none(deployment: Deployment, rng: random.Random) -> None:
-    """Nothing befalls the shard leader."""
+    """The shard leader has no fault."""
 
 
 LEADER_FAULTS: list[LeaderFault] = [
@@ -116,7 +114,7 @@
 
 
 async def _submit_jobs(deployment: Deployment, rng: random.Random) -> None:
-    """Submit small jobs for as long as the day lasts, and a service; some are cancelled."""
+    """Submit a service, then small jobs for as long as the faults last; cancel some of them."""
     await deployment.submit(deployment.service(SERVICE_NUMBER, Pieces=2, Loaners=True))
     for number in range(2, 1000):
         gang = rng.random() < 0.2
@@ -140,7 +138,7 @@
 
 
 async def _run_overlapping_faults(deployment: Deployment, rng: random.Random) -> None:
-    """Machines fall out of contact, something befalls the shard leader, all of it ends."""
+    """Machines lose contact, the shard leader has a fault meanwhile, and both end."""
     up = [machine for machine in deployment.cloud.machines.values() if machine.up]
     silent = [machine for machine in up if rng.random() < rng.choice([0.2, 0.5])]
     contact_loss = rng.choice(CONTACT_LOSSES)
@@ -157,7 +155,7 @@
 async def _check_rules(deployment: Deployment) -> None:
     while True:
         deployment.rule_checker.check()
-        deployment.shard_leader()  # never two
+        deployment.shard_leader()  # fails if two act
         await asyncio.sleep(0.25)
 
 
@@ -174,7 +172,7 @@
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=3 * MACHINES, RunS=1.0, Grades=["small"]))
     await deployment.wait_until_done("req-000001")
-    deployment.cloud.answer_delay_s = 2.0  # what is lost is not deleted at once
+    deployment.cloud.answer_delay_s = 2.0  # lost machines are not deleted at once
     checks = loop.create_task(_check_rules(deployment))
     users = loop.create_task(_submit_jobs(deployment, rng))
     for _ in range(ROUNDS):
