--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,4 +1,4 @@
-"""Faults in combination: each is timed to meet another; no rule may be violated."""
+"""Combinations of faults, each timed to overlap with another; no rule may be violated."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,23 +9,21 @@
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
-LEASE_S, CANCEL_S = (
-    10.0,
-    30.0,
-)  # s; with a session lease of a third of LEASE they leave little slack
+# With a session lease of 0.3 * LEASE_S these leave little slack.
+LEASE_S, CANCEL_S = 10.0, 30.0
 
 
 async def _run_checked(deployment: Deployment, seconds: float) -> None:
-    """Let time pass while the rule checker checks."""
+    """Let time pass, and check the rules meanwhile."""
     end = deployment.loop.time() + seconds
     while deployment.loop.time() < end:
         deployment.rule_checker.check()
-        deployment.shard_leader()  # never two
+        deployment.shard_leader()  # fails if two act
         await asyncio.sleep(0.05)
 
 
-# The key-value store refuses the leader alone, somebody else confirms cancellations, and then it is
-# out for all
+# The key-value store refuses only the shard leader, another controller confirms cancellations, and
+# then the store is down for all
 
 
 async def _confirmed_at_once(deployment: Deployment, shard_leader: str, ref: str) -> None:
@@ -34,8 +32,8 @@
 
 
 async def _confirmed_just_before(deployment: Deployment, shard_leader: str, ref: str) -> None:
-    """The shard leader's watch has been opened, and its answer is on its way when the refusal
-    begins."""
+    """The shard leader's watch is open, and its answer is in flight when the refusal begins; it is
+    lost."""
     deployment.net.cut(deployment.host(shard_leader), deployment.store.HOST)
     assert await deployment.cancel(ref, deployment.other_node(shard_leader)) == "withdrawn"
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
@@ -49,7 +47,7 @@
 
 
 async def _confirmed_by_a_poll(deployment: Deployment, shard_leader: str, ref: str) -> None:
-    """Nobody hears the answer to the cancellation; a third controller tells of it."""
+    """The user misses the response to the cancellation, and polls a third controller."""
     first, second = deployment.other_nodes(shard_leader)
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
     deployment.cancel_requested[ref] = True
@@ -79,7 +77,7 @@
 async def _confirmed_while_machines_hang(
     deployment: Deployment, shard_leader: str, ref: str
 ) -> None:
-    """They hang within their lease and go on with what they had."""
+    """The machines hang for less than a lease, and continue the tasks that they had."""
     await _confirmed_at_once(deployment, shard_leader, ref)
     for machine in deployment.cloud.machines.values():
         machine.hung = True
@@ -130,8 +128,9 @@
 async def test_shard_leader_that_could_not_load_its_shard_renews_no_worker_lease(
     loop: Loop,
 ) -> None:
-    """All controllers end after a cancellation that the shard leader did not see. The next one is
-    leased the shard, and the key-value store is out before it has read which jobs are open."""
+    """All controllers crash after a cancellation that the shard leader did not see. The next one is
+    granted the shard, and the key-value store goes down before it has listed the open jobs: it does
+    not know that the job is cancelled whose tasks still run."""
     deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     shard_leader = await deployment.start_with_running_job(6, 500.0)
 
@@ -170,7 +169,8 @@
 
 @simulated
 async def test_refused_shard_leader_starts_no_task_of_a_cancelled_job(loop: Loop) -> None:
-    """Others notify it directly; its lease lasts for a while yet, and more tasks than room wait."""
+    """Another controller notifies it of the cancellation. Its lease is still valid for some time,
+    and more tasks are waiting than there is room for."""
     deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     deployment.cloud.capacity = 2
     await deployment.start()
@@ -183,7 +183,7 @@
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
     await asyncio.sleep(0.1)
     assert await deployment.cancel("req-000001", deployment.other_node(shard_leader)) == "withdrawn"
-    await _run_checked(deployment, 0.5)  # sooner than the shard leader asks anybody
+    await _run_checked(deployment, 0.5)  # before the shard leader requests anything of its peers
     assert deployment.running_tasks("req-000001") == []
     starts = deployment.rule_checker.starts_of("req-000001")
     assert deployment.shard_leader() == shard_leader
@@ -194,11 +194,11 @@
     deployment.assert_no_violation()
 
 
-# The others
+# Other combinations
 
 
 async def _end_faults_and_finish(deployment: Deployment, *refs: str, seconds: float = 200) -> None:
-    """End all faults: every job is answered soon, and those that were not cancelled run."""
+    """End all faults; every job must be answered soon, and the jobs `refs` must be done."""
     deployment.end_all_faults()
     faults_over_at = deployment.loop.time()
     for ref in deployment.jobs:
@@ -288,7 +288,7 @@
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=8, RunS=100.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 8)
-    # No room: the team is at its limit
+    # They have to wait: the team is at its limit.
     await deployment.submit(deployment.job(2, Pieces=8, RunS=5.0))
 
     await _run_checked(deployment, 2)
@@ -301,7 +301,7 @@
     assert await deployment.cancel("req-000001", deployment.other_node(shard_leader)) == "withdrawn"
     since = loop.time()
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000002")) > 0, seconds=30)
-    assert loop.time() - since < 3 * FakeWorker.LEASE  # nobody waits for ever
+    assert loop.time() - since < 3 * FakeWorker.LEASE  # the wait is bounded
     await _run_checked(deployment, 5)
     for name in deployment.nodes:
         deployment.net.heal(silent.host, deployment.host(name))
@@ -333,7 +333,7 @@
 
 @simulated
 async def test_delayed_start_commands_arrive_after_a_cancellation(loop: Loop) -> None:
-    """Starts are on their way to machines that can't be reached for seconds, or that hang."""
+    """Starts are in flight to machines that can't be reached for seconds, or that hang."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(2, 60.0)
     machines = list(deployment.cloud.machines.values())
@@ -341,7 +341,7 @@
     for machine in machines:
         deployment.net.cut(machine.host, deployment.host(shard_leader))
     await deployment.submit(deployment.job(2, Pieces=8, RunS=60.0), shard_leader)
-    await _run_checked(deployment, 1.0)  # pushed starts are held in the cut
+    await _run_checked(deployment, 1.0)  # the network holds back the pushed starts
     for machine in machines[:1]:
         machine.hung = True
     assert await deployment.cancel("req-000002") == "withdrawn"
@@ -359,18 +359,18 @@
 
 @simulated
 async def test_heartbeat_delayed_until_after_a_failover(loop: Loop) -> None:
-    """Also one of an earlier agent epoch, after newer ones of the machine."""
+    """It arrives again when the machine has begun a new agent epoch and sent heartbeats in it."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(4, 30.0)
     machine = _workers_running(deployment, "req-000001")[0]
 
-    old = machine.heartbeat()  # never sent so far
+    old = machine.heartbeat()  # not sent yet
     deployment.crash(shard_leader)
     await deployment.wait_until(lambda: deployment.shard_leader() not in (None, shard_leader))
     second = deployment.acting_shard_leader()
     await _run_checked(deployment, 3)
     await deployment.request(second, "POST", "/agent/beat", old)
-    machine.hung = True  # until its lease and with it its agent epoch has ended
+    machine.hung = True  # until its lease has expired, and its agent epoch has ended
     await _run_checked(deployment, 2.5 * FakeWorker.LEASE)
     machine.hung = False
     await _run_checked(deployment, 3)
@@ -390,7 +390,7 @@
     for _ in range(4):
         shard_leader = deployment.shard_leader()
         if shard_leader is not None:
-            # It hands its shard back
+            # It releases its shard.
             deployment.controllers[shard_leader].shard_leaders[0].stepped_down = True
         await _run_checked(deployment, 1.5)
         for name in deployment.nodes:
@@ -407,7 +407,7 @@
 
 @simulated
 async def test_machines_without_heartbeats_get_no_tasks_and_are_returned(loop: Loop) -> None:
-    """They reach no controller, while pushed commands reach them."""
+    """Their heartbeats reach no controller, while pushed commands reach them."""
     deployment = Deployment(loop)
     await deployment.start_with_running_job(4, 10.0)
     silent = list(deployment.cloud.machines.values())
@@ -422,7 +422,8 @@
         await _run_checked(deployment, 3)
 
     await deployment.wait_until_done("req-000001", *refs, seconds=100)
-    # Each task of the first job once more at most, all others once: none died on a silent one.
+    # The tasks of the first job were restarted once at most, all others started once: none was lost
+    # on a silent machine.
     assert deployment.rule_checker.starts <= starts_before + 4 + 2 * len(refs)
     assert not any(machine.name in deployment.cloud.machines for machine in silent)
     await _end_faults_and_finish(deployment, "req-000001")
@@ -479,16 +480,17 @@
 
 @simulated
 async def test_late_write_of_results_does_not_undo_a_newer_one(loop: Loop) -> None:
-    """The workers have forgotten what the newer one holds; the next shard leader reads it."""
+    """The workers have forgotten the results in the newer one, and the next shard leader reads them
+    only there."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 1
     await deployment.start()
-    # On the large type: on the small one fewer than 40 tasks end while we look.
+    # On the small machine type fewer than 40 tasks would end while results are observed.
     job = deployment.job(1, Pieces=400, Cores=1.0, RunS=2.0, Grades=["large"])
     await deployment.submit(job)
     await deployment.wait_until(lambda: len(deployment.rule_checker.results) >= 16)
 
-    # From now on writes of results go unanswered, and are carried out much later.
+    # From now on writes of results are not answered, and are applied seconds later.
     deployment.store.late_write_share, deployment.store.late_key_prefix = 1.0, "open/req-000001/"
     await _run_checked(deployment, 2.5)
     deployment.store.late_write_share = 0.0
@@ -506,7 +508,7 @@
 
 @simulated
 async def test_late_write_does_not_restore_a_deleted_rental_record(loop: Loop) -> None:
-    """It would be taken for machines that are on their way."""
+    """A restored record would be counted as machines that are still being rented."""
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=4, RunS=60.0))
@@ -516,7 +518,7 @@
         await asyncio.sleep(0.001)
         scale_outs = [key for key in deployment.store.keys if key.startswith("hire/")]
     deployment.store.late_write_share, deployment.store.late_key_prefix = 1.0, "hire/"
-    deployment.store.late_by_s = (9.0, 10.0)  # its machine is up and written down by then
+    deployment.store.late_by_s = (9.0, 10.0)  # its machine is up and recorded by then
     await _run_checked(deployment, 1.0)
     deployment.store.late_write_share = 0.0
     await deployment.wait_until(lambda: scale_outs[0] not in deployment.store.keys, seconds=15)
@@ -569,7 +571,7 @@
     other = deployment.other_node(first)
     assert await deployment.cancel("req-000001", other) == "withdrawn"
     await _run_checked(deployment, 0.5)
-    # The old leader must answer nobody with an older state.
+    # The old shard leader must not answer a user with an older state.
     for _ in range(20):
         await deployment.poll("req-000001", first)
         await _run_checked(deployment, 0.3)
@@ -591,7 +593,7 @@
     for name in deployment.nodes:
         deployment.crash(name)
     await _run_checked(deployment, 2 * FakeWorker.LEASE)
-    assert deployment.running_tasks("req-000001") == []  # their leases have run out
+    assert deployment.running_tasks("req-000001") == []  # their leases have expired
     for name in deployment.nodes:
         deployment.start_controller(name)
 
@@ -603,7 +605,7 @@
 async def test_cancel_poll_and_resubmit_race_with_the_last_result(loop: Loop, seed: int) -> None:
     deployment = Deployment(loop, seed=seed)
     await deployment.start()
-    await deployment.submit(deployment.job(100, Pieces=8, RunS=100.0))  # machines that stay
+    await deployment.submit(deployment.job(100, Pieces=8, RunS=100.0))  # keeps the machines rented
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000100")) == 8)
 
     for number in range(1, 25):
@@ -647,14 +649,14 @@
         job = deployment.job(number, **fields)
         assert (await deployment.request("node-0", "POST", "/api/jobs", job))[0] == 422, fields
     malformed = [{"Pieces": None}, {"Cores": "1"}, {"Pieces": 0}, {"Rank": "urgent"}]
-    deployment.store.down = True  # what is malformed is known to be in an outage too
+    deployment.store.down = True  # malformed jobs are refused in an outage too
     for number, fields in enumerate(malformed, 30):
         job = deployment.job(number, **fields)
         assert (await deployment.request("node-1", "POST", "/api/jobs", job))[0] == 400, fields
     for field in ("Lane", "Pieces", "OneZone", "GuessS", "Mould"):
         job = {key: value for key, value in deployment.job(40).items() if key != field}
         assert (await deployment.request("node-1", "POST", "/api/jobs", job))[0] == 400, field
-    # Nobody knows whether it was accepted earlier: neither 422 nor 200.
+    # It may have been accepted earlier, which only the store can tell: neither 422 nor 200.
     job = deployment.job(50, Cores=17.0)
     assert (await deployment.request("node-1", "POST", "/api/jobs", job))[0] == 503
     deployment.store.end_outage()
@@ -665,16 +667,16 @@
 
 @simulated
 async def test_poll_that_read_before_a_cancellation_reports_it(loop: Loop) -> None:
-    """The controller has heard of the cancellation by the time its own read comes back."""
+    """The controller is notified of the cancellation before the answer to its own read arrives."""
     deployment = Deployment(loop)
     await deployment.start_with_running_job(2, 100.0)
     polled, other = deployment.nodes[:2]
 
-    deployment.store.slowness = 10.0  # 20 ms for an answer
+    deployment.store.slowness = 10.0  # each answer takes 20 ms
     pending_poll = loop.create_task(deployment.request(polled, "GET", "/api/jobs/req-000001"))
     await asyncio.sleep(0.01)  # the read has reached the key-value store
     deployment.net.cut(deployment.host(polled), deployment.store.HOST)
-    await asyncio.sleep(0.03)  # it has been answered, and the answer is held up
+    await asyncio.sleep(0.03)  # the answer has been sent, and the network holds it back
     assert await deployment.cancel("req-000001", other) == "withdrawn"
     await asyncio.sleep(0.05)
     deployment.net.heal(deployment.host(polled), deployment.store.HOST)
@@ -686,13 +688,13 @@
 
 @simulated
 async def test_job_whose_cancellation_overtook_its_submission_is_not_started(loop: Loop) -> None:
-    """The shard leader's watch brings the job late, and the end of the job later still."""
+    """The shard leader's watch reports the job late, and its cancellation later still."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(2, 100.0)
     other = deployment.other_node(shard_leader)
     leader_host = deployment.host(shard_leader)
 
-    deployment.store.slowness = 10.0  # 20 ms for an answer
+    deployment.store.slowness = 10.0  # each answer takes 20 ms
     await asyncio.sleep(0.5)
     deployment.net.cut(leader_host, deployment.store.HOST)
     await deployment.submit(deployment.job(2, Pieces=2, RunS=50.0), other)
@@ -700,7 +702,7 @@
     assert await deployment.cancel("req-000002", other) == "withdrawn"
     await asyncio.sleep(0.05)
     deployment.net.heal(leader_host, deployment.store.HOST)
-    await asyncio.sleep(0.01)  # what was held up arrives, and nothing that was asked since
+    await asyncio.sleep(0.01)  # what was held back arrives, but no answers to later requests
     deployment.net.cut(leader_host, deployment.store.HOST)
     await _run_checked(deployment, 0.8)
     deployment.net.heal(leader_host, deployment.store.HOST)
