--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -11,7 +11,7 @@
 
 
 async def _submit_jobs(deployment: Deployment, rng: random.Random, jobs: int) -> None:
-    """Submits, repeats, cancels and polls, at any node."""
+    """Submit, poll and cancel jobs at random controllers; repeat what is not answered."""
     for number in range(1, jobs + 1):
         shape = rng.choice(["batch", "batch", "group"])
         job = deployment.job(
@@ -38,7 +38,7 @@
 
 
 async def _submit_services(deployment: Deployment, rng: random.Random, services: int) -> None:
-    """Start services, look at them, and cancel some, once the cluster takes any."""
+    """Submit services, once the cluster accepts any; poll them and cancel some."""
     for number in range(501, 501 + services):
         job = deployment.service(
             number,
@@ -60,7 +60,7 @@
 
 
 async def _upgrade(deployment: Deployment, rng: random.Random) -> None:
-    """Replace each process in turn; one that crashes before its turn keeps its version."""
+    """Upgrade each controller in turn; one that crashes before its turn keeps its version."""
     for name in deployment.nodes:
         await asyncio.sleep(rng.uniform(1, 10))
         await poll_until(lambda name=name: _is_running(deployment, name), 0.5)
@@ -72,13 +72,13 @@
 
 
 FAULT_KINDS = 21  # without duties
-DUTY_FAULT_KINDS = 3  # more, with duties
+DUTY_FAULT_KINDS = 3  # in addition, with duties
 
 
 async def _inject_faults(
     deployment: Deployment, rng: random.Random, fault_kinds: int = FAULT_KINDS
 ) -> None:
-    """Inject one fault after the other, often before the last one is over."""
+    """Inject one random fault after the other, often before the last one is over; never returns."""
     pending: list[asyncio.Task[None]] = []
 
     async def isolate(name: str, store: bool, seconds: float) -> None:
@@ -109,7 +109,7 @@
         )
 
     async def break_machine(what: str, seconds: float) -> None:
-        """A machine hangs, or is unreachable, for a while."""
+        """Set a fault attribute of a random machine for a while."""
         machines = [m for m in deployment.cloud.machines.values() if m.up]
         if machines:
             machine = rng.choice(machines)
@@ -195,7 +195,7 @@
         seconds = rng.choice([0.3, 2.0, 7.0, 15.0])
         fault_kind = rng.randrange(fault_kinds)
         if deployment.host(name) in deployment.loop.frozen:
-            continue  # nothing else can befall it
+            continue  # a frozen controller has no other fault meanwhile
         if fault_kind == 0:
             fault = isolate(name, True, seconds)
         elif fault_kind == 1:
@@ -212,7 +212,7 @@
             fault = break_machine("unreachable", seconds)
         elif fault_kind == 8:
             fault = lose_store_and_peers(name, seconds)
-        elif fault_kind == 9:  # back at once, with the last message still on its way
+        elif fault_kind == 9:  # restarts at once, with its last message still in flight
             fault = crash(name, rng.uniform(0.05, 0.4))
         elif fault_kind == 10 and deployment.host(name) not in deployment.net.slow:
             fault = slow(name, seconds)
@@ -238,7 +238,7 @@
             fault = cloud_errors(seconds)
         elif fault_kind == 22:
             fault = slow_cloud(seconds)
-        # Whoever holds a duty, and long enough to be replaced in all that it has
+        # The holder of a duty, long enough for others to replace it in all roles
         elif fault_kind == 23:
             fault = freeze(deployment.holder(rng.choice(list(Duty))) or name, 60.0)
         else:
@@ -259,7 +259,8 @@
 
 @pytest.mark.parametrize("seed", range(200, 208))
 def test_rules_hold_with_services_across_an_upgrade(seed: int) -> None:
-    """Both versions at fault, and limits that fall some time after the last old process."""
+    """Controllers of both versions have faults, and the limits of the key-value store are lowered
+    some time after the last old controller is gone."""
     _run_with_faults(seed, shards=1 if seed % 4 else 3, machines=12, count=15, services=8)
 
 
@@ -310,14 +311,14 @@
         while not (users.done() and upgrade.done()):
             deployment.rule_checker.check()
             for shard in range(shards):
-                deployment.shard_leader(shard)  # never two
+                deployment.shard_leader(shard)  # fails if two act
             for duty in Duty:
                 deployment.holder(duty)
             await asyncio.sleep(0.5)
         await users
         await upgrade
         faults.cancel()
-        # Everything heals; every job that was accepted and not cancelled must come to its end.
+        # All faults end; every job that was accepted and not cancelled must complete.
         deployment.end_all_faults()
         assert not any(task.done() for task in deployment.controller_tasks.values())
         uncancelled = [
@@ -327,7 +328,7 @@
         jobs = set(uncancelled) - set(service_refs)
         if limits is None:
             await deployment.wait_until_done(*jobs, seconds=400)
-        # Services hold a team's limit for as long as they stand: others of it wait for that.
+        # Running services count against the limit of their team, so that others of it may wait.
         unlimited = [
             ref for ref in service_refs if deployment.jobs[ref]["Crew"] not in (limits or {})
         ]
