--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -1,4 +1,4 @@
-"""Replicated services: accepted, restarted after losses, moved, cancelled; never done."""
+"""Replicated services: accepted, restarted after losses, moved and cancelled, but never done."""
 
 import asyncio
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 async def _start_with_service(deployment: Deployment, **fields: Any) -> str:
-    """Start, and have a service of job 1 run with all its replicas; the shard leader's name."""
+    """Start, and have service 1 run with all its replicas. Returns the shard leader's name."""
     await deployment.start()
     assert await deployment.submit(deployment.service(1, **fields)) == 201
     await deployment.wait_until_served("req-000001")
@@ -18,7 +18,7 @@
 
 
 def _machines_of(deployment: Deployment, ref: str) -> list[str]:
-    """The machines that hold the job's replicas."""
+    """The names of the machines that run the job's replicas, one for each replica."""
     running_on = deployment.rule_checker.running_on
     return [worker.name for task, worker in running_on.items() if task.partition("/")[0] == ref]
 
@@ -46,7 +46,8 @@
 @pytest.mark.parametrize("cause", ["done", "error", "stopped", "full"])
 @simulated
 async def test_replica_that_ends_is_restarted_whatever_the_cause(loop: Loop, cause: str) -> None:
-    """Without the check, one that ended with `done` had a result, and three of them a done job."""
+    """Without a check for services, a replica that ends with `done` would count as a result, and
+    three of them as a completed job."""
     deployment = Deployment(loop)
     await _start_with_service(deployment, RunS=40.0, EndsWith=cause)
 
@@ -54,7 +55,7 @@
         await deployment.poll("req-000001")
         await asyncio.sleep(2)
 
-    assert deployment.rule_checker.starts >= 12  # each of three is started anew every 40 s
+    assert deployment.rule_checker.starts >= 12  # each of the three is restarted every 40 s
     assert not any(key.startswith("over/") for key in deployment.store.keys)
     await deployment.wait_until_served("req-000001")
     deployment.assert_no_violation()
@@ -152,7 +153,7 @@
 
 @simulated
 async def test_failover_while_a_replicas_machine_is_out_of_contact(loop: Loop) -> None:
-    """The next shard leader may not start the replica before the lease of its machine is over."""
+    """The next shard leader may not start the replica before its machine's lease has expired."""
     deployment = Deployment(loop)
     shard_leader = await _start_with_service(deployment)
     machine = deployment.cloud.machines[_machines_of(deployment, "req-000001")[0]]
@@ -242,7 +243,10 @@
 @pytest.mark.parametrize(
     ("fields", "status"),
     [
-        ({"Pieces": 4, "Apart": True, "Yard": "a"}, 422),  # at most half of it in one zone
+        (
+            {"Pieces": 4, "Apart": True, "Yard": "a"},
+            422,
+        ),  # at most half of the replicas in one zone
         ({"Pieces": 2, "Apart": True, "OneZone": True}, 422),
         ({"Pieces": 1, "Apart": True, "Yard": "a"}, 201),
         ({"Pieces": 4, "Apart": True}, 201),
