--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -41,7 +41,7 @@
     deployment.start_controller(shard_leader)
 
     await deployment.wait_until_done("req-000001")
-    assert deployment.rule_checker.starts == starts  # nothing had to be started again
+    assert deployment.rule_checker.starts == starts  # no task was restarted
     deployment.assert_no_violation()
 
 
@@ -120,7 +120,7 @@
     deployment.store.down = True
     await asyncio.sleep(8)
     status, _ = await deployment.request("node-0", "GET", "/api/jobs/req-000001")
-    assert status == 503  # unsure
+    assert status == 503  # unknown without the key-value store
     deployment.store.end_outage()
 
     await deployment.wait_until_done("req-000001")
@@ -213,7 +213,8 @@
 
 @simulated
 async def test_shard_leader_stays_active_with_short_session_leases(loop: Loop) -> None:
-    """A watch that lasted longer than the lease it renews once left a shard leader inactive."""
+    """A shard leader became inactive, since its watch was held open for longer than the lease that
+    the watch renews."""
     deployment = Deployment(loop)
 
     deployment.CANCEL = 11.0
@@ -283,14 +284,15 @@
 
 @simulated
 async def test_overloaded_requests_are_refused_at_once_with_retry_after(loop: Loop) -> None:
-    """More is asked than the key-value store's share allows, then it falls silent."""
+    """First the controller's share of the key-value store's request rate is used up, then the store
+    does not respond."""
     deployment = Deployment(loop)
     await deployment.start_with_running_job(1, 60.0)
     user_api = deployment.controllers["node-0"].user_api
 
     user_api.store.request_limiter.full_at = loop.time() + 60.0
     bad = await user_api.handle(Request("POST", "/api/jobs", "", b"[]"))
-    assert bad.status == 400  # malformed is told apart, and not asked again
+    assert bad.status == 400  # malformed whatever the load, so that users don't retry it
     pool = ConnectionPool(dict(deployment.front_addresses())["node-0"], 1)
     asked_at = loop.time()
     status, _ = await pool.request("GET", "/api/jobs/req-000001")
@@ -299,13 +301,13 @@
     user_api.store.request_limiter.full_at = 0.0
     answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 200
-    # Connections hang: nobody answers, nobody refuses
+    # Connections hang: they are neither answered nor refused
     deployment.cut_from_store_and_peers("node-0")
     asked_at = loop.time()
     answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
     assert answer.status == 503
     assert "Retry-After" in answer.headers
-    assert loop.time() - asked_at < 2.0  # users wait no longer
+    assert loop.time() - asked_at < 2.0  # no user waits longer
     await asyncio.sleep(3)
     asked_at = loop.time()
     answer = await user_api.handle(Request("GET", "/api/jobs/req-000001", "", b""))
@@ -335,7 +337,7 @@
 
 @simulated
 async def test_background_writes_wait_for_user_writes(loop: Loop) -> None:
-    """Hundreds of machines and results fill the limit on writes by themselves."""
+    """The records of hundreds of machines and results alone can use up the write rate."""
     limiter = RateLimiter(rate=20.0)
     background_writes = [loop.create_task(limiter.take_low_priority(4)) for _ in range(50)]
     for _ in range(10):
@@ -343,13 +345,13 @@
         asked_at = loop.time()
         await limiter.take()  # a submission
         assert loop.time() - asked_at < 0.1
-    assert 15 <= sum(write.done() for write in background_writes) < 50  # and they do get their turn
+    assert 15 <= sum(write.done() for write in background_writes) < 50  # and they do make progress
     await asyncio.gather(*background_writes)
 
 
 @simulated
 async def test_idle_connections_are_closed_before_a_client_is_refused(loop: Loop) -> None:
-    """Pushed commands and those who come to us share one limit on sockets."""
+    """Connections to workers and connections from clients share one limit on sockets."""
     deployment = Deployment(loop)
     await deployment.start_with_running_job(1, 60.0)
     machine = next(iter(deployment.cloud.machines.values()))
@@ -371,9 +373,11 @@
         assert (await client.request("GET", "/"))[0] == 200
     assert len(workers.pools) == 0
     assert len(server.connections) == 6
-    assert all(client.idle for client in clients)  # nobody was thrown out
+    assert all(client.idle for client in clients)  # no client was disconnected
     extra_client = ConnectionPool("10.0.0.9:80", 1)
-    assert (await extra_client.request("GET", "/"))[0] == 200  # now the longest unused goes
+    assert (await extra_client.request("GET", "/"))[
+        0
+    ] == 200  # now the one that was idle longest is closed
     await asyncio.sleep(0.1)
 
     assert [bool(client.idle) for client in clients] == [False] + [True] * 5
@@ -381,7 +385,7 @@
 
 @simulated
 async def test_queued_command_is_not_sent_after_the_session_lease_has_ended(loop: Loop) -> None:
-    """It may have waited for a socket, or the whole controller stood still meanwhile."""
+    """It may have waited for a socket, or the controller may have been frozen meanwhile."""
     deployment = Deployment(loop)
     name = await deployment.start_with_running_job(1, 60.0)
     shard_leader = deployment.controllers[name].shard_leaders[0]
@@ -407,7 +411,7 @@
 
 @simulated
 async def test_best_effort_array_does_not_starve_on_an_overloaded_fleet(loop: Loop) -> None:
-    """A best-effort array of 1,000 tasks begins within four minutes, and goes on."""
+    """A best-effort array of 1,000 tasks starts within four minutes, and keeps making progress."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 4
     await deployment.start()
@@ -445,7 +449,8 @@
 
 @simulated
 async def test_withdrawn_request_leaves_no_unretrieved_reply(loop: Loop) -> None:
-    """Its connection is closed; a reply that nobody waits for was reported as a lost exception."""
+    """Its connection is closed. The reply, which nothing awaits, was reported by asyncio as an
+    exception that was never retrieved."""
 
     async def answer(request: Request) -> Response:
         return Response(200, b"{}")
@@ -456,6 +461,6 @@
         await pool.request("POST", "/", may_send=lambda: False)
     assert not failed.value.sent
     await asyncio.sleep(0.1)
-    del failed, pool  # nothing may hold the reply any more
+    del failed, pool  # drop the last references to the reply
     loop.net.ends.clear()
     gc.collect()
