--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -12,7 +12,7 @@
     loop: Loop,
 ) -> None:
     """An event loop does not run a timer that is cancelled between falling due and its turn."""
-    # Given something that waits with a timeout, on a host that stands still
+    # Given a task that waits with a timeout, on a host that is frozen
     event = asyncio.Event()
 
     async def wait() -> None:
@@ -23,7 +23,7 @@
     await asyncio.sleep(0.1)
     loop.freeze(HOST)
 
-    # When what it waits for happens, then its timeout falls due, and the host goes on
+    # When its event is set, then its timeout falls due, and the host is thawed
     event.set()
     await asyncio.sleep(2.0)
     loop.thaw(HOST)
