--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -59,13 +59,13 @@
 @pytest.mark.parametrize(("size", "sent"), [(198, True), (199, False)], ids=["at limit", "over"])
 @simulated
 async def test_transaction_over_a_limit_is_never_sent(loop: Loop, size: int, sent: bool) -> None:
-    """Such a request can't succeed; without the check it would be sent again and again."""
+    """Such a transaction can't succeed; without the check it would be retried again and again."""
     deployment = Deployment(loop)
     await deployment.store.start()
 
     store = KeyValueStore(deployment.store.ADDRESS, LIMITS, 1, 1)
     deployment.store.value_bytes = LIMITS.value_bytes
-    value = "x" * size  # and two quotes
+    value = "x" * size  # encoded with two quotes
     if sent:
         await store.compare_and_swap([], [Put("k", value)])
     else:
@@ -201,7 +201,7 @@
     await deployment.wait_until_done("req-000001", seconds=240)
     await deployment.wait_until_done(*job_refs(3, 11))
     await deployment.cancel("req-000020")
-    await asyncio.sleep(30)  # rows of what is over are dropped in their own time
+    await asyncio.sleep(30)  # rows of jobs that are over are deleted in the background
 
     assert [key for key in deployment.store.keys if key.startswith("open/")] == []
     deployment.assert_no_violation()
@@ -225,7 +225,7 @@
 async def test_above_the_write_rate_users_and_session_leases_go_first_without_a_retry_storm(
     loop: Loop,
 ) -> None:
-    """The key-value store takes a fifth of what it announced."""
+    """The key-value store accepts a fifth of the write rate that it announced."""
     deployment = Deployment(loop, announced_limits={"write_rps": 20.0})
     await deployment.start()
 
