--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,11 +1,11 @@
-"""Rolling upgrades: both versions side by side, each on the other's records, and going back.
+"""Rolling upgrades and downgrades: both versions side by side, each reading the other's records.
 
-`data/production_records.json` was written by the version before services itself: in a checkout of
+`data/production_records.json` was written by the version before services itself. In a checkout of
 the commit that deploy/service.toml names, a script submitted jobs of every shape to the deployment
-of `tests/fakes`, cancelled one, took the key-value store away for 5 s, and kept the first record of
-each kind as the key-value store got it, and the first message of each kind that a controller got
-from another. Records of members, shards, jobs, results (one of 24,576 tasks), scale-out requests,
-machines and teams are among them.
+of `tests/fakes`, cancelled one, and stopped the key-value store for 5 s. It saved the first record
+of each kind that the key-value store received, and the first message of each kind that a controller
+received from another. There are records of members, shards, jobs, results (one of 24,576 tasks),
+scale-out requests, machines and teams.
 """
 
 import asyncio
@@ -77,7 +77,7 @@
 
 
 async def _start_on_old_records(loop: Loop) -> Deployment:
-    """Start on a key-value store that holds what processes of the old version left behind."""
+    """Start with a key-value store that holds what controllers of the old version left behind."""
     deployment = Deployment(loop)
     for number, (key, value) in enumerate(DATA["records"], 1):
         if not key.startswith(("c/member", "c/leader")):  # those ended with their session leases
@@ -96,7 +96,9 @@
 
     assert await deployment.poll("req-000005") == "done"
     assert await deployment.poll("req-000006") == "withdrawn"
-    await deployment.wait_until_served("req-000004")  # a service that was taken for an array
+    await deployment.wait_until_served(
+        "req-000004"
+    )  # a service that the old version took for an array
     await deployment.wait_until_done("req-000002", seconds=60)
     assert await deployment.cancel("req-000004") == "withdrawn"
     shard_leader = deployment.acting_shard_leader()
@@ -109,7 +111,8 @@
 
 @simulated
 async def test_records_written_beside_an_old_member_are_readable_by_it(loop: Loop) -> None:
-    """Jobs, results of a large array, scale-out requests, machines, budgets: and no service."""
+    """These are jobs, results of a large array, scale-out requests, machines and budgets; services
+    are refused."""
     deployment = Deployment(loop, announced_limits={"value_kb": 2.0, "txn_ops": 4})
     deployment.old_version_nodes = {"node-1"}
     await deployment.start()
@@ -144,7 +147,7 @@
     deployment.assert_no_violation()
 
 
-# Which version the cluster has
+# Which versions allow services
 
 
 def _cluster(**versions: int) -> ClusterView:
@@ -158,7 +161,7 @@
     assert not versions.services_allowed(ClusterView())  # nothing is known yet
     assert not versions.services_allowed(_cluster(a=1, b=0))
     one_absent = _cluster(a=1, b=1)
-    assert versions.services_allowed(one_absent)  # without its key the third does nothing
+    assert versions.services_allowed(one_absent)  # without its member key the third does nothing
     preconditions = versions.member_preconditions(one_absent, ["b", "c"])
 
     assert [(precondition.key, precondition.version) for precondition in preconditions] == [
@@ -169,7 +172,7 @@
 
 @simulated
 async def test_acceptance_of_a_service_fails_when_an_old_member_joins_meanwhile(loop: Loop) -> None:
-    """The node that is asked has not heard of it yet."""
+    """The controller that gets the submission does not know of it yet."""
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
@@ -178,7 +181,7 @@
     members = deployment.controllers["node-0"].membership.cluster.members
     await deployment.wait_until(lambda: "node-2" not in members, seconds=20)
     await asyncio.sleep(2)
-    deployment.store.keys["c/member/node-2"] = (  # no watch tells of it
+    deployment.store.keys["c/member/node-2"] = (  # no watch reports it
         {"name": "node-2", "life": "ab"},
         deployment.store.revision,
         None,
@@ -204,7 +207,7 @@
         assert status == 503
         await _upgrade(deployment, name)
     assert await deployment.submit(deployment.service(1)) == 201
-    deployment.crash("node-0")  # one that is away changes nothing any more
+    deployment.crash("node-0")  # an absent controller makes no difference any more
     assert await deployment.submit(deployment.service(3), "node-1") == 201
     deployment.start_controller("node-0")
 
@@ -214,7 +217,7 @@
 
 
 async def _upgrade(deployment: Deployment, name: str, downtime_s: float = 2.0) -> None:
-    """Kill a controller, and start it in the new version."""
+    """Crash a controller, and restart it in the new version."""
     if name in deployment.controller_tasks:
         deployment.crash(name)
     await asyncio.sleep(downtime_s)
@@ -244,7 +247,7 @@
     await deployment.submit(deployment.job(3, Pieces=2, RunS=400.0, GuessS=400.0))
     await deployment.wait_until(lambda: len(deployment.rule_checker.results) > 10)
     shard_leader = deployment.acting_shard_leader()
-    # a scale-out request under way, whose answer nobody hears
+    # A scale-out request is in flight, and its response is lost.
     deployment.cloud.unanswered_rentals = 1
     await deployment.submit(deployment.job(4, Pieces=30, RunS=10.0))
 
@@ -268,7 +271,7 @@
     await deployment.wait_until(lambda: deployment.shard_leader() in others)
 
     await deployment.wait_until_done("req-000001", "req-000002", "req-000004")
-    assert deployment.rule_checker.starts_of("req-000001") == 4  # its tasks lived on
+    assert deployment.rule_checker.starts_of("req-000001") == 4  # no task of it was restarted
     assert deployment.running_tasks("req-000003") == []
     deployment.assert_no_violation()
 
@@ -305,12 +308,12 @@
     deployment.assert_no_violation()
 
 
-# An old controller that comes back after all
+# An old controller that joins again after the upgrade
 
 
 @simulated
 async def test_returned_old_controller_can_not_keep_a_shard_with_services(loop: Loop) -> None:
-    """It can't read them, hands the shard back, and a new one takes it."""
+    """It can't read them and releases the shard, which is then granted to a new controller."""
     deployment = Deployment(loop)
     await deployment.start()
 
@@ -323,7 +326,7 @@
     deployment.start_controller(returned)
     deployment.crash(other)
     await asyncio.sleep(3)
-    # Only the old one is left: it takes the shard, and can't load it
+    # Only the old controller is left: it is granted the shard, and can't load it.
     deployment.crash(shard_leader)
     await asyncio.sleep(2)
     deployment.start_controller(other)
@@ -363,7 +366,7 @@
 
 
 async def _crashes(deployment: Deployment) -> None:
-    """One that dies before its turn comes back in the version that it had."""
+    """Controllers that crash before their turn restart in the version that they had."""
     for _ in range(3):
         name = deployment.rng.choice(deployment.nodes)
         if name in deployment.controller_tasks:
