--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -150,9 +150,9 @@
 # Which versions allow services
 
 
-def _cluster(**versions: int) -> ClusterView:
+def _cluster(**record_versions: int) -> ClusterView:
     cluster = ClusterView()
-    for name, version in versions.items():
+    for name, version in record_versions.items():
         cluster.members[name] = Versioned(MemberRecord(name, "ab", version), 5)
     return cluster
 
