--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -398,14 +398,14 @@
             deployment.job(number, Shape=shape, Pieces=3, RunS=rng.choice([2.0, 15.0]))
         )
     await asyncio.sleep(rng.uniform(4, 8))
-    rolling = loop.create_task(_upgrade_all(deployment, rng.choice([0.3, 2.0])))
+    upgrade = loop.create_task(_upgrade_all(deployment, rng.choice([0.3, 2.0])))
     await asyncio.sleep(rng.uniform(0, 6))
     faulting = loop.create_task(fault(deployment))
     await deployment.cancel("req-000002")
-    while not (rolling.done() and faulting.done()):
+    while not (upgrade.done() and faulting.done()):
         deployment.rule_checker.check()
         await asyncio.sleep(0.2)
-    await rolling
+    await upgrade
     await faulting
     deployment.end_all_faults()
     deployment.apply_announced_limits()
