--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -400,13 +400,13 @@
     await asyncio.sleep(rng.uniform(4, 8))
     upgrade = loop.create_task(_upgrade_all(deployment, rng.choice([0.3, 2.0])))
     await asyncio.sleep(rng.uniform(0, 6))
-    faulting = loop.create_task(fault(deployment))
+    fault_task = loop.create_task(fault(deployment))
     await deployment.cancel("req-000002")
-    while not (upgrade.done() and faulting.done()):
+    while not (upgrade.done() and fault_task.done()):
         deployment.rule_checker.check()
         await asyncio.sleep(0.2)
     await upgrade
-    await faulting
+    await fault_task
     deployment.end_all_faults()
     deployment.apply_announced_limits()
     await deployment.submit(deployment.service(9, Apart=True, Pieces=4))
