--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -281,11 +281,11 @@
     if not services:
         return
     await _upgrade(deployment, rng)
-    lowering = asyncio.get_running_loop().call_later(
+    limits_timer = asyncio.get_running_loop().call_later(
         rng.uniform(0, 20), deployment.apply_announced_limits
     )
     await _submit_services(deployment, rng, services)
-    lowering.cancel()
+    limits_timer.cancel()
     deployment.apply_announced_limits()
 
 
