--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -540,9 +540,9 @@
     deployment.store.slowness = 8.0
     await _run_checked(deployment, 3)
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
-    cancels = []
+    cancellations = []
     for number in range(2, 7):
-        cancels.append(loop.create_task(deployment.cancel(f"req-{number:06d}")))
+        cancellations.append(loop.create_task(deployment.cancel(f"req-{number:06d}")))
         await _run_checked(deployment, 0.4)
         for polled in range(1, number):
             await deployment.poll(f"req-{polled:06d}")
@@ -551,7 +551,7 @@
     deployment.store.refused_hosts.clear()
     deployment.store.end_outage()
     deployment.store.slowness = 1.0
-    await asyncio.gather(*cancels)
+    await asyncio.gather(*cancellations)
     await _run_checked(deployment, Deployment.CANCEL)
 
     assert not any(deployment.running_tasks(f"req-{number:06d}") for number in range(2, 7))
