--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -63,9 +63,8 @@
         await asyncio.sleep(0.3)
         deployment.start_controller(other)
         await asyncio.sleep(staleness_s - 1.5)
-        assert (
-            deployment.shard_leader() == shard_leader
-        )  # the restarted controller still defers failovers
+        # the restarted controller still defers failovers
+        assert deployment.shard_leader() == shard_leader
     else:
         if fault == "stands still":
             deployment.freeze(other)
