--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -292,7 +292,7 @@
 
     user_api.store.request_limiter.full_at = loop.time() + 60.0
     bad = await user_api.handle(Request("POST", "/api/jobs", "", b"[]"))
-    assert bad.status == 400  # malformed whatever the load, so that users don't retry it
+    assert bad.status == 400  # told apart from overload, so that users don't retry it
     pool = ConnectionPool(dict(deployment.front_addresses())["node-0"], 1)
     asked_at = loop.time()
     status, _ = await pool.request("GET", "/api/jobs/req-000001")
@@ -375,9 +375,8 @@
     assert len(server.connections) == 6
     assert all(client.idle for client in clients)  # no client was disconnected
     extra_client = ConnectionPool("10.0.0.9:80", 1)
-    assert (await extra_client.request("GET", "/"))[
-        0
-    ] == 200  # now the one that was idle longest is closed
+    # The connection that was idle longest is closed for it.
+    assert (await extra_client.request("GET", "/"))[0] == 200
     await asyncio.sleep(0.1)
 
     assert [bool(client.idle) for client in clients] == [False] + [True] * 5
@@ -449,8 +448,8 @@
 
 @simulated
 async def test_withdrawn_request_leaves_no_unretrieved_reply(loop: Loop) -> None:
-    """Its connection is closed. The reply, which nothing awaits, was reported by asyncio as an
-    exception that was never retrieved."""
+    """A request is withdrawn before it is sent, and its connection is closed. The reply, which
+    nothing awaits, was reported by asyncio as an exception that was never retrieved."""
 
     async def answer(request: Request) -> Response:
         return Response(200, b"{}")
