--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -96,9 +96,8 @@
 
     assert await deployment.poll("req-000005") == "done"
     assert await deployment.poll("req-000006") == "withdrawn"
-    await deployment.wait_until_served(
-        "req-000004"
-    )  # a service that the old version took for an array
+    # a service that the old version took for an array
+    await deployment.wait_until_served("req-000004")
     await deployment.wait_until_done("req-000002", seconds=60)
     assert await deployment.cancel("req-000004") == "withdrawn"
     shard_leader = deployment.acting_shard_leader()
@@ -111,8 +110,8 @@
 
 @simulated
 async def test_records_written_beside_an_old_member_are_readable_by_it(loop: Loop) -> None:
-    """These are jobs, results of a large array, scale-out requests, machines and budgets; services
-    are refused."""
+    """The records are jobs, results of a large array, scale-out requests, machines and budgets;
+    services are refused."""
     deployment = Deployment(loop, announced_limits={"value_kb": 2.0, "txn_ops": 4})
     deployment.old_version_nodes = {"node-1"}
     await deployment.start()
