--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -10,8 +10,8 @@
 from tests.simulation import Loop, poll_until, run_scenario
 
 
-async def _users(deployment: Deployment, rng: random.Random, jobs: int) -> None:
-    """Submits, repeats, cancels and polls, at any node."""
+async def _submit_jobs(deployment: Deployment, rng: random.Random, jobs: int) -> None:
+    """Submit, poll and cancel jobs at random controllers; repeat what is not answered."""
     for number in range(1, jobs + 1):
         shape = rng.choice(["batch", "batch", "group"])
         job = deployment.job(
@@ -37,8 +37,8 @@
         await asyncio.sleep(rng.uniform(0, 4))
 
 
-async def _service_users(deployment: Deployment, rng: random.Random, services: int) -> None:
-    """Start services, look at them, and cancel some, once the cluster takes any."""
+async def _submit_services(deployment: Deployment, rng: random.Random, services: int) -> None:
+    """Submit services, once the cluster accepts any; poll them and cancel some."""
     for number in range(501, 501 + services):
         job = deployment.service(
             number,
@@ -60,7 +60,7 @@
 
 
 async def _upgrade(deployment: Deployment, rng: random.Random) -> None:
-    """Replace each process in turn; one that crashes before its turn keeps its version."""
+    """Upgrade each controller in turn; one that crashes before its turn keeps its version."""
     for name in deployment.nodes:
         await asyncio.sleep(rng.uniform(1, 10))
         await poll_until(lambda name=name: _is_running(deployment, name), 0.5)
@@ -72,16 +72,16 @@
 
 
 FAULT_KINDS = 21  # without duties
-DUTY_FAULT_KINDS = 3  # more, with duties
+DUTY_FAULT_KINDS = 3  # in addition, with duties
 
 
 async def _inject_faults(
     deployment: Deployment, rng: random.Random, fault_kinds: int = FAULT_KINDS
 ) -> None:
-    """Inject one fault after the other, often before the last one is over."""
+    """Inject one random fault after the other, often before the last one is over; never returns."""
     pending: list[asyncio.Task[None]] = []
 
-    async def cut(name: str, store: bool, seconds: float) -> None:
+    async def isolate(name: str, store: bool, seconds: float) -> None:
         deployment.isolate(name, store=store, cloud=rng.random() < 0.5)
         await asyncio.sleep(seconds)
         deployment.rejoin(name, deliver=rng.random() < 0.7)
@@ -101,7 +101,7 @@
         await asyncio.sleep(seconds)
         deployment.store.end_outage()
 
-    async def refused(name: str, seconds: float) -> None:
+    async def lose_store(name: str, seconds: float) -> None:
         deployment.net.cut(deployment.host(name), deployment.store.HOST)
         await asyncio.sleep(seconds)
         deployment.net.heal(
@@ -109,7 +109,7 @@
         )
 
     async def break_machine(what: str, seconds: float) -> None:
-        """A machine hangs, or is unreachable, for a while."""
+        """Set a fault attribute of a random machine for a while."""
         machines = [m for m in deployment.cloud.machines.values() if m.up]
         if machines:
             machine = rng.choice(machines)
@@ -127,7 +127,7 @@
         await asyncio.sleep(seconds)
         deployment.net.slow.pop(deployment.host(name), None)
 
-    async def slow_state(seconds: float) -> None:
+    async def slow_store(seconds: float) -> None:
         deployment.store.latency_factor = 10.0
         await asyncio.sleep(seconds)
         deployment.store.latency_factor = 1.0
@@ -148,7 +148,7 @@
         await asyncio.sleep(seconds)
         deployment.store.late_write_share = 0.0
 
-    async def refused_then_all(name: str) -> None:
+    async def refused_before_outage(name: str) -> None:
         deployment.store.refused_hosts.add(deployment.host(name))
         await asyncio.sleep(rng.uniform(0.5, 3))
         deployment.store.down = True
@@ -171,7 +171,7 @@
         await asyncio.sleep(seconds)
         deployment.cloud.answer_delay_s = 0.02
 
-    async def hang_many(seconds: float) -> None:
+    async def hang_machines(seconds: float) -> None:
         machines = [m for m in deployment.cloud.machines.values() if m.up and rng.random() < 0.4]
         for machine in machines:
             machine.hung = True
@@ -179,12 +179,12 @@
         for machine in machines:
             machine.hung = False
 
-    async def die_many() -> None:
+    async def kill_machines() -> None:
         for name in list(deployment.cloud.machines):
             if rng.random() < 0.3:
                 deployment.cloud.machines.pop(name).stop()
 
-    async def die() -> None:
+    async def kill_machine() -> None:
         if deployment.cloud.machines:
             name = rng.choice(list(deployment.cloud.machines))
             deployment.cloud.machines.pop(name).stop()
@@ -195,54 +195,54 @@
         seconds = rng.choice([0.3, 2.0, 7.0, 15.0])
         fault_kind = rng.randrange(fault_kinds)
         if deployment.host(name) in deployment.loop.frozen:
-            continue  # nothing else can befall it
+            continue  # a frozen controller has no other fault meanwhile
         if fault_kind == 0:
-            fault = cut(name, True, seconds)
+            fault = isolate(name, True, seconds)
         elif fault_kind == 1:
-            fault = cut(name, False, seconds)
+            fault = isolate(name, False, seconds)
         elif fault_kind in (2, 3):
             fault = crash(name, min(seconds, 3.0))
         elif fault_kind == 4:
             fault = outage(seconds)
         elif fault_kind == 5:
-            fault = refused(name, seconds)
+            fault = lose_store(name, seconds)
         elif fault_kind == 6:
             fault = break_machine("hung", seconds)
         elif fault_kind == 7:
             fault = break_machine("unreachable", seconds)
         elif fault_kind == 8:
             fault = lose_store_and_peers(name, seconds)
-        elif fault_kind == 9:  # back at once, with the last message still on its way
+        elif fault_kind == 9:  # restarts at once, with its last message still in flight
             fault = crash(name, rng.uniform(0.05, 0.4))
         elif fault_kind == 10 and deployment.host(name) not in deployment.net.slow:
             fault = slow(name, seconds)
         elif fault_kind == 11:
-            fault = slow_state(seconds)
+            fault = slow_store(seconds)
         elif fault_kind == 12:
             fault = peers_refuse(seconds)
         elif fault_kind == 13:
             fault = freeze(name, seconds)
         elif fault_kind == 14:
-            fault = hang_many(seconds)
+            fault = hang_machines(seconds)
         elif fault_kind == 15:
-            fault = die_many()
+            fault = kill_machines()
         elif fault_kind == 16:
             fault = refused_alone(name, seconds)
         elif fault_kind == 17:
             fault = late_writes(seconds)
         elif fault_kind == 18:
-            fault = refused_then_all(name)
+            fault = refused_before_outage(name)
         elif fault_kind == 19:
             fault = break_machine("sends_no_heartbeats", seconds)
         elif fault_kind == 21:
             fault = cloud_errors(seconds)
         elif fault_kind == 22:
             fault = slow_cloud(seconds)
-        # Whoever holds a duty, and long enough to be replaced in all that it has
+        # The holder of a duty, long enough for others to replace it in all roles
         elif fault_kind == 23:
             fault = freeze(deployment.holder(rng.choice(list(Duty))) or name, 60.0)
         else:
-            fault = die()
+            fault = kill_machine()
         pending.append(asyncio.get_running_loop().create_task(fault))
 
 
@@ -259,7 +259,8 @@
 
 @pytest.mark.parametrize("seed", range(200, 208))
 def test_rules_hold_with_services_across_an_upgrade(seed: int) -> None:
-    """Both versions at fault, and limits that fall some time after the last old process."""
+    """Controllers of both versions have faults, and the limits of the key-value store are lowered
+    some time after the last old controller is gone."""
     _run_with_faults(seed, shards=1 if seed % 4 else 3, machines=12, count=15, services=8)
 
 
@@ -274,15 +275,17 @@
     _run_with_faults(seed, shards=1, machines=12, count=15, services=8, duties=True)
 
 
-async def _upgrade_and_serve(deployment: Deployment, rng: random.Random, services: int) -> None:
+async def _upgrade_and_submit_services(
+    deployment: Deployment, rng: random.Random, services: int
+) -> None:
     if not services:
         return
     await _upgrade(deployment, rng)
-    lowering = asyncio.get_running_loop().call_later(
+    limits_timer = asyncio.get_running_loop().call_later(
         rng.uniform(0, 20), deployment.apply_announced_limits
     )
-    await _service_users(deployment, rng, services)
-    lowering.cancel()
+    await _submit_services(deployment, rng, services)
+    limits_timer.cancel()
     deployment.apply_announced_limits()
 
 
@@ -307,27 +310,29 @@
         await deployment.start()
         fault_kinds = FAULT_KINDS + DUTY_FAULT_KINDS * duties
         faults = loop.create_task(_inject_faults(deployment, rng, fault_kinds))
-        users = loop.create_task(_users(deployment, rng, count))
-        upgrade = loop.create_task(_upgrade_and_serve(deployment, rng, services))
+        users = loop.create_task(_submit_jobs(deployment, rng, count))
+        upgrade = loop.create_task(_upgrade_and_submit_services(deployment, rng, services))
         while not (users.done() and upgrade.done()):
             deployment.rule_checker.check()
             for shard in range(shards):
-                deployment.shard_leader(shard)  # never two
+                deployment.shard_leader(shard)  # fails if two act
             for duty in Duty:
                 deployment.holder(duty)
             await asyncio.sleep(0.5)
         await users
         await upgrade
         faults.cancel()
-        # Everything heals; every job that was accepted and not cancelled must come to its end.
+        # All faults end; every job that was accepted and not cancelled must complete.
         deployment.end_all_faults()
         assert not any(task.done() for task in deployment.controller_tasks.values())
-        left = [ref for ref in deployment.jobs if ref not in deployment.rule_checker.cancelled_at]
-        service_refs = [ref for ref in left if deployment.jobs[ref]["Shape"] == "service"]
-        jobs = set(left) - set(service_refs)
+        uncancelled = [
+            ref for ref in deployment.jobs if ref not in deployment.rule_checker.cancelled_at
+        ]
+        service_refs = [ref for ref in uncancelled if deployment.jobs[ref]["Shape"] == "service"]
+        jobs = set(uncancelled) - set(service_refs)
         if team_cpus_max is None:
             await deployment.wait_until_done(*jobs, seconds=400)
-        # Services hold a team's limit for as long as they stand: others of it wait for that.
+        # Running services count against the limit of their team, so that others of it may wait.
         unlimited = [
             ref for ref in service_refs if deployment.jobs[ref]["Crew"] not in (team_cpus_max or {})
         ]
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -35,16 +35,16 @@
 LIMITS = StoreLimits(rps=100.0, write_rps=50.0, value_bytes=200, operations=3)
 
 
-def _excess(preconditions: int, values: list[int], total: int) -> str:
+def _limit_error(preconditions: int, values: list[int], total: int) -> str:
     return LIMITS.limit_error(preconditions, len(values), values, total)
 
 
 def test_each_limit_is_exact_to_the_byte_and_to_the_operation() -> None:
-    assert _excess(12, [200, 200, 200], TRANSACTION_BYTES) == ""
-    assert "guards" in _excess(13, [1], 100)
-    assert "operations" in _excess(1, [1, 1, 1, 1], 100)
-    assert "201 bytes" in _excess(1, [200, 201], 500)
-    assert f"{TRANSACTION_BYTES + 1} bytes" in _excess(1, [1], TRANSACTION_BYTES + 1)
+    assert _limit_error(12, [200, 200, 200], TRANSACTION_BYTES) == ""
+    assert "guards" in _limit_error(13, [1], 100)
+    assert "operations" in _limit_error(1, [1, 1, 1, 1], 100)
+    assert "201 bytes" in _limit_error(1, [200, 201], 500)
+    assert f"{TRANSACTION_BYTES + 1} bytes" in _limit_error(1, [1], TRANSACTION_BYTES + 1)
 
 
 def test_rows_are_batched_by_operations_and_by_bytes() -> None:
@@ -59,13 +59,13 @@
 @pytest.mark.parametrize(("size", "sent"), [(198, True), (199, False)], ids=["at limit", "over"])
 @simulated
 async def test_transaction_over_a_limit_is_never_sent(loop: Loop, size: int, sent: bool) -> None:
-    """Such a request can't succeed; without the check it would be sent again and again."""
+    """Such a transaction can't succeed; without the check it would be retried again and again."""
     deployment = Deployment(loop)
     await deployment.store.start()
 
     store = KeyValueStore(deployment.store.ADDRESS, LIMITS, 1, 1)
     deployment.store.value_bytes = LIMITS.value_bytes
-    value = "x" * size  # and two quotes
+    value = "x" * size  # encoded with two quotes
     if sent:
         await store.compare_and_swap([], [Put("k", value)])
     else:
@@ -92,24 +92,24 @@
 def test_results_of_any_job_fit_into_values_and_are_read_back(value_bytes: int, tasks: int) -> None:
     layout = ResultLayout(value_bytes)
     job_state = _job_state(tasks)
-    wanted = set(range(0, tasks, 7)) | {tasks - 1}
+    expected = set(range(0, tasks, 7)) | {tasks - 1}
 
-    for index in wanted:
+    for index in expected:
         job_state.finish(index)
     rows = layout.unstored(job_state, 0)
-    again = _job_state(tasks)
+    loaded = _job_state(tasks)
     for row in rows:
         raw = encode(row.value)
         assert len(raw) <= value_bytes
         _, part = parse_open_key(row.key)
         assert part is not None
-        load_results(again, 0, *part, msgspec.Raw(raw), layout)
+        load_results(loaded, 0, *part, msgspec.Raw(raw), layout)
 
-    assert {index for index in range(tasks) if again.is_done(index)} == wanted
-    assert {index for row in rows for index in row.tasks} == wanted
+    assert {index for index in range(tasks) if loaded.is_done(index)} == expected
+    assert {index for row in rows for index in row.tasks} == expected
     assert {row.key for row in rows} <= set(layout.keys(job_state.job.ref, tasks, [0]))
     assert 1 + len(layout.keys(job_state.job.ref, tasks, [0])) <= 1 + layout.max_rows(tasks, 1)
-    assert sum(row.value.count for row in rows) == len(wanted)
+    assert sum(row.value.count for row in rows) == len(expected)
 
 
 def test_results_stored_under_larger_limits_are_read_and_not_rewritten() -> None:
@@ -201,7 +201,7 @@
     await deployment.wait_until_done("req-000001", seconds=240)
     await deployment.wait_until_done(*job_refs(3, 11))
     await deployment.cancel("req-000020")
-    await asyncio.sleep(30)  # rows of what is over are dropped in their own time
+    await asyncio.sleep(30)  # rows of jobs that are over are deleted in the background
 
     assert [key for key in deployment.store.keys if key.startswith("open/")] == []
     deployment.assert_no_violation()
@@ -225,7 +225,7 @@
 async def test_above_the_write_rate_users_and_session_leases_go_first_without_a_retry_storm(
     loop: Loop,
 ) -> None:
-    """The key-value store takes a fifth of what it announced."""
+    """The key-value store accepts a fifth of the write rate that it announced."""
     deployment = Deployment(loop, announced_limits={"write_rps": 20.0})
     await deployment.start()
 
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("", StoreLimits(250.0, 50.0, 32_768, 16)),
         ("[facts.state.next]\nvalue_kb = 2.0", StoreLimits(250.0, 50.0, 2048, 16)),
@@ -312,11 +312,11 @@
     ids=["none announced", "one announced", "all announced, one of them higher"],
 )
 def test_the_lower_of_both_limits_holds_from_the_start(
-    text: str, wanted: StoreLimits, tmp_path: Path
+    text: str, expected: StoreLimits, tmp_path: Path
 ) -> None:
     from basaltlead.config import loader
 
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.replace("{next}", text))
 
-    assert loader.load(str(path)).store_limits == wanted
+    assert loader.load(str(path)).store_limits == expected
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,11 +1,11 @@
-"""Rolling upgrades: both versions side by side, each on the other's records, and going back.
+"""Rolling upgrades and downgrades: both versions side by side, each reading the other's records.
 
-`data/production_records.json` was written by the version before services itself: in a checkout of
+`data/production_records.json` was written by the version before services itself. In a checkout of
 the commit that deploy/service.toml names, a script submitted jobs of every shape to the deployment
-of `tests/fakes`, cancelled one, took the key-value store away for 5 s, and kept the first record of
-each kind as the key-value store got it, and the first message of each kind that a controller got
-from another. Records of members, shards, jobs, results (one of 24,576 tasks), scale-out requests,
-machines and teams are among them.
+of `tests/fakes`, cancelled one, and stopped the key-value store for 5 s. It saved the first record
+of each kind that the key-value store received, and the first message of each kind that a controller
+received from another. There are records of members, shards, jobs, results (one of 24,576 tasks),
+scale-out requests, machines and teams.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 from tests.simulation import Loop, simulated
 
 DATA = json.loads((Path(__file__).parent / "data" / "production_records.json").read_text())
-TYPES: dict[str, Any] = {
+RECORD_TYPES: dict[str, Any] = {
     "c/baton": Counter,
     "c/block": Grant,
     "c/leader": MemberRecord,
@@ -53,11 +53,11 @@
 
 
 def test_records_of_the_old_version_are_read_with_their_meaning() -> None:
-    machine_types = set()
+    record_types = set()
     for key, value in DATA["records"]:
-        machine_type = _record_type(key)
-        read = msgspec.json.decode(msgspec.json.encode(value), type=TYPES[machine_type])
-        machine_types.add(machine_type)
+        record_type = _record_type(key)
+        read = msgspec.json.decode(msgspec.json.encode(value), type=RECORD_TYPES[record_type])
+        record_types.add(record_type)
         if isinstance(read, MemberRecord):
             assert read.version == 0
         if isinstance(read, StoredJob):
@@ -66,7 +66,7 @@
             assert job_of(read.submission).shape is shapes[value["job"]["Shape"]]
         elif not isinstance(read, MemberRecord):
             assert msgspec.to_builtins(read) == value
-    assert machine_types == set(TYPES)
+    assert record_types == set(RECORD_TYPES)
 
 
 def test_messages_of_the_old_version_are_read_and_written_alike() -> None:
@@ -77,7 +77,7 @@
 
 
 async def _start_on_old_records(loop: Loop) -> Deployment:
-    """Start on a key-value store that holds what processes of the old version left behind."""
+    """Start with a key-value store that holds what controllers of the old version left behind."""
     deployment = Deployment(loop)
     for number, (key, value) in enumerate(DATA["records"], 1):
         if not key.startswith(("c/member", "c/leader")):  # those ended with their session leases
@@ -96,7 +96,8 @@
 
     assert await deployment.poll("req-000005") == "done"
     assert await deployment.poll("req-000006") == "withdrawn"
-    await deployment.wait_until_served("req-000004")  # a service that was taken for an array
+    # a service that the old version took for an array
+    await deployment.wait_until_served("req-000004")
     await deployment.wait_until_done("req-000002", seconds=60)
     assert await deployment.cancel("req-000004") == "withdrawn"
     shard_leader = deployment.acting_shard_leader()
@@ -109,7 +110,8 @@
 
 @simulated
 async def test_records_written_beside_an_old_member_are_readable_by_it(loop: Loop) -> None:
-    """Jobs, results of a large array, scale-out requests, machines, budgets: and no service."""
+    """The records are jobs, results of a large array, scale-out requests, machines and budgets;
+    services are refused."""
     deployment = Deployment(loop, announced_limits={"value_kb": 2.0, "txn_ops": 4})
     deployment.old_version_nodes = {"node-1"}
     await deployment.start()
@@ -144,12 +146,12 @@
     deployment.assert_no_violation()
 
 
-# Which version the cluster has
+# Which versions allow services
 
 
-def _cluster(**versions: int) -> ClusterView:
+def _cluster(**record_versions: int) -> ClusterView:
     cluster = ClusterView()
-    for name, version in versions.items():
+    for name, version in record_versions.items():
         cluster.members[name] = Versioned(MemberRecord(name, "ab", version), 5)
     return cluster
 
@@ -157,9 +159,9 @@
 def test_services_are_allowed_while_no_member_is_of_an_older_version() -> None:
     assert not versions.services_allowed(ClusterView())  # nothing is known yet
     assert not versions.services_allowed(_cluster(a=1, b=0))
-    one_away = _cluster(a=1, b=1)
-    assert versions.services_allowed(one_away)  # without its key the third does nothing
-    preconditions = versions.member_preconditions(one_away, ["b", "c"])
+    one_absent = _cluster(a=1, b=1)
+    assert versions.services_allowed(one_absent)  # without its member key the third does nothing
+    preconditions = versions.member_preconditions(one_absent, ["b", "c"])
 
     assert [(precondition.key, precondition.version) for precondition in preconditions] == [
         ("c/member/b", 5),
@@ -169,16 +171,16 @@
 
 @simulated
 async def test_acceptance_of_a_service_fails_when_an_old_member_joins_meanwhile(loop: Loop) -> None:
-    """The node that is asked has not heard of it yet."""
+    """The controller that gets the submission does not know of it yet."""
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
 
     deployment.crash("node-2")
-    gone = deployment.controllers["node-0"].membership.cluster.members
-    await deployment.wait_until(lambda: "node-2" not in gone, seconds=20)
+    members = deployment.controllers["node-0"].membership.cluster.members
+    await deployment.wait_until(lambda: "node-2" not in members, seconds=20)
     await asyncio.sleep(2)
-    deployment.store.keys["c/member/node-2"] = (  # no watch tells of it
+    deployment.store.keys["c/member/node-2"] = (  # no watch reports it
         {"name": "node-2", "life": "ab"},
         deployment.store.revision,
         None,
@@ -204,7 +206,7 @@
         assert status == 503
         await _upgrade(deployment, name)
     assert await deployment.submit(deployment.service(1)) == 201
-    deployment.crash("node-0")  # one that is away changes nothing any more
+    deployment.crash("node-0")  # an absent controller makes no difference any more
     assert await deployment.submit(deployment.service(3), "node-1") == 201
     deployment.start_controller("node-0")
 
@@ -213,19 +215,19 @@
     deployment.assert_no_violation()
 
 
-async def _upgrade(deployment: Deployment, name: str, away: float = 2.0) -> None:
-    """Kill a controller, and start it in the new version."""
+async def _upgrade(deployment: Deployment, name: str, downtime_s: float = 2.0) -> None:
+    """Crash a controller, and restart it in the new version."""
     if name in deployment.controller_tasks:
         deployment.crash(name)
-    await asyncio.sleep(away)
+    await asyncio.sleep(downtime_s)
     deployment.old_version_nodes.discard(name)
     deployment.start_controller(name)
     await asyncio.sleep(4.0)
 
 
-async def _roll(deployment: Deployment, away: float = 2.0) -> None:
+async def _upgrade_all(deployment: Deployment, downtime_s: float = 2.0) -> None:
     for name in deployment.nodes:
-        await _upgrade(deployment, name, away)
+        await _upgrade(deployment, name, downtime_s)
 
 
 # Failovers from one version to the other
@@ -244,7 +246,7 @@
     await deployment.submit(deployment.job(3, Pieces=2, RunS=400.0, GuessS=400.0))
     await deployment.wait_until(lambda: len(deployment.rule_checker.results) > 10)
     shard_leader = deployment.acting_shard_leader()
-    # a scale-out request under way, whose answer nobody hears
+    # A scale-out request is in flight, and its response is lost.
     deployment.cloud.unanswered_rentals = 1
     await deployment.submit(deployment.job(4, Pieces=30, RunS=10.0))
 
@@ -268,7 +270,7 @@
     await deployment.wait_until(lambda: deployment.shard_leader() in others)
 
     await deployment.wait_until_done("req-000001", "req-000002", "req-000004")
-    assert deployment.rule_checker.starts_of("req-000001") == 4  # its tasks lived on
+    assert deployment.rule_checker.starts_of("req-000001") == 4  # no task of it was restarted
     assert deployment.running_tasks("req-000003") == []
     deployment.assert_no_violation()
 
@@ -305,25 +307,25 @@
     deployment.assert_no_violation()
 
 
-# An old controller that comes back after all
+# An old controller that joins again after the upgrade
 
 
 @simulated
 async def test_returned_old_controller_can_not_keep_a_shard_with_services(loop: Loop) -> None:
-    """It can't read them, hands the shard back, and a new one takes it."""
+    """It can't read them and releases the shard, which is then granted to a new controller."""
     deployment = Deployment(loop)
     await deployment.start()
 
     assert await deployment.submit(deployment.service(1)) == 201
     await deployment.wait_until_served("req-000001")
     shard_leader = deployment.acting_shard_leader()
-    back, other = (name for name in deployment.nodes if name != shard_leader)
-    deployment.crash(back)
-    deployment.old_version_nodes.add(back)
-    deployment.start_controller(back)
+    returned, other = (name for name in deployment.nodes if name != shard_leader)
+    deployment.crash(returned)
+    deployment.old_version_nodes.add(returned)
+    deployment.start_controller(returned)
     deployment.crash(other)
     await asyncio.sleep(3)
-    # Only the old one is left: it takes the shard, and can't load it
+    # Only the old controller is left: it is granted the shard, and can't load it.
     deployment.crash(shard_leader)
     await asyncio.sleep(2)
     deployment.start_controller(other)
@@ -332,7 +334,7 @@
     await deployment.wait_until_served("req-000001", seconds=FakeWorker.LEASE_S + 20)
     for name in deployment.nodes:
         assert await deployment.poll("req-000001", name) == "running"
-    assert await deployment.cancel("req-000001", back) == "withdrawn"
+    assert await deployment.cancel("req-000001", returned) == "withdrawn"
     await asyncio.sleep(Deployment.CANCEL_S)
 
     assert deployment.running_tasks("req-000001") == []
@@ -363,7 +365,7 @@
 
 
 async def _crashes(deployment: Deployment) -> None:
-    """One that dies before its turn comes back in the version that it had."""
+    """Controllers that crash before their turn restart in the version that they had."""
     for _ in range(3):
         name = deployment.rng.choice(deployment.nodes)
         if name in deployment.controller_tasks:
@@ -395,15 +397,15 @@
             deployment.job(number, Shape=shape, Pieces=3, RunS=rng.choice([2.0, 15.0]))
         )
     await asyncio.sleep(rng.uniform(4, 8))
-    rolling = loop.create_task(_roll(deployment, rng.choice([0.3, 2.0])))
+    upgrade = loop.create_task(_upgrade_all(deployment, rng.choice([0.3, 2.0])))
     await asyncio.sleep(rng.uniform(0, 6))
-    faulting = loop.create_task(fault(deployment))
+    fault_task = loop.create_task(fault(deployment))
     await deployment.cancel("req-000002")
-    while not (rolling.done() and faulting.done()):
+    while not (upgrade.done() and fault_task.done()):
         deployment.rule_checker.check()
         await asyncio.sleep(0.2)
-    await rolling
-    await faulting
+    await upgrade
+    await fault_task
     deployment.end_all_faults()
     deployment.apply_announced_limits()
     await deployment.submit(deployment.service(9, Apart=True, Pieces=4))
