--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -9,10 +9,7 @@
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
-LEASE_S, CANCEL_S = (
-    10.0,
-    30.0,
-)  # With a session lease of 0.3 * LEASE_S these leave little slack.
+# With a session lease of 0.3 * LEASE_S these leave little slack.
 LEASE_S, CANCEL_S = 10.0, 30.0
 
 
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -120,7 +120,9 @@
     harness.heartbeat("m-0", epoch=2, sequence=1, fencing_token=7)
     assert not harness.shard.machines["m-0"].lost
     assert _state(harness) is MachineState.CORDONED
-    harness.shard.receive_push_response(harness.make_heartbeat("m-0", epoch=2, sequence=2), harness.now)
+    harness.shard.receive_push_response(
+        harness.make_heartbeat("m-0", epoch=2, sequence=2), harness.now
+    )
 
     assert _state(harness) is MachineState.READY
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -421,7 +421,8 @@
     plan(harness.shard, harness.now)
     assert job_state.live[0].machine is not unreachable
     assert not unreachable.usable(harness.now)
-    harness.shard.receive_push_response(harness.make_heartbeat(unreachable.name, epoch=2, sequence=2), harness.now
+    harness.shard.receive_push_response(
+        harness.make_heartbeat(unreachable.name, epoch=2, sequence=2), harness.now
     )
 
     assert unreachable.usable(harness.now)
--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -41,7 +41,9 @@
     return harness.shard.take_push_commands(machine)[1]
 
 
-def _receive_push_answer(harness: ShardHarness, starts: list[Attempt], epoch: int, executed: bool) -> None:
+def _receive_push_answer(
+    harness: ShardHarness, starts: list[Attempt], epoch: int, executed: bool
+) -> None:
     """Receive the answer to a push, with the machine's epoch and the starts if it executed them."""
     machine = starts[0].machine.name
     tasks = [task_status(attempt, "running") for attempt in starts] if executed else []
