--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -14,8 +14,8 @@
 older member the shard leaders perform them, as older versions do. Open intents of the duty holders
 stay recorded, and are executed by whichever controller may do so then.
 
-Once no controller of version 0 is left anywhere, `services_allowed`, the preconditions on member
-keys in `api/users`, and the empty field of chunk rows in `result_rows` can be removed.
+Once no controller of version 0 is left anywhere, `services_allowed`, the preconditions on other
+members' keys in `api/users`, and the empty field of chunk rows in `result_rows` can be removed.
 `member_preconditions` stays, since the leader's grants need it.
 """
 
