--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -11,7 +11,7 @@
 
 
 async def _submit_jobs(deployment: Deployment, rng: random.Random, jobs: int) -> None:
-    """Submit, poll and cancel jobs at random controllers; repeat what is not answered."""
+    """Submit, poll and cancel jobs at random controllers; retry submissions until answered."""
     for number in range(1, jobs + 1):
         shape = rng.choice(["batch", "batch", "group"])
         job = deployment.job(
@@ -238,7 +238,7 @@
             fault = cloud_errors(seconds)
         elif fault_kind == 22:
             fault = slow_cloud(seconds)
-        # The holder of a duty, long enough for others to replace it in all roles
+        # The holder of a duty, frozen long enough to be replaced in all its roles
         elif fault_kind == 23:
             fault = freeze(deployment.holder(rng.choice(list(Duty))) or name, 60.0)
         else:
