--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -129,8 +129,8 @@
     loop: Loop,
 ) -> None:
     """All controllers crash after a cancellation that the shard leader did not see. The next one is
-    granted the shard, and the key-value store goes down before it has listed the open jobs: it does
-    not know that the job is cancelled whose tasks still run."""
+    granted the shard, and the key-value store goes down before it has listed the open jobs. Since
+    it can't tell which running tasks are cancelled, it must not renew any worker's lease."""
     deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     shard_leader = await deployment.start_with_running_job(6, 500.0)
 
@@ -183,7 +183,7 @@
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
     await asyncio.sleep(0.1)
     assert await deployment.cancel("req-000001", deployment.other_node(shard_leader)) == "withdrawn"
-    await _run_checked(deployment, 0.5)  # before the shard leader requests anything of its peers
+    await _run_checked(deployment, 0.5)  # too soon for the shard leader to ask its peers
     assert deployment.running_tasks("req-000001") == []
     starts = deployment.rule_checker.starts_of("req-000001")
     assert deployment.shard_leader() == shard_leader
@@ -359,7 +359,7 @@
 
 @simulated
 async def test_heartbeat_delayed_until_after_a_failover(loop: Loop) -> None:
-    """It arrives again when the machine has begun a new agent epoch and sent heartbeats in it."""
+    """The same heartbeat arrives again after the machine has sent others in a new agent epoch."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(4, 30.0)
     machine = _workers_running(deployment, "req-000001")[0]
@@ -480,8 +480,8 @@
 
 @simulated
 async def test_late_write_of_results_does_not_undo_a_newer_one(loop: Loop) -> None:
-    """The workers have forgotten the results in the newer one, and the next shard leader reads them
-    only there."""
+    """Results would be lost: the workers have forgotten those that the newer write stored, and the
+    next shard leader reads them from the key-value store."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 1
     await deployment.start()
