--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -58,7 +58,7 @@
 
 
 async def _hand_over_and_back(deployment: Deployment, rng: random.Random) -> None:
-    """Two shard leaders crash in turn; the first has restarted before the second crashes."""
+    """Two crashes of the acting shard leader; the first has restarted before the second."""
     for _ in range(2):
         await _crash(deployment, rng)
         await asyncio.sleep(rng.uniform(1.0, 4.0))
