--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -58,7 +58,7 @@
 
 
 async def _hand_over_and_back(deployment: Deployment, rng: random.Random) -> None:
-    """Two shard leaders crash in turn; the first has restarted before the second crashes."""
+    """Two crashes of the acting shard leader; the first has restarted before the second."""
     for _ in range(2):
         await _crash(deployment, rng)
         await asyncio.sleep(rng.uniform(1.0, 4.0))
@@ -159,7 +159,7 @@
         await asyncio.sleep(0.25)
 
 
-async def _run_scenario(loop: Loop, seed: int) -> None:
+async def _scenario(loop: Loop, seed: int) -> None:
     rng = random.Random(seed)
     team_cpus_max = {"blue": 6.0} if seed % 3 == 0 else None
     operator = {"blocks": 3 if seed % 5 == 0 else 1}
@@ -191,4 +191,4 @@
 
 @pytest.mark.parametrize("seed", range(SOAK_SEEDS))
 def test_rules_hold_while_machines_are_out_of_contact(seed: int) -> None:
-    run_scenario(lambda loop: _run_scenario(loop, seed), seed)
+    run_scenario(lambda loop: _scenario(loop, seed), seed)
