--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -63,7 +63,7 @@
                 break  # the rest is sent with the next answer
         return commands
 
-    def halt_orphans(self, heartbeat: WorkerReport) -> list[TaskCommand]:
+    def halts_for_closed_jobs(self, heartbeat: WorkerReport) -> list[TaskCommand]:
         """Halts for tasks of closed jobs, on a machine that has not sent our fencing token.
 
         The answer renews its lease and may be the last that it receives, so a halt for a job that
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -186,16 +186,16 @@
         if receipt is OUTDATED:
             return []
         if receipt is UNPROVEN:
-            return self.halt_orphans(heartbeat)
+            return self.halts_for_closed_jobs(heartbeat)
         self._drainer.drain(machine, now)
         machine.lease.answer(now)
         if not machine.synced:
-            return self.halt_orphans(heartbeat)
+            return self.halts_for_closed_jobs(heartbeat)
         return self._commands.for_heartbeat(machine, machine.messages.heartbeat_sequence)
 
-    def halt_orphans(self, heartbeat: WorkerReport) -> list[TaskCommand]:
+    def halts_for_closed_jobs(self, heartbeat: WorkerReport) -> list[TaskCommand]:
         """Halts for tasks of closed jobs, on a machine that is not synced."""
-        return self._commands.halt_orphans(heartbeat)
+        return self._commands.halts_for_closed_jobs(heartbeat)
 
     def take_push_commands(self, machine: Machine) -> tuple[list[TaskCommand], list[Attempt]]:
         """The commands to push now, and the starts among them, which are then in flight."""
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -37,7 +37,7 @@
             return None
         if not self._loaded:
             self.answered_at[heartbeat.machine] = now
-            return self._renewal(self.shard.halt_orphans(heartbeat))
+            return self._renewal(self.shard.halts_for_closed_jobs(heartbeat))
         if heartbeat.machine in self.shard.machines:
             return self._apply(heartbeat, now)
         return self._handle_unknown(heartbeat, now)
@@ -53,7 +53,7 @@
         if heartbeat.machine in self.shard.deleted_machines:
             return None
         if heartbeat.fencing_token < self.lease.fencing_token:
-            return self._renewal(self.shard.halt_orphans(heartbeat))
+            return self._renewal(self.shard.halts_for_closed_jobs(heartbeat))
         self._register_machine(heartbeat, now)
         return self._apply(heartbeat, now)
 
