--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -147,7 +147,7 @@
     def load_machine(self, machine: Machine, answered_at: int | None = None) -> None:
         """Add a machine that is recorded as in use when we acquire the shard. `answered_at` is when
         we last answered it before it was loaded; None if we did not."""
-        machine.lease.grant(self.acquired_at, answered_at)
+        machine.lease.count_from_grant(self.acquired_at, answered_at)
         self._fleet.load(machine)
 
     def add_machine(self, machine: Machine) -> None:
--- a/basaltlead/core/worker_lease.py
+++ b/basaltlead/core/worker_lease.py
@@ -57,7 +57,7 @@
         # renew the lease.
         self.answered_at = now
 
-    def grant(self, at: int, answered_at: int | None = None) -> None:
+    def count_from_grant(self, at: int, answered_at: int | None = None) -> None:
         """Count from the time `at` at which the shard was granted to us, for a machine of a former
         shard leader, or from `answered_at` if we have answered it since."""
         self.counted_from = self.answered_at = at
--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -227,7 +227,7 @@
 
 def test_lease_is_counted_from_the_latest_of_grant_epoch_and_answer() -> None:
     lease = WorkerLease(0)
-    lease.grant(10 * US)
+    lease.count_from_grant(10 * US)
     assert _expires_at(lease, 10 * US) == 10 * US + TIMING.lease_expiry_us
     lease.begin_epoch(13 * US)
     assert _expires_at(lease, 13 * US) == 13 * US + TIMING.lease_expiry_us
@@ -237,7 +237,7 @@
 
 def test_answer_given_before_the_shard_was_loaded_prolongs_the_lease_after_the_grant() -> None:
     lease = WorkerLease(30 * US)
-    lease.grant(10 * US, answered_at=12 * US)
+    lease.count_from_grant(10 * US, answered_at=12 * US)
     assert _expires_at(lease, 12 * US) == 12 * US + TIMING.lease_expiry_us
 
 
