--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -69,7 +69,7 @@
                 job_state.retry_at = now + retry_pause_us(history.trials)
         return False
 
-    def clear(self, job_state: JobState) -> None:
+    def withdraw_failures(self, job_state: JobState) -> None:
         """Withdraw the failures of a job from the machines on which it failed."""
         for name in job_state.failure_history.avoided_until:
             if name in self._machines:
@@ -86,7 +86,7 @@
         if history.trials < TRIALS_UNTIL_JOB_IS_FAULTY or job_state.done_count:
             self._record_machine_failure(machine, job_state, now)
             return
-        self.clear(job_state)
+        self.withdraw_failures(job_state)
         if history.trials >= TRIALS_BEFORE_PAUSE:
             # A service's replicas fail together, so its failures overstate how often it was tried.
             tried = history.trials if job_state.job.service else history.failures
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -93,7 +93,7 @@
             return
         job_state.closed = True
         if not (job_state.failure_history.replica_ran_long or job_state.complete):
-            self._failures.clear(job_state)  # the job itself may have been faulty
+            self._failures.withdraw_failures(job_state)  # the job itself may have been faulty
         self._attempts.stop_all(job_state)
         self._jobs.discard_if_closed(job_state)
         self._signals.plan_needed = True
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -117,7 +117,7 @@
 ) -> None:
     harness = _full_fleet(jobs=1600, tasks=10)
 
-    stopped = CallCounter(monkeypatch, (AttemptTable, "stop"), (FailurePolicy, "clear"))
+    stopped = CallCounter(monkeypatch, (AttemptTable, "stop"), (FailurePolicy, "withdraw_failures"))
     job_states = list(harness.shard.job_states.values())[:1000]
     tasks = sum(len(job_state.live) for job_state in job_states)
     for job_state in job_states:
