--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -102,7 +102,7 @@
 
     # Returning machines
 
-    def is_settled(self, machine: Machine) -> bool:
+    def is_returnable(self, machine: Machine) -> bool:
         """Whether the machine can be returned without losing work or results. An ended attempt
         whose start may still arrive stays listed until its agent epoch ends, but is no reason to
         keep paying for the machine."""
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -163,9 +163,9 @@
         commands reach it."""
         self._fleet.mark_unreachable(machine, now)
 
-    def is_settled(self, machine: Machine) -> bool:
+    def is_returnable(self, machine: Machine) -> bool:
         """Whether the machine can be returned without losing work or results."""
-        return self._commands.is_settled(machine)
+        return self._commands.is_returnable(machine)
 
     @property
     def has_unaccounted_tasks(self) -> bool:
--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -100,7 +100,7 @@
             return TerminationReason.LOST
         if self._unreachable_for_long(machine, now):
             return TerminationReason.UNREACHABLE
-        if not self.context.shard.is_settled(machine):
+        if not self.context.shard.is_returnable(machine):
             return None
         if machine.faulty:
             return TerminationReason.FAULTY
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -612,7 +612,7 @@
     return list(harness.shard.machines[name].attempts.values())
 
 
-def test_machine_is_settled_although_an_orphaned_attempt_stays_listed() -> None:
+def test_machine_is_returnable_although_an_orphaned_attempt_stays_listed() -> None:
     """A pushed start without an answer may still arrive, so the worker must not forget the attempt.
     The machine can be returned all the same once the result is stored."""
     harness = ShardHarness()
@@ -621,24 +621,24 @@
     attempt = harness.attempt(job_state)
 
     _, pushed_starts = harness.shard.take_push_commands(machine)
-    assert not harness.shard.is_settled(machine)
+    assert not harness.shard.is_returnable(machine)
     harness.shard.acknowledge_starts(pushed_starts, None)
     assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == []
-    assert not harness.shard.is_settled(machine)  # only its list holds the result
+    assert not harness.shard.is_returnable(machine)  # only its list holds the result
     harness.shard.confirm_stored(job_state, [0])
 
     assert harness.heartbeat("m-0", task_status(attempt, "ended", "done")) == []  # not forgotten
-    assert harness.shard.is_settled(machine)
+    assert harness.shard.is_returnable(machine)
 
 
-def test_machine_with_a_running_task_of_a_closed_job_is_not_settled() -> None:
+def test_machine_with_a_running_task_of_a_closed_job_is_not_returnable() -> None:
     harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
 
     of_closed_job = TaskStatus("req-000009/0", 3, "running")
 
     assert harness.heartbeat("m-0", of_closed_job) == [("halt", "req-000009/0")]
-    assert not harness.shard.is_settled(machine)
+    assert not harness.shard.is_returnable(machine)
 
 
 def test_job_with_objective_reclaims_its_share_from_checkpointed_job_without_objective() -> None:
