--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -7,7 +7,7 @@
 from basaltlead.core.cluster_view import (
     FENCING_TOKEN,
     LEADER,
-    Counter,
+    FencingTokenCounter,
     Grant,
     Versioned,
     grant_label,
@@ -121,7 +121,7 @@
         """Grant a shard or duty with the next fencing token."""
         cluster = self.membership.cluster
         assert cluster.leader is not None
-        last_token = cluster.fencing_token or Versioned(Counter(0), 0)
+        last_token = cluster.fencing_token or Versioned(FencingTokenCounter(0), 0)
         held = cluster.grants.get(key)
         target = cluster.next_holder(key, self.membership.name) or self.membership.name
         preconditions = [
@@ -141,10 +141,11 @@
             )
             grant.granted_at = wall_us()
         version = await self.membership.store.compare_and_swap(
-            preconditions, [Put(FENCING_TOKEN, Counter(grant.fencing_token)), Put(key, grant)]
+            preconditions,
+            [Put(FENCING_TOKEN, FencingTokenCounter(grant.fencing_token)), Put(key, grant)],
         )
         # Update the view that the grant was based on: a newer view may have a newer token.
-        cluster.note_fencing_token(Counter(grant.fencing_token), version)
+        cluster.note_fencing_token(FencingTokenCounter(grant.fencing_token), version)
         cluster.note_grant(key, grant, version)
         log.info(
             "%s granted to %s with fencing token %d: revision %d, previous grant revision %d",
--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -93,7 +93,7 @@
     free: float
 
 
-class Counter(Struct):
+class FencingTokenCounter(Struct):
     """The last fencing token that was issued."""
 
     last: int
@@ -113,7 +113,7 @@
         self.members: dict[str, Versioned[MemberRecord]] = {}  # by name
         self.leader: Versioned[MemberRecord] | None = None
         self.grants: dict[str, Versioned[Grant]] = {}  # by the keys of shards and duties
-        self.fencing_token: Versioned[Counter] | None = None
+        self.fencing_token: Versioned[FencingTokenCounter] | None = None
         self.loads: dict[int, Load] = {}  # by shard
 
     def note_member(self, record: MemberRecord, version: int) -> None:
@@ -124,7 +124,7 @@
         """Store the record of the leader."""
         self.leader = Versioned(record, version)
 
-    def note_fencing_token(self, counter: Counter, version: int) -> None:
+    def note_fencing_token(self, counter: FencingTokenCounter, version: int) -> None:
         """Store the last fencing token."""
         self.fencing_token = Versioned(counter, version)
 
@@ -147,7 +147,7 @@
         if key == LEADER:
             self.note_leader(msgspec.json.decode(raw, type=MemberRecord), version)
         elif key == FENCING_TOKEN:
-            self.note_fencing_token(msgspec.json.decode(raw, type=Counter), version)
+            self.note_fencing_token(msgspec.json.decode(raw, type=FencingTokenCounter), version)
         elif key.startswith(MEMBER_PREFIX):
             name = key.removeprefix(MEMBER_PREFIX)
             if self.member_version(name) <= version:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,13 @@
 
 from basaltlead.cluster import versions
 from basaltlead.cluster.peer_link import decoder
-from basaltlead.core.cluster_view import ClusterView, Counter, Grant, MemberRecord, Versioned
+from basaltlead.core.cluster_view import (
+    ClusterView,
+    FencingTokenCounter,
+    Grant,
+    MemberRecord,
+    Versioned,
+)
 from basaltlead.core.jobs import Shape
 from basaltlead.core.market import TeamRecord
 from basaltlead.storage.records import FinalState, StoredJob, StoredMachine, StoredScaleOut, job_of
@@ -29,7 +35,7 @@
 
 DATA = json.loads((Path(__file__).parent / "data" / "production_records.json").read_text())
 RECORD_TYPES: dict[str, Any] = {
-    "c/baton": Counter,
+    "c/baton": FencingTokenCounter,
     "c/block": Grant,
     "c/leader": MemberRecord,
     "c/member": MemberRecord,
