--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -81,7 +81,7 @@
         since the member keys of those before it may outlive their processes for a while."""
         if self.vacant_since is None:
             self.vacant_since = now_us()
-        if not self.membership.cluster.previous_shard_leader:
+        if not self.membership.cluster.last_leader_of_shard_0:
             return self.vacant_since
         position = self.membership.cluster.failover_order().index(self.membership.name)
         return self.vacant_since + position * CLAIM_STAGGER_US
--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -236,7 +236,7 @@
         return None
 
     @property
-    def previous_shard_leader(self) -> str:
+    def last_leader_of_shard_0(self) -> str:
         """The last leader of the first shard, whether it failed or released the shard; empty if
         there was none."""
         held = self.grants.get(shard_key(0))
@@ -256,7 +256,7 @@
         specified; names with numbers are assumed to be listed by number.
         """
         names = sorted(self.members, key=list_order)
-        last = list_order(self.previous_shard_leader)
+        last = list_order(self.last_leader_of_shard_0)
         return sorted(names, key=lambda name: (list_order(name) <= last, list_order(name)))
 
     def without_holder(self, keys: Iterable[str]) -> list[str]:
