--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -152,7 +152,7 @@
                 continue
             if attempt.stage == SENT:
                 self._fleet.confirm_reachable(machine)
-            self._task_reports.progress(attempt, reported, now)
+            self._task_reports.apply(attempt, reported, now)
         return listed
 
     def _finish_list(
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -42,7 +42,7 @@
 
     # Our own attempts
 
-    def progress(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
+    def apply(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
         """Apply the report of an attempt of ours."""
         stage = reported.stage
         if stage == ENDED:
@@ -138,7 +138,7 @@
         attempt = self._attempts.start(job_state, key.task_index, machine, key.attempt_number, now)
         attempt.stage = SENT
         attempt.adopted = reported.stage in EXECUTING
-        self.progress(attempt, reported, now)
+        self.apply(attempt, reported, now)
 
 
 def _is_wanted(job_state: JobState, index: int, machine: Machine) -> bool:
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -77,7 +77,7 @@
         after.add(_name(number), zone="abc"[number % 3], loaded=True)
     assert _plan_calls(monkeypatch, after) < MACHINES  # no machine is synced: none is visited
     reconciled = CallCounter(
-        monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "progress")
+        monkeypatch, (TaskReports, "reconcile_unknown"), (TaskReports, "apply")
     )
     for number in range(MACHINES):
         reported = _running(before, number)
