--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -94,8 +94,12 @@
         result stands for all its tasks."""
         job_state = attempt.job_state
         attempt.machine.failed_jobs.clear()
-        is_known = attempt.running_since and not attempt.adopted
-        if is_known and not job_state.closed and not (job_state.job.gang and job_state.done_count):
+        run_time_known = attempt.running_since and not attempt.adopted
+        if (
+            run_time_known
+            and not job_state.closed
+            and not (job_state.job.gang and job_state.done_count)
+        ):
             self._run_times.record_run(job_state, now - attempt.running_since)
         _finish(job_state, attempt.index)
 
