--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -86,7 +86,7 @@
         for group in self._groups:
             if group.suits(job_state.job, group.machines[0]):
                 suited += group.machines
-        return self._open_to(job_state, suited)
+        return self._without_reserved_or_avoided(job_state, suited)
 
     def with_room_for(self, job_state: JobState) -> list[Machine]:
         """The machines that the job may use and that, when the plan began, had CPUs for the
@@ -95,7 +95,7 @@
         for group in self._groups:
             if group.with_room and group.suits(job_state.job, group.with_room[0]):
                 suited += group.with_room
-        return self._open_to(job_state, suited)
+        return self._without_reserved_or_avoided(job_state, suited)
 
     def reserve(self, names: Iterable[str]) -> None:
         """Start nothing more on these machines in this plan: a gang waits for them."""
@@ -106,7 +106,9 @@
         """Whether machines are reserved for a gang."""
         return bool(self._reserved)
 
-    def _open_to(self, job_state: JobState, machines: list[Machine]) -> list[Machine]:
+    def _without_reserved_or_avoided(
+        self, job_state: JobState, machines: list[Machine]
+    ) -> list[Machine]:
         """Leave out reserved machines, and machines that the job avoids for a while."""
         avoided_until = job_state.failure_history.avoided_until
         if not self._reserved and not avoided_until:
