--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -261,7 +261,7 @@
     ) -> PackingBin | None:
         """Add a bin for a machine to be rented for these tasks; None if no offer is worth its
         price or the maximum number of rentals is reached."""
-        offer = self._rental_choice.rent(job, zones, count, backlog_us)
+        offer = self._rental_choice.choose(job, zones, count, backlog_us)
         if offer is None:
             return None
         machine_type = self._rental_choice.machine_types[offer.type_name]
--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -51,7 +51,9 @@
         self._max_rentals = max_rentals
         self._counts: dict[Offer, int] = {}  # of rentals
 
-    def rent(self, job: Job, zones: set[str] | None, count: int, backlog_us: float) -> Offer | None:
+    def choose(
+        self, job: Job, zones: set[str] | None, count: int, backlog_us: float
+    ) -> Offer | None:
         """Rent one machine for this many tasks of a job: the one that gives them room at the lowest
         price.
 
