--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -8,7 +8,7 @@
 # How long a machine must be of use to be rented, as a multiple of the time that it takes to boot.
 # Spot machines are cheap enough to be rented early and to wait for work; on-demand machines are for
 # backlogs that last.
-MIN_BACKLOG_PER_BOOT_TIME, MIN_USE_BOOT_TIMES_SPOT = 2.4, 0.6
+MIN_BACKLOG_PER_BOOT_TIME, MIN_BACKLOG_PER_BOOT_TIME_SPOT = 2.4, 0.6
 # The time of use over which the price of the time to boot is spread.
 AMORTIZATION_US = 90 * US
 SERVICE_AMORTIZATION_US = 600 * US  # the same for replicas, which stay longer
@@ -91,7 +91,7 @@
         """Whether the job may use such a machine, and it would still be of use once it has
         booted."""
         machine_type = self.machine_types[offer.type_name]
-        min_boot_times = MIN_USE_BOOT_TIMES_SPOT if offer.spot else MIN_BACKLOG_PER_BOOT_TIME
+        min_boot_times = MIN_BACKLOG_PER_BOOT_TIME_SPOT if offer.spot else MIN_BACKLOG_PER_BOOT_TIME
         return (
             offer.allows(job)
             and (zones is None or offer.zone in zones)
