--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -91,12 +91,14 @@
         """Whether the job may use such a machine, and it would still be of use once it has
         booted."""
         machine_type = self.machine_types[offer.type_name]
-        min_boot_times = MIN_BACKLOG_PER_BOOT_TIME_SPOT if offer.spot else MIN_BACKLOG_PER_BOOT_TIME
+        min_backlog_per_boot_time = (
+            MIN_BACKLOG_PER_BOOT_TIME_SPOT if offer.spot else MIN_BACKLOG_PER_BOOT_TIME
+        )
         return (
             offer.allows(job)
             and (zones is None or offer.zone in zones)
             and machine_type.capacity_for(job) > 0
-            and machine_type.boot_us * min_boot_times <= backlog_us
+            and machine_type.boot_us * min_backlog_per_boot_time <= backlog_us
         )
 
     def _price(self, job: Job, offer: Offer, count: int) -> float:
