--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -59,14 +59,14 @@
     """A machine for each task, all in these zones; None if they don't all fit."""
     trial_rooms = {machine.name: machine.free.copy() for machine in machines}
     ranking = Ranking(job, machines, trial_rooms)
-    held = dict.fromkeys(zones, 0)
+    tasks_by_zone = dict.fromkeys(zones, 0)
     chosen: list[Machine] = []
     for _ in range(job.tasks):
-        machine = ranking.best({zone for zone in zones if held[zone] < job.zone_cap})
+        machine = ranking.best({zone for zone in zones if tasks_by_zone[zone] < job.zone_cap})
         if machine is None:
             return None
         trial_rooms[machine.name].take(job)
-        held[machine.zone] += 1
+        tasks_by_zone[machine.zone] += 1
         chosen.append(machine)
         ranking.rerank(machine)
     return chosen
@@ -90,15 +90,15 @@
     """The cheapest distribution of the gang over the candidates in these zones; None if they have
     too little room."""
     left = job.tasks
-    held = dict.fromkeys(zones, 0)
+    tasks_by_zone = dict.fromkeys(zones, 0)
     cost = 0.0
     parts = []
     for candidate in by_cost:
         zone = candidate.machine.zone
         if zone in zones:
-            tasks = min(candidate.capacity, left, job.zone_cap - held[zone])
+            tasks = min(candidate.capacity, left, job.zone_cap - tasks_by_zone[zone])
             if tasks > 0:
-                held[zone] += tasks
+                tasks_by_zone[zone] += tasks
                 left -= tasks
                 cost += candidate.cost * tasks
                 parts.append(GangPart(candidate.machine, tasks, candidate.preempted))
--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -24,10 +24,10 @@
     job = job_state.job
     if not (job.one_zone or job.spread_zones):
         return set(zones)
-    held = Counter(a.machine.zone for a in job_state.live.values() if a is not leaving)
-    if job.one_zone and held:  # a job may ask for both: half of it at a time, in one zone
-        zones = set(held) if len(held) == 1 else set()
-    return {zone for zone in zones if held[zone] < job.zone_cap}
+    tasks_by_zone = Counter(a.machine.zone for a in job_state.live.values() if a is not leaving)
+    if job.one_zone and tasks_by_zone:  # a job may ask for both: half of it at a time, in one zone
+        zones = set(tasks_by_zone) if len(tasks_by_zone) == 1 else set()
+    return {zone for zone in zones if tasks_by_zone[zone] < job.zone_cap}
 
 
 def tier(job: Job, machine: Machine) -> Tier:
