--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -180,12 +180,12 @@
         machine = self.machines.get(heartbeat.machine)
         if machine is None:
             return None
-        receipt = self._reconciler.receive(machine, heartbeat, now)
-        if receipt is REFUSED:
+        outcome = self._reconciler.receive(machine, heartbeat, now)
+        if outcome is REFUSED:
             return None
-        if receipt is OUTDATED:
+        if outcome is OUTDATED:
             return []
-        if receipt is UNPROVEN:
+        if outcome is UNPROVEN:
             return self.halts_for_closed_jobs(heartbeat)
         self._drainer.drain(machine, now)
         machine.lease.answer(now)
