--- a/basaltlead/core/market.py
+++ b/basaltlead/core/market.py
@@ -48,15 +48,15 @@
         self._price = 0.0  # per CPU, in the last auction
         self._last_round_at: int | None = None
 
-    def load(self, team: str, record: TeamRecord) -> None:
+    def load(self, team: str, team_record: TeamRecord) -> None:
         """Continue from what an earlier shard leader stored for a team; a team that is not in the
         settings is ignored."""
         if team in self.budgets:
             budget = self.budgets[team]
-            budget.left = min(budget.full, max(0.0, record.left))
-            self._stored_bids.update(record.bids)
+            budget.left = min(budget.full, max(0.0, team_record.left))
+            self._stored_bids.update(team_record.bids)
 
-    def record(self, team: str, job_states: dict[str, JobState]) -> TeamRecord:
+    def team_record(self, team: str, job_states: dict[str, JobState]) -> TeamRecord:
         """What to store for a team.
 
         The size of a value is limited: if not all bids fit, the highest are kept, as the most
--- a/basaltlead/shard/planning_loop.py
+++ b/basaltlead/shard/planning_loop.py
@@ -70,7 +70,7 @@
         if self._storing is not None and not self._storing.done():
             return
         rows = {
-            f"{TEAM}{team}/{self.context.number}": self.market.record(
+            f"{TEAM}{team}/{self.context.number}": self.market.team_record(
                 team, self.context.shard.job_states
             )
             for team in self.market.budgets
--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -141,7 +141,7 @@
         job_state = JobState(make_job(ref=f"req-{number:015d}"), 5, 0, 0)
         job_state.bid = 99_999_999.9999
         job_states[job_state.job.ref] = job_state
-    assert len(encode(market.record("red", job_states))) <= value_bytes
+    assert len(encode(market.team_record("red", job_states))) <= value_bytes
     types = [
         MachineTypeInfo(f"type-{n}", 4.0, 0.0, 16.0, 0.123456, 40.0, ["zone-a", "zone-b", "zone-c"])
         for n in range(50)
