--- a/basaltlead/core/attempt_table.py
+++ b/basaltlead/core/attempt_table.py
@@ -80,7 +80,7 @@
             self.stop(member, job.checkpoint_duration_s if may_save else 0.0)
 
     def remove(self, attempt: Attempt, now: int) -> None:
-        """Remove an attempt that is provably not, or no longer, on its machine."""
+        """Remove an attempt that provably is not on its machine."""
         job_state = attempt.job_state
         machine = attempt.machine
         if not job_state.unbind(attempt.index):
