--- a/basaltlead/core/bidding.py
+++ b/basaltlead/core/bidding.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
-# The paper's `limit`: the step in one direction from which bids double or halve. The first round in
-# a direction is step 2.
+# The paper's `limit`: the `BidDirection.step` from which bids double or halve. Since `step` is 2 in
+# the first round in a direction, this is the second round.
 DOUBLING_STEP = 3
 DOUBLING_GAP = 2  # the relative gap from which they do so at any step
 
