--- a/basaltlead/core/candidate_machines.py
+++ b/basaltlead/core/candidate_machines.py
@@ -1,4 +1,4 @@
-"""The machines that a plan may start tasks on, grouped so that each job finds its own quickly."""
+"""The machines that a plan may start tasks on, grouped to find those that suit a job quickly."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,18 +6,18 @@
 from basaltlead.core.jobs import EPS, Job, allowed
 from basaltlead.core.shard import Shard
 
-# What makes machines equivalent: type name, zone, spot or not, CPUs. A type that was unknown when a
-# machine was first heard of has no CPUs, and may be known under the same name later. A plain tuple
-# for speed, since each plan makes one per machine.
+# What makes machines equivalent: type name, zone, spot or not, CPUs. CPUs are part of it since a
+# machine whose type was not listed yet when it was first heard of has 0 CPUs, unlike later machines
+# of the same type name. A plain tuple for speed, since each plan makes one per machine.
 GroupKey = tuple[str, str, bool, float]
 
 
 def usable_machines(shard: Shard, now: int) -> list[Machine]:
     """The machines on which tasks may be started now.
 
-    A machine that has been silent for half a lease is left out: it is probably about to lose its
-    lease, and a new task would be lost with it. Pushed commands may still reach it, but they do not
-    renew the lease.
+    A machine that has been silent for half a lease is left out: its lease will probably expire
+    soon, and a task started on it would be killed. Pushed commands may still reach it, but they do
+    not renew the lease.
     """
     since = now - shard.timing.lease_us // 2
     return [
@@ -109,7 +109,7 @@
     def _without_reserved_or_avoided(
         self, job_state: JobState, machines: list[Machine]
     ) -> list[Machine]:
-        """Leave out reserved machines, and machines that the job avoids for a while."""
+        """These machines, without those that are reserved or that the job avoids for a while."""
         avoided_until = job_state.failure_history.avoided_until
         if not self._reserved and not avoided_until:
             return machines
