--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -49,7 +49,7 @@
 
 
 def is_grant_key(key: str) -> bool:
-    """Whether it is the key of a grant, of a shard or a duty."""
+    """Whether the key holds the grant of a shard or of a duty."""
     return key.startswith((SHARD_PREFIX, DUTY_PREFIX))
 
 
@@ -76,7 +76,8 @@
 class Grant(Struct, rename={"incarnation": "life", "fencing_token": "baton", "granted_at": "at"}):
     """The value of the key of a shard or a duty.
 
-    A grant that was released names nobody, and in `avoid` the member that released it.
+    After its release, `name` and `incarnation` are empty, and `avoid` is the member that released
+    it.
     """
 
     name: str
@@ -100,7 +101,7 @@
 
 
 class Versioned(Struct, Generic[V], frozen=True):
-    """The value of a key, and its version: that of its last change."""
+    """The value of a key, and its version: the revision of its last change."""
 
     value: V
     version: int
@@ -237,8 +238,8 @@
 
     @property
     def last_leader_of_shard_0(self) -> str:
-        """The last leader of the first shard, whether it failed or released the shard; empty if
-        there was none."""
+        """The present leader of the first shard or, if there is none, the last one, whether it
+        failed or released the shard; empty if there never was one."""
         held = self.grants.get(shard_key(0))
         if held is None:
             return ""
@@ -249,11 +250,11 @@
         after it in the workers' lists of controllers.
 
         Only the duration of a failover depends on this order. A worker whose controller stops
-        answering tries the next one in its list. If that one is the new shard leader, no time is
-        lost. If it is one that failed earlier, the worker waits for another 4 s, and a short lease
-        expires before the worker has tried a third. With this order, failed controllers come after
-        the new shard leader in the list, not before it. The order of the workers' lists is not
-        specified; names with numbers are assumed to be listed by number.
+        answering tries the next one in its list. If that controller is the new shard leader, no
+        time is lost. If that controller failed earlier, the worker waits for another 4 s, and a
+        short worker lease expires before the worker tries another controller. With this order,
+        failed controllers come after the new shard leader in the list, not before it. The order of
+        the workers' lists is not specified; names with numbers are assumed to be listed by number.
         """
         names = sorted(self.members, key=list_order)
         last = list_order(self.last_leader_of_shard_0)
