--- a/basaltlead/core/commands.py
+++ b/basaltlead/core/commands.py
@@ -52,7 +52,8 @@
         return commands[:MAX_COMMANDS]
 
     def _orphan_commands(self, machine: Machine) -> list[TaskCommand]:
-        """HALT for orphaned attempts, and FORGET for those that have ended."""
+        """HALT for orphaned attempts that have not ended, and FORGET for ended ones that the worker
+        can drop: their start is acknowledged, and no result would be lost."""
         commands: list[TaskCommand] = []
         for key, orphan in machine.orphaned_attempts.items():
             if not orphan.ended:
@@ -66,8 +67,8 @@
     def halts_for_closed_jobs(self, heartbeat: WorkerReport) -> list[TaskCommand]:
         """Halts for tasks of closed jobs, on a machine that has not sent our fencing token.
 
-        The answer renews its lease and may be the last that it receives, so a halt for a job that
-        was cancelled long before our grant must not wait for the next one."""
+        The answer renews the worker's lease and may be the last that the worker receives, so it
+        must contain the halt for a job that was cancelled long before our grant."""
         commands: list[TaskCommand] = []
         for reported in heartbeat.tasks:
             ref, index = parse_task(reported.task)
@@ -78,9 +79,9 @@
     # Commands that are pushed
 
     def take_push_commands(self, machine: Machine) -> tuple[list[TaskCommand], list[Attempt]]:
-        """The commands to push now, and the starts among them. A pushed start is in no answer to a
-        heartbeat while it is in flight, and keeps its task bound to the machine until it is
-        acknowledged."""
+        """The commands to push now, and the starts among them. While a pushed start is in flight,
+        answers to heartbeats do not contain it. Its task stays bound to the machine until the start
+        is acknowledged."""
         if not machine.synced or machine.terminating or machine.lost or not machine.address:
             return [], []
         commands: list[TaskCommand] = []
@@ -104,8 +105,8 @@
 
     def is_returnable(self, machine: Machine) -> bool:
         """Whether the machine can be returned without losing work or results. An ended attempt
-        whose start may still arrive stays listed until its agent epoch ends, but is no reason to
-        keep paying for the machine."""
+        whose start may still arrive stays listed until its agent epoch ends, but does not prevent
+        the return of the machine."""
         return not machine.attempts and all(
             orphan.ended and self._is_forgettable(key, orphan)
             for key, orphan in machine.orphaned_attempts.items()
@@ -117,8 +118,8 @@
 
 
 def has_pending_commands(machine: Machine) -> bool:
-    """Whether some commands for the machine have not been sent. They may be waiting for free
-    capacity or for an answer."""
+    """Whether the machine has halts that were not pushed, or starts that were not sent. They may be
+    waiting for free capacity or for an answer."""
     return any(
         attempt.pushed_grace_s != attempt.stop_grace_s
         if attempt.stop_grace_s is not None
@@ -129,7 +130,8 @@
 
 def _stop_commands(machine: Machine) -> list[TaskCommand]:
     """Halts for attempts that are to stop. A start that was never acknowledged is sent again before
-    its halt, so that a copy that arrives later starts nothing."""
+    its halt: the worker then lists the attempt, and ignores a copy of the start that arrives
+    later."""
     commands: list[TaskCommand] = []
     for attempt in machine.attempts.values():
         if attempt.stop_grace_s is None:
