--- a/basaltlead/core/demand.py
+++ b/basaltlead/core/demand.py
@@ -51,7 +51,8 @@
     """How many tasks of each job should run, by job, including those that run already.
 
     `estimated_run_us` estimates how long a task of a job runs, `lead_us` is how long a machine
-    takes to boot, and `remaining_cpu_us` is the result of the function of that name.
+    takes to boot, and `remaining_cpu_us` is the remaining work by job, as computed by the function
+    `remaining_cpu_us`.
     """
     wanted: dict[str, int] = {}
     due_jobs: list[DueJob] = []
@@ -95,8 +96,8 @@
 def remaining_cpu_us(
     job_states: Iterable[JobState], now: int, estimated_run_us: Callable[[JobState], int]
 ) -> dict[str, float]:
-    """The remaining work of each array, in CPU microseconds. It visits every running task, so it is
-    computed once and shared by its users."""
+    """The remaining work of each array, in CPU microseconds. Computing it takes a pass over all
+    running tasks, so callers do it once and pass the result on."""
     return {
         job_state.job.ref: _remaining_cpu_us(job_state, estimated_run_us(job_state), now)
         for job_state in job_states
@@ -128,7 +129,7 @@
         """How long the machines that a job may use, booting ones included, need for a backlog in
         CPU microseconds; infinite if there are none.
 
-        A machine that boots for longer than this finds no work left.
+        A machine that takes longer than that to boot would have no work left.
         """
         cpus = sum(cpus for offer, cpus in self._cpus.items() if offer.allows(job))
         return backlog / cpus if cpus > 0 else float("inf")
