--- a/basaltlead/core/failures.py
+++ b/basaltlead/core/failures.py
@@ -13,13 +13,13 @@
 TRIALS_UNTIL_JOB_IS_FAULTY = 2
 TRIALS_BEFORE_PAUSE = 3  # from then on a job that never succeeded waits between trials
 MAX_RETRY_PAUSE_S = 60
-MAX_LOOKUP_PAUSE_S = 30  # between attempts of a job that workers do not find
+MAX_LOOKUP_PAUSE_S = 30  # between starts for a job that the worker did not find (NO_SUCH)
 CORDON_PER_FAILED_JOB_US = 4 * US
 # A machine that refused a task is cordoned for long enough to list its tasks in a heartbeat.
 FULL_CORDON_US = 2 * US
 IN_USE_CORDON_US = 1 * US
-# A machine is faulty if this many jobs failed there that are known to run elsewhere, or this many
-# of any.
+# A machine is faulty if this many jobs failed on it that are proven (see `JobState.proven`) or no
+# longer open, or this many jobs in all.
 FAULTY_MACHINE_PROVEN_JOBS = 2
 FAULTY_MACHINE_JOBS = 4
 
@@ -53,9 +53,10 @@
                 job_state.retry_at = now + pause_s * US
 
     def record_replica_end(self, attempt: Attempt, reason: str, now: int) -> bool:
-        """Record the end of a replica. True if it had run for long: it is then started again, and
-        its end counts against neither its machine nor its job. A replica that repeatedly ends by
-        itself soon after its start is restarted at growing intervals, like one that fails."""
+        """Record the end of a replica. True if it had run for long: an error then counts against
+        neither its machine nor its job, and the replica is started again. A replica that repeatedly
+        ends by itself soon after its start is restarted at growing intervals, like one that
+        fails."""
         job_state = attempt.job_state
         history = job_state.failure_history
         ran_us = now - attempt.running_since if attempt.running_since else 0
@@ -70,7 +71,8 @@
         return False
 
     def withdraw_failures(self, job_state: JobState) -> None:
-        """Withdraw the failures of a job from the machines on which it failed."""
+        """Withdraw the failures of a job from the machines on which it failed. The failure history
+        of the job is kept."""
         for name in job_state.failure_history.avoided_until:
             if name in self._machines:
                 self._machines[name].failed_jobs.discard(job_state.job.ref)
@@ -94,7 +96,7 @@
 
     def _record_machine_failure(self, machine: Machine, job_state: JobState, now: int) -> None:
         """Cordon the machine for a while, and drain it once enough jobs have failed there: fewer
-        are needed of jobs that are known to run elsewhere."""
+        suffice if they are proven (see `JobState.proven`) or no longer open."""
         machine.failed_jobs.add(job_state.job.ref)
         machine.cordoned_until = now + CORDON_PER_FAILED_JOB_US * len(machine.failed_jobs)
         others = (self._jobs.by_ref.get(ref) for ref in machine.failed_jobs)
