--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -9,8 +9,9 @@
 from basaltlead.core.task_keys import TaskKey
 
 MAX_LOGGED_TASKS = 5  # tasks named in a log line about a machine that killed them
-# The names of rented and of returned machines are kept for as long as lists and late reports may
-# contain them. This is enough for three fleets of 6,000 machines, and takes about 2 MB.
+# Limit on the retained names of rented machines (see shard/assignment.py) and of deleted ones, both
+# of which lists and late reports may still contain. This is enough for three fleets of 6,000
+# machines, and takes about 2 MB.
 MAX_RETAINED_NAMES = 18_000
 
 
@@ -68,7 +69,7 @@
         spot = ", spot" if machine.spot else ""
         usage = machine.usage
         self._log(
-            f"machine {machine.name} ({machine.machine_type.name}{spot}) returned: "
+            f"machine {machine.name} ({machine.machine_type.name}{spot}) deleted: "
             f"{age_s:.0f} s old, {up_s:.0f} s up, {usage.useful_s:.0f} s useful, "
             f"{usage.wasted_s:.0f} s wasted, {usage.starting_s:.0f} s starting"
         )
@@ -124,9 +125,9 @@
         self._signals.plan_needed = True
 
     def mark_unreachable(self, machine: Machine, now: int) -> None:
-        """Mark a machine that did not answer a command, or whose lease expired although we answered
-        it. Until something proves that our commands reach it, nothing is started on it and its
-        capacity is not counted."""
+        """Mark a machine that did not answer a command, was lost, or began a new epoch. Until
+        something proves that our commands reach it, nothing is started on it and its capacity is
+        not counted."""
         machine.unreachable_since = machine.unreachable_since or now
 
     def confirm_reachable(self, machine: Machine) -> None:
