--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -129,9 +129,9 @@
     def place_spares(self, spares: Sequence[WarmSpare]) -> None:
         """Find room for spares.
 
-        Lower ranks may use this room, and their tasks are preempted when it is needed, so a spare
-        takes no room from them here. Otherwise machines would be rented for tasks that never have
-        to move.
+        Lower ranks may use this room, and their tasks are preempted when it is needed, so the room
+        of a spare is not subtracted from the room for them. Otherwise machines would be rented for
+        tasks of lower ranks that can run in that room.
         """
         room_for_spares = {
             id(packing_bin): packing_bin.room.copy() for packing_bin in self._with_room
@@ -149,9 +149,10 @@
     def _spare_bin(
         self, spare: WarmSpare, room_for_spares: dict[int, Resources], held: Counter[str]
     ) -> PackingBin | None:
-        """The machine with the most of the images, in a zone that does not have its limit of the
-        spares yet: half of them if the tasks are spread over zones. One is rented if none has
-        room. None if that is impossible too."""
+        """The bin for one spare: of those with room for it, the one with the most of its images.
+        Zones that have their maximum of these spares are excluded; that is half of the spares if
+        the tasks of the job are spread over zones. If no bin has room, a machine is rented. None if
+        that is impossible too."""
         job = spare.job
         cap = (spare.count + 1) // 2 if job.spread_zones else spare.count
         full = {zone for zone, count in held.items() if count >= cap}
