--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -167,8 +167,8 @@
     def _machine_for_one(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> list[Machine] | None:
-        """The machine for a gang of one task, after stopping the attempts there that make room for
-        it."""
+        """The machine for a gang of one task; None if there is none. Stops the attempts on it that
+        are in the way."""
         option = self._preemption.for_gang_of_one(job_state, machines)
         if option is None:
             return None
@@ -207,9 +207,8 @@
     def _reserve(self, job_state: JobState, machines: Sequence[Machine]) -> None:
         """Reserve the machines that will be empty soonest for a gang that has waited for long.
 
-        Otherwise work that comes one task at a time takes each place as it becomes free, and a
-        large gang waits forever. Only one gang at a time has a reservation, the first in start
-        order.
+        Otherwise single tasks would be started wherever room becomes free, and a large gang would
+        wait forever. Only one gang at a time has a reservation, the first in start order.
         """
         context = self._context
         waited_us = context.now - job_state.submitted_at
