--- a/basaltlead/core/placement.py
+++ b/basaltlead/core/placement.py
@@ -82,8 +82,8 @@
     def best(self, zones: set[str]) -> Machine | None:
         """The best machine in these zones for the next task; None if there is none.
 
-        Zones are only closed, never opened, while the tasks of a job are placed, so machines in
-        other zones are dropped for good.
+        While the tasks of a job are placed, `zones` only shrinks, so machines in other zones are
+        dropped for good.
         """
         while self._heap:
             _, _, _, machine = self._heap[0]
