--- a/basaltlead/core/preemption.py
+++ b/basaltlead/core/preemption.py
@@ -101,9 +101,9 @@
         """The rule that tells whose tasks may be stopped to make room for the job.
 
         These are tasks of lower rank and, for a job within its team's guarantee, also tasks of
-        other teams that use more than theirs. Arrays and services below HIGH_RANK and outside
-        their guarantee are restricted: arrays stop only tasks of jobs that are preemptible by any
-        array, and services stop none.
+        other teams that use more than their own guarantee. Arrays and services that are below
+        HIGH_RANK and outside their team's guarantee are restricted: arrays stop only tasks of jobs
+        that are preemptible by any array, and services stop none.
         """
         job = job_state.job
         guaranteed = fits_guarantee(self._shard, job_state)
