--- a/basaltlead/core/rental_choice.py
+++ b/basaltlead/core/rental_choice.py
@@ -5,7 +5,7 @@
 from basaltlead.core.jobs import US, Job, MachineType
 from basaltlead.core.offers import Offer, unit_price
 
-# How long a machine must be of use to be rented, as a multiple of the time that it takes to boot.
+# A machine is rented only if the backlog lasts at least this multiple of the machine's boot time.
 # Spot machines are cheap enough to be rented early and to wait for work; on-demand machines are for
 # backlogs that last.
 MIN_BACKLOG_PER_BOOT_TIME, MIN_BACKLOG_PER_BOOT_TIME_SPOT = 2.4, 0.6
@@ -54,12 +54,12 @@
     def choose(
         self, job: Job, zones: set[str] | None, count: int, backlog_us: float
     ) -> Offer | None:
-        """Rent one machine for this many tasks of a job: the one that gives them room at the lowest
-        price.
+        """Add the rental of one machine for this many tasks of a job to `rentals`: the machine that
+        gives them room at the lowest price.
 
-        `zones` are the zones that they may be in, None for all; `backlog_us` is the time until the
-        machines rented already have done all open work. Returns None if no offer is worth its price
-        or the maximum number of rentals is reached.
+        `zones` are the zones that the tasks may be in, None for all; `backlog_us` is the time until
+        the machines rented already have done all open work. Returns the chosen offer, or None if no
+        offer is worth its price or the maximum number of rentals is reached.
         """
         if len(self.rentals) >= self._max_rentals:
             return None
@@ -88,8 +88,7 @@
     def _is_worth_renting(
         self, job: Job, offer: Offer, zones: set[str] | None, backlog_us: float
     ) -> bool:
-        """Whether the job may use such a machine, and it would still be of use once it has
-        booted."""
+        """Whether the job may use such a machine, and the backlog lasts long enough to rent it."""
         machine_type = self.machine_types[offer.type_name]
         min_backlog_per_boot_time = (
             MIN_BACKLOG_PER_BOOT_TIME_SPOT if offer.spot else MIN_BACKLOG_PER_BOOT_TIME
@@ -102,8 +101,8 @@
         )
 
     def _price(self, job: Job, offer: Offer, count: int) -> float:
-        """The price of room for a task. A machine that the tasks left to place would fill less than
-        half is charged in full."""
+        """The price of room for one task. If the tasks left to place (`count`) need less than half
+        of the machine's slots, they bear the price of the whole machine."""
         machine_type = self.machine_types[offer.type_name]
         slots = machine_type.capacity_for(job)
         used = min(slots, max(1, count))
