--- a/basaltlead/core/replica_placement.py
+++ b/basaltlead/core/replica_placement.py
@@ -1,7 +1,8 @@
-"""Placement of replicas of services: on the machine where a replica will run soonest.
+"""Placement of replicas of services: on the machine where delay and preemption cost least together.
 
-Users notice every second without a replica, so the time until it runs outweighs what preemption
-wastes. That time is the fetch of its image plus the checkpoints of the preempted tasks.
+Users notice every second without a replica, so the time until it runs counts `DELAY_WEIGHT` times
+as much as work that preemption wastes. That time is the fetch of its image plus the checkpoints of
+the preempted tasks.
 """
 
 from collections.abc import Iterable
@@ -19,7 +20,7 @@
 
 
 class RankedCandidate(NamedTuple):
-    """A machine in order of preference. Names are unique, so machines are never compared."""
+    """A machine and its sort key, best first. `name` is unique, so `machine` is never compared."""
 
     cost: float
     tier: placement.Tier
@@ -72,8 +73,8 @@
     def best(self, zones: set[str]) -> PlacementOption | None:
         """The machine for the next replica, and the attempts to stop there; None if there is none.
 
-        Machines ranked before the last replica was bound are ranked again. Meanwhile zones are only
-        closed, never opened, so machines in other zones are dropped for good.
+        Machines ranked before the last replica was bound are ranked again. While the replicas of a
+        job are placed, `zones` only shrinks, so machines in other zones are dropped for good.
         """
         while self._heap:
             machine = heappop(self._heap).machine
@@ -98,8 +99,8 @@
         self._preemption = preemption
 
     def start(self, job_state: JobState) -> None:
-        """Start replicas where they will run soonest; among equals, where preemption wastes
-        least."""
+        """Start waiting replicas, each where the weighted sum of delay and preemption cost is
+        lowest."""
         context = self._context
         job = job_state.job
         required = requirements(job_state)
@@ -117,8 +118,9 @@
                 return
 
     def move_from_departing_machines(self) -> None:
-        """Stop replicas on machines that are about to go, each once there is a place for it. A
-        later plan starts it there, as soon as the old attempt is provably gone."""
+        """Stop replicas on faulty machines and on machines with a preemption notice, each once
+        another machine has room for it. A later plan places it anew, as soon as the old attempt is
+        provably gone."""
         for machine in self._context.shard.machines.values():
             if machine.preemption_at is None and not machine.faulty:
                 continue
