--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -202,7 +202,7 @@
         return self._commands.take_push_commands(machine)
 
     def has_pending_commands(self, machine: Machine) -> bool:
-        """Whether some commands for the machine have not been sent."""
+        """Whether the machine has halts that were not pushed, or starts that were not sent."""
         return has_pending_commands(machine)
 
     def receive_push_response(
