--- a/basaltlead/core/silent_zones.py
+++ b/basaltlead/core/silent_zones.py
@@ -25,7 +25,8 @@
         """Update the silent zones, and return those that have just become silent.
 
         `reporting` tells, by zone, for each machine that has ever reported whether it still does.
-        If none in any zone does, nothing changes: more likely it is we who are cut off.
+        If none in any zone does, nothing changes: the likely cause is then that this controller is
+        cut off from the network.
         """
         if not any(map(any, reporting.values())):
             return []
