--- a/basaltlead/core/slot_auction.py
+++ b/basaltlead/core/slot_auction.py
@@ -9,8 +9,8 @@
 from basaltlead.core.jobs import Shape
 from basaltlead.core.shard import Shard
 
-# The part of the capacity that is reserved for jobs without an objective. Otherwise they would get
-# only what jobs with an objective leave, and starve if that is nothing for long.
+# The part of the capacity that is reserved for jobs without an objective. Otherwise these would get
+# no slots for as long as jobs with an objective need all capacity.
 SHARE_WITHOUT_OBJECTIVE = 0.25
 
 
@@ -25,8 +25,8 @@
     """One auction among the arrays of a shard.
 
     Jobs with an objective first get the slots that keep them on time; all others share what is
-    left. In a single auction for all, a team with much work that has to be on time would drain its
-    budget and be outbid by long tasks without an objective.
+    left. In a single auction for all, a team with much work that has to be on time would use up its
+    budget, and its jobs would then be outbid by jobs with long tasks and no objective.
     """
 
     def __init__(self, shard: Shard, reserve_price: float) -> None:
@@ -51,8 +51,9 @@
         """Slots for jobs without an objective: each team's share is in proportion to the sum of its
         bids.
 
-        Within a team the job with the least work left comes first: with even shares, long jobs of
-        the same size would all end late. Every job gets one slot before that, so that it begins.
+        Within a team, every job first gets one slot, even beyond the team's share, so that it
+        begins. Then the job with the least work left gets all of the rest that it can use, then the
+        next job: with even shares, long jobs of the same size would all end late.
         """
         teams: dict[str, list[JobState]] = {}
         for job_state in job_states:
