--- a/basaltlead/core/stragglers.py
+++ b/basaltlead/core/stragglers.py
@@ -15,8 +15,8 @@
 SLOW_MARGIN_US = 30 * US
 MAX_STOPPED = 4  # stragglers stopped per job
 FAULTY_MACHINE_SLOW_JOBS = 2  # a machine with stragglers of this many jobs is drained
-# How long a job avoids a machine that was slow for it. That may be the only machine on which it
-# fits, and a job must not wait for 90 s while it fits on some machine.
+# How long a job avoids a machine that was slow for it. That may be the only machine with room for
+# the job, and a job must start within 90 s if a suitable machine has room for it.
 STRAGGLER_AVOIDANCE_US = 60 * US
 
 
