--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -68,7 +68,7 @@
             )
 
     def _end(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
-        """Handle the end of an attempt. Its worker lists it until it is told to forget it."""
+        """Handle the end of an attempt. The worker lists the attempt until it receives FORGET."""
         machine, job_state = attempt.machine, attempt.job_state
         job = job_state.job
         reason = reported.why or ExitReason.ERROR
@@ -146,9 +146,9 @@
 
 
 def _is_wanted(job_state: JobState, index: int, machine: Machine) -> bool:
-    """Whether an attempt of an earlier shard leader may continue. Only until the machine is synced:
-    from then on everything that runs there was started by us, and an attempt that we do not know
-    is one that we have removed."""
+    """Whether an attempt of an earlier shard leader may continue. False once the machine is synced:
+    from then on only we start attempts there, so an attempt that we do not know is one that we have
+    removed."""
     return (
         index not in job_state.live
         and not job_state.is_done(index)
