--- a/basaltlead/core/worker_lease.py
+++ b/basaltlead/core/worker_lease.py
@@ -16,9 +16,9 @@
 resolution of timers. The following epoch cannot contain tasks of ours: commands name the epoch that
 they are for, and no command is sent for an epoch that is not known.
 
-A time from an earlier epoch says nothing about the current one. Counting from the grant alone would
-start tasks a second time while they are still running on machines that have begun another epoch
-since (test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch).
+A time from an earlier epoch says nothing about the current one. If the lease were counted only from
+the grant, tasks that run in an epoch begun after the grant would be started a second time while
+they still run (test_task_started_in_a_new_epoch_is_kept_for_a_whole_lease_of_that_epoch).
 """
 
 from enum import StrEnum
@@ -52,14 +52,15 @@
         """Start counting when the machine becomes known to this shard leader."""
         self.counted_from = now
         self.started_by = REGISTERED
-        # The latest time at which we, or a former shard leader, may have answered a heartbeat. An
-        # epoch known only from the answer to a pushed command does not count: that answer does not
-        # renew the lease.
+        # The latest time at which we, or a former shard leader, may have answered a heartbeat.
+        # `begin_epoch` does not change it: the first message of an epoch may be the answer to a
+        # pushed command, which does not renew the lease.
         self.answered_at = now
 
     def count_from_grant(self, at: int, answered_at: int | None = None) -> None:
-        """Count from the time `at` at which the shard was granted to us, for a machine of a former
-        shard leader, or from `answered_at` if we have answered it since."""
+        """Start counting for a machine of a former shard leader: from `at`, when the shard was
+        granted to us, or from `answered_at`, when we last answered one of its heartbeats, if we
+        have."""
         self.counted_from = self.answered_at = at
         self.started_by = GRANTED
         if answered_at is not None:  # never before the grant
