--- a/basaltlead/core/fleet.py
+++ b/basaltlead/core/fleet.py
@@ -60,10 +60,10 @@
         while len(self.deleted_machines) > MAX_RETAINED_NAMES:
             del self.deleted_machines[next(iter(self.deleted_machines))]
         if machine is not None:
-            self._log_return(machine, now)
+            self._log_deletion(machine, now)
             self._remove_attempts(machine, now)
 
-    def _log_return(self, machine: Machine, now: int) -> None:
+    def _log_deletion(self, machine: Machine, now: int) -> None:
         age_s = max(1, now - machine.created_at) / US
         up_s = (now - machine.usage.up_at) / US if machine.usage.up_at else 0.0
         spot = ", spot" if machine.spot else ""
