--- a/basaltlead/core/cluster_view.py
+++ b/basaltlead/core/cluster_view.py
@@ -49,7 +49,7 @@
 
 
 def is_grant_key(key: str) -> bool:
-    """Whether it is the key of a grant, of a shard or a duty."""
+    """Whether the key holds the grant of a shard or of a duty."""
     return key.startswith((SHARD_PREFIX, DUTY_PREFIX))
 
 
@@ -76,7 +76,8 @@
 class Grant(Struct, rename={"incarnation": "life", "fencing_token": "baton", "granted_at": "at"}):
     """The value of the key of a shard or a duty.
 
-    A grant that was released names nobody, and in `avoid` the member that released it.
+    After its release, `name` and `incarnation` are empty, and `avoid` is the member that released
+    it.
     """
 
     name: str
@@ -93,14 +94,14 @@
     free: float
 
 
-class Counter(Struct):
+class FencingTokenCounter(Struct):
     """The last fencing token that was issued."""
 
     last: int
 
 
 class Versioned(Struct, Generic[V], frozen=True):
-    """The value of a key, and its version: that of its last change."""
+    """The value of a key, and its version: the revision of its last change."""
 
     value: V
     version: int
@@ -113,7 +114,7 @@
         self.members: dict[str, Versioned[MemberRecord]] = {}  # by name
         self.leader: Versioned[MemberRecord] | None = None
         self.grants: dict[str, Versioned[Grant]] = {}  # by the keys of shards and duties
-        self.fencing_token: Versioned[Counter] | None = None
+        self.fencing_token: Versioned[FencingTokenCounter] | None = None
         self.loads: dict[int, Load] = {}  # by shard
 
     def note_member(self, record: MemberRecord, version: int) -> None:
@@ -124,7 +125,7 @@
         """Store the record of the leader."""
         self.leader = Versioned(record, version)
 
-    def note_fencing_token(self, counter: Counter, version: int) -> None:
+    def note_fencing_token(self, counter: FencingTokenCounter, version: int) -> None:
         """Store the last fencing token."""
         self.fencing_token = Versioned(counter, version)
 
@@ -147,7 +148,7 @@
         if key == LEADER:
             self.note_leader(msgspec.json.decode(raw, type=MemberRecord), version)
         elif key == FENCING_TOKEN:
-            self.note_fencing_token(msgspec.json.decode(raw, type=Counter), version)
+            self.note_fencing_token(msgspec.json.decode(raw, type=FencingTokenCounter), version)
         elif key.startswith(MEMBER_PREFIX):
             name = key.removeprefix(MEMBER_PREFIX)
             if self.member_version(name) <= version:
@@ -236,9 +237,9 @@
         return None
 
     @property
-    def previous_shard_leader(self) -> str:
-        """The last leader of the first shard, whether it failed or released the shard; empty if
-        there was none."""
+    def last_leader_of_shard_0(self) -> str:
+        """The present leader of the first shard or, if there is none, the last one, whether it
+        failed or released the shard; empty if there never was one."""
         held = self.grants.get(shard_key(0))
         if held is None:
             return ""
@@ -249,14 +250,14 @@
         after it in the workers' lists of controllers.
 
         Only the duration of a failover depends on this order. A worker whose controller stops
-        answering tries the next one in its list. If that one is the new shard leader, no time is
-        lost. If it is one that failed earlier, the worker waits for another 4 s, and a short lease
-        expires before the worker has tried a third. With this order, failed controllers come after
-        the new shard leader in the list, not before it. The order of the workers' lists is not
-        specified; names with numbers are assumed to be listed by number.
+        answering tries the next one in its list. If that controller is the new shard leader, no
+        time is lost. If that controller failed earlier, the worker waits for another 4 s, and a
+        short worker lease expires before the worker tries another controller. With this order,
+        failed controllers come after the new shard leader in the list, not before it. The order of
+        the workers' lists is not specified; names with numbers are assumed to be listed by number.
         """
         names = sorted(self.members, key=list_order)
-        last = list_order(self.previous_shard_leader)
+        last = list_order(self.last_leader_of_shard_0)
         return sorted(names, key=lambda name: (list_order(name) <= last, list_order(name)))
 
     def without_holder(self, keys: Iterable[str]) -> list[str]:
--- a/basaltlead/core/gang_placement.py
+++ b/basaltlead/core/gang_placement.py
@@ -59,14 +59,14 @@
     """A machine for each task, all in these zones; None if they don't all fit."""
     trial_rooms = {machine.name: machine.free.copy() for machine in machines}
     ranking = Ranking(job, machines, trial_rooms)
-    held = dict.fromkeys(zones, 0)
+    tasks_by_zone = dict.fromkeys(zones, 0)
     chosen: list[Machine] = []
     for _ in range(job.tasks):
-        machine = ranking.best({zone for zone in zones if held[zone] < job.zone_cap})
+        machine = ranking.best({zone for zone in zones if tasks_by_zone[zone] < job.zone_cap})
         if machine is None:
             return None
         trial_rooms[machine.name].take(job)
-        held[machine.zone] += 1
+        tasks_by_zone[machine.zone] += 1
         chosen.append(machine)
         ranking.rerank(machine)
     return chosen
@@ -90,15 +90,15 @@
     """The cheapest distribution of the gang over the candidates in these zones; None if they have
     too little room."""
     left = job.tasks
-    held = dict.fromkeys(zones, 0)
+    tasks_by_zone = dict.fromkeys(zones, 0)
     cost = 0.0
     parts = []
     for candidate in by_cost:
         zone = candidate.machine.zone
         if zone in zones:
-            tasks = min(candidate.capacity, left, job.zone_cap - held[zone])
+            tasks = min(candidate.capacity, left, job.zone_cap - tasks_by_zone[zone])
             if tasks > 0:
-                held[zone] += tasks
+                tasks_by_zone[zone] += tasks
                 left -= tasks
                 cost += candidate.cost * tasks
                 parts.append(GangPart(candidate.machine, tasks, candidate.preempted))
@@ -167,8 +167,8 @@
     def _machine_for_one(
         self, job_state: JobState, machines: Sequence[Machine]
     ) -> list[Machine] | None:
-        """The machine for a gang of one task, after stopping the attempts there that make room for
-        it."""
+        """The machine for a gang of one task; None if there is none. Stops the attempts on it that
+        are in the way."""
         option = self._preemption.for_gang_of_one(job_state, machines)
         if option is None:
             return None
@@ -207,9 +207,8 @@
     def _reserve(self, job_state: JobState, machines: Sequence[Machine]) -> None:
         """Reserve the machines that will be empty soonest for a gang that has waited for long.
 
-        Otherwise work that comes one task at a time takes each place as it becomes free, and a
-        large gang waits forever. Only one gang at a time has a reservation, the first in start
-        order.
+        Otherwise single tasks would be started wherever room becomes free, and a large gang would
+        wait forever. Only one gang at a time has a reservation, the first in start order.
         """
         context = self._context
         waited_us = context.now - job_state.submitted_at
--- a/basaltlead/core/shard.py
+++ b/basaltlead/core/shard.py
@@ -93,7 +93,7 @@
             return
         job_state.closed = True
         if not (job_state.failure_history.replica_ran_long or job_state.complete):
-            self._failures.clear(job_state)  # the job itself may have been faulty
+            self._failures.withdraw_failures(job_state)  # the job itself may have been faulty
         self._attempts.stop_all(job_state)
         self._jobs.discard_if_closed(job_state)
         self._signals.plan_needed = True
@@ -147,7 +147,7 @@
     def load_machine(self, machine: Machine, answered_at: int | None = None) -> None:
         """Add a machine that is recorded as in use when we acquire the shard. `answered_at` is when
         we last answered it before it was loaded; None if we did not."""
-        machine.lease.grant(self.acquired_at, answered_at)
+        machine.lease.count_from_grant(self.acquired_at, answered_at)
         self._fleet.load(machine)
 
     def add_machine(self, machine: Machine) -> None:
@@ -163,9 +163,9 @@
         commands reach it."""
         self._fleet.mark_unreachable(machine, now)
 
-    def is_settled(self, machine: Machine) -> bool:
+    def is_returnable(self, machine: Machine) -> bool:
         """Whether the machine can be returned without losing work or results."""
-        return self._commands.is_settled(machine)
+        return self._commands.is_returnable(machine)
 
     @property
     def has_unaccounted_tasks(self) -> bool:
@@ -180,29 +180,29 @@
         machine = self.machines.get(heartbeat.machine)
         if machine is None:
             return None
-        receipt = self._reconciler.receive(machine, heartbeat, now)
-        if receipt is REFUSED:
+        outcome = self._reconciler.receive(machine, heartbeat, now)
+        if outcome is REFUSED:
             return None
-        if receipt is OUTDATED:
+        if outcome is OUTDATED:
             return []
-        if receipt is UNPROVEN:
-            return self.halt_orphans(heartbeat)
+        if outcome is UNPROVEN:
+            return self.halts_for_closed_jobs(heartbeat)
         self._drainer.drain(machine, now)
         machine.lease.answer(now)
         if not machine.synced:
-            return self.halt_orphans(heartbeat)
+            return self.halts_for_closed_jobs(heartbeat)
         return self._commands.for_heartbeat(machine, machine.messages.heartbeat_sequence)
 
-    def halt_orphans(self, heartbeat: WorkerReport) -> list[TaskCommand]:
+    def halts_for_closed_jobs(self, heartbeat: WorkerReport) -> list[TaskCommand]:
         """Halts for tasks of closed jobs, on a machine that is not synced."""
-        return self._commands.halt_orphans(heartbeat)
+        return self._commands.halts_for_closed_jobs(heartbeat)
 
     def take_push_commands(self, machine: Machine) -> tuple[list[TaskCommand], list[Attempt]]:
         """The commands to push now, and the starts among them, which are then in flight."""
         return self._commands.take_push_commands(machine)
 
     def has_pending_commands(self, machine: Machine) -> bool:
-        """Whether some commands for the machine have not been sent."""
+        """Whether the machine has halts that were not pushed, or starts that were not sent."""
         return has_pending_commands(machine)
 
     def receive_push_response(
--- a/basaltlead/core/task_reports.py
+++ b/basaltlead/core/task_reports.py
@@ -42,7 +42,7 @@
 
     # Our own attempts
 
-    def progress(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
+    def apply(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
         """Apply the report of an attempt of ours."""
         stage = reported.stage
         if stage == ENDED:
@@ -68,7 +68,7 @@
             )
 
     def _end(self, attempt: Attempt, reported: ReportedTask, now: int) -> None:
-        """Handle the end of an attempt. Its worker lists it until it is told to forget it."""
+        """Handle the end of an attempt. The worker lists the attempt until it receives FORGET."""
         machine, job_state = attempt.machine, attempt.job_state
         job = job_state.job
         reason = reported.why or ExitReason.ERROR
@@ -94,8 +94,12 @@
         result stands for all its tasks."""
         job_state = attempt.job_state
         attempt.machine.failed_jobs.clear()
-        is_known = attempt.running_since and not attempt.adopted
-        if is_known and not job_state.closed and not (job_state.job.gang and job_state.done_count):
+        run_time_known = attempt.running_since and not attempt.adopted
+        if (
+            run_time_known
+            and not job_state.closed
+            and not (job_state.job.gang and job_state.done_count)
+        ):
             self._run_times.record_run(job_state, now - attempt.running_since)
         _finish(job_state, attempt.index)
 
@@ -138,13 +142,13 @@
         attempt = self._attempts.start(job_state, key.task_index, machine, key.attempt_number, now)
         attempt.stage = SENT
         attempt.adopted = reported.stage in EXECUTING
-        self.progress(attempt, reported, now)
+        self.apply(attempt, reported, now)
 
 
 def _is_wanted(job_state: JobState, index: int, machine: Machine) -> bool:
-    """Whether an attempt of an earlier shard leader may continue. Only until the machine is synced:
-    from then on everything that runs there was started by us, and an attempt that we do not know
-    is one that we have removed."""
+    """Whether an attempt of an earlier shard leader may continue. False once the machine is synced:
+    from then on only we start attempts there, so an attempt that we do not know is one that we have
+    removed."""
     return (
         index not in job_state.live
         and not job_state.is_done(index)
