--- a/basaltlead/controller.py
+++ b/basaltlead/controller.py
@@ -188,7 +188,7 @@
         )
         market = new_market(settings)
         leader = self.shard_leader_class(context, market, self.cancellations.__contains__)
-        autoscaler = Autoscaler(context, market, leader.open_jobs.arrivals, self.scaling)
+        autoscaler = Autoscaler(context, market, leader.open_jobs_watch.arrivals, self.scaling)
         leader.start(on_loaded=autoscaler.start)
         return leader
 
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -49,10 +49,10 @@
         self.heartbeats = HeartbeatHandler(context, self.dispatcher)
         self.results = ResultWriter(context)
         self.rebalancer = Rebalancer(context, market.parameters.round_us)
-        self.open_jobs = self.open_jobs_watch_class(
+        self.open_jobs_watch = self.open_jobs_watch_class(
             context, market, self.results, self.rebalancer, is_cancelled
         )
-        self.loader = ShardLoader(context, self.open_jobs, self.rebalancer, market)
+        self.loader = ShardLoader(context, self.open_jobs_watch, self.rebalancer, market)
         self.loaded = False
         self.on_loaded: Callable[[], None] | None = None
 
@@ -75,14 +75,14 @@
     async def _run(self, on_loaded: Callable[[], None]) -> None:
         revision = await self._load()
         self.loaded = True
-        self.open_jobs.finish_loading()
+        self.open_jobs_watch.finish_loading()
         self.heartbeats.finish_loading()
         on_loaded()
         spawn = self.context.spawn
-        spawn(self.open_jobs.follow(revision), "loop watch")
+        spawn(self.open_jobs_watch.follow(revision), "loop watch")
         spawn(self.results.finish_jobs(), "loop finish")
         spawn(self.results.flush_progress(), "loop flush")
-        spawn(self.results.sweep_orphaned_rows(self.open_jobs.orphaned_rows), "sweep orphaned rows")
+        spawn(self.results.sweep_orphaned_rows(self.open_jobs_watch.orphaned_rows), "sweep orphaned rows")
         spawn(PlanningLoop(self.context, self.dispatcher).run(), "loop plan")
         spawn(MarketRounds(self.context, self.market).run(), "loop rounds")
         if self.context.sharded:
@@ -110,7 +110,7 @@
 
     def close_job(self, ref: str) -> None:
         """Close a job whose cancellation was confirmed to its user."""
-        self.open_jobs.close(ref)
+        self.open_jobs_watch.close(ref)
 
     def is_isolated(self) -> bool:
         """Whether no machine has been heard from for too long, while other controllers are alive.
--- a/basaltlead/shard/loader.py
+++ b/basaltlead/shard/loader.py
@@ -33,12 +33,12 @@
     def __init__(
         self,
         context: ShardContext,
-        open_jobs: OpenJobsWatch,
+        open_jobs_watch: OpenJobsWatch,
         rebalancer: Rebalancer,
         market: Market,
     ) -> None:
         self.context = context
-        self.open_jobs = open_jobs
+        self.open_jobs_watch = open_jobs_watch
         self.rebalancer = rebalancer
         self.market = market
 
@@ -57,7 +57,7 @@
         (jobs, revision), (scale_ins, _) = await asyncio.gather(
             store.rows(OPEN), store.rows(SCALE_IN)
         )
-        self.open_jobs.load(jobs, requested_at)
+        self.open_jobs_watch.load(jobs, requested_at)
         for row in scale_ins:
             intents.scale_ins[row.key] = msgspec.json.decode(row.value, type=StoredScaleIn)
         returning = intents.returning
