--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -22,7 +22,7 @@
         self.dispatcher = dispatcher
         self._loaded = False
         # When machines were last answered before the shard was loaded, by machine name.
-        self.answered_at: dict[str, int] = {}
+        self.answered_while_loading: dict[str, int] = {}
 
     def finish_loading(self) -> None:
         """Process heartbeats from now on, since the shard is loaded."""
@@ -36,7 +36,7 @@
         if heartbeat.fencing_token > self.lease.fencing_token:
             return None
         if not self._loaded:
-            self.answered_at[heartbeat.machine] = now
+            self.answered_while_loading[heartbeat.machine] = now
             return self._renewal(self.shard.halt_orphans(heartbeat))
         if heartbeat.machine in self.shard.machines:
             return self._apply(heartbeat, now)
