--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -99,7 +99,7 @@
                 await asyncio.sleep(MACHINE_TYPES_POLL_INTERVAL_S)
                 continue
             try:
-                return await self.loader.load(self.heartbeats.answered_at)
+                return await self.loader.load(self.heartbeats.answered_while_loading)
             except ServiceError as error:
                 log.info("loading shard %d failed, retrying: %s", self.context.number, error)
                 await backoff.wait()
