--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -122,12 +122,12 @@
         heartbeat_interval_us = self.shard.timing.heartbeat_interval_us
         silence_timeout = max(MIN_SILENCE_TIMEOUT_US, int(heartbeat_interval_us * 2.5))
         if self.dispatcher.last_token_shown_at:
-            known = sum(
+            active = sum(
                 1
                 for machine in self.shard.machines.values()
                 if machine.synced and not machine.lost and not machine.terminating
             )
-            return known > 1 and now - self.dispatcher.last_token_shown_at > silence_timeout
+            return active > 1 and now - self.dispatcher.last_token_shown_at > silence_timeout
         first_heartbeat_timeout = FIRST_HEARTBEAT_TIMEOUT_US + heartbeat_interval_us
         return (
             len(self.shard.unsynced) > 1 and now - self.shard.acquired_at > first_heartbeat_timeout
