--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -28,7 +28,7 @@
 
 # A pass may request this many machines, or 1/16 of a large fleet if that is more: a fleet of
 # thousands must grow as fast as the cloud rents machines out.
-MIN_RENTALS_PER_PASS = 12
+MIN_RENTAL_LIMIT = 12
 RENTALS_FLEET_DIVISOR = 16
 # Above that minimum, a pass requests at most as many machines as can be recorded while they boot
 # and within this time after they have booted. An unrecorded machine gets no tasks, and a longer
@@ -154,7 +154,7 @@
         unrecorded = sum(not machine.recorded for machine in machines.values())
         span_s = self.demand.shortest_boot_us() / US + RECORDING_WINDOW_S
         recordable = int(span_s * self.context.store.client.write_limiter.rate) - unrecorded
-        return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
+        return max(MIN_RENTAL_LIMIT, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
     def _update_silent_zones(self, now: int) -> None:
         for zone in self.silent_zones.update(self.reachability.heard_by_zone(now), now):
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -19,7 +19,7 @@
 from basaltlead.core.task_reports import TaskReports
 from basaltlead.core.teams import TeamQuota
 from basaltlead.scaling.autoscaler import (
-    MIN_RENTALS_PER_PASS,
+    MIN_RENTAL_LIMIT,
     RECORDING_WINDOW_S,
     RENTALS_FLEET_DIVISOR,
 )
@@ -208,7 +208,7 @@
     for number in range(recordable):
         shard_leader.shard.machines[_name(number)].recorded = False
 
-    assert autoscaler._max_rentals() == MIN_RENTALS_PER_PASS
+    assert autoscaler._max_rentals() == MIN_RENTAL_LIMIT
 
 
 def _shard_leader(deployment: Deployment) -> Any:
