--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -172,12 +172,12 @@
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
         awaited_zones = {
-            m.zone for m in expected_machines if not m.last_heartbeat_at and _may_come_up(m, now)
+            m.zone for m in expected_machines if not m.last_heartbeat_at and _is_within_usual_boot_time(m, now)
         }
         return self.silent_zones.rentable_offers(offers, machine_types, awaited_zones, now)
 
 
-def _may_come_up(machine: Machine, now: int) -> bool:
+def _is_within_usual_boot_time(machine: Machine, now: int) -> bool:
     """Whether the machine is still within the time in which most machines come up."""
     usual_us = machine.machine_type.boot_us * 3 // 2 + USUAL_BOOT_MARGIN_US
     return now - machine.created_at < usual_us
