--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -66,7 +66,7 @@
             arrivals = self.arrivals.of_class(job_class)
             if arrivals is None:
                 continue
-            boot_us = self._boot_too_slow_us(arrivals.last_job, within_us)
+            boot_us = self._boot_us_if_too_slow(arrivals.last_job, within_us)
             if boot_us is None:
                 continue
             spare = _warm_spare(arrivals, boot_us, now)
@@ -74,7 +74,7 @@
                 spares.append(spare)
         return spares
 
-    def _boot_too_slow_us(self, job: Job, within_us: int) -> int | None:
+    def _boot_us_if_too_slow(self, job: Job, within_us: int) -> int | None:
         """The shortest boot time for a job, if booting and fetching its image exceed `within_us`.
 
         None if they don't, or if a task of the job fits on no machine type.
