--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -32,17 +32,17 @@
             for state in shard.job_states.values()
             if not state.closed and not state.complete and now >= state.retry_at
         ]
-        loads = demand.remaining_cpu_us(job_states, now, shard.estimated_run_us)
+        remaining_cpu_us = demand.remaining_cpu_us(job_states, now, shard.estimated_run_us)
         counts = demand.wanted_tasks(
             job_states,
             now,
             self.market.objectives.due,
             shard.estimated_run_us,
             self.shortest_boot_us(),
-            loads,
+            remaining_cpu_us,
         )
         capacity = demand.RentedCapacity(expected_machines)
-        backlog = sum(loads.values())
+        backlog = sum(remaining_cpu_us.values())
         needs = []
         for state in sorted(job_states, key=lambda state: (-state.job.rank, state.submitted_at)):
             state.need = counts[state.job.ref]
