--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -105,9 +105,9 @@
         if machine.faulty:
             return TerminationReason.FAULTY
         surplus = machine.name not in needed and self._idle_for_long(machine, now)
-        return TerminationReason.IDLE if surplus and not self._retained(machine) else None
+        return TerminationReason.IDLE if surplus and not self._retain(machine) else None
 
-    def _retained(self, machine: Machine) -> bool:
+    def _retain(self, machine: Machine) -> bool:
         """Whether an idle machine is retained for a quiet time.
 
         Call it only for machines that would be returned otherwise, since each retained machine is
