--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -91,7 +91,7 @@
         self.unknown_machines = UnknownMachines(compute_grace_period_us(list_lag_s))
         self.known: set[str] = set()  # machines in the records that were read last
         # When the list was requested with which the records were last compared.
-        self.records_read_at = -RECORDS_VALID_US
+        self.compared_list_at = -RECORDS_VALID_US
         self.sequence = 0  # of the scale-ins that are recorded under this grant
 
     async def run(self) -> None:
@@ -111,12 +111,12 @@
         all_known = all(
             machine.name in self.known and machine.stage != FAILED_STAGE for machine in rented
         )
-        if all_known and listed_at - self.records_read_at < RECORDS_VALID_US:
+        if all_known and listed_at - self.compared_list_at < RECORDS_VALID_US:
             return
         # A request is recorded before its machines are rented. So records that are read after the
         # list contain every request that a listed machine may come from.
         records = await self._read_records()
-        self.records_read_at = listed_at
+        self.compared_list_at = listed_at
         self.known = records.known
         self.unknown_machines.update(rented, self.known, listed_at)
         abandoned = self.unknown_machines.abandoned(rented, records.pending_offers, listed_at)
