--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -75,12 +75,12 @@
             self.all_silent_at = now
         timing = self.context.shard.timing
         nodes = self.context.settings.facts.nodes
-        return_us = (
+        reconnect_us = (
             timing.heartbeat_interval_us * 5 // 4
             + WORKER_REQUEST_TIMEOUT_US
             + nodes * CONTROLLER_RETRY_INTERVAL_US
         )
         lost = [m for m in self.context.shard.machines.values() if m.lost]
-        return now - self.all_silent_at > return_us or all(
+        return now - self.all_silent_at > reconnect_us or all(
             now - m.last_heartbeat_at > LOST_AFTER_LEASES * timing.lease_us for m in lost
         )
