--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -147,8 +147,8 @@
         if release_leadership:
             self.claim_cooldown_until = now_us() + CLAIM_COOLDOWN_US
         preconditions = [self.precondition(), Precondition(key, held.version)]
-        free = Grant("", "", held.value.fencing_token, avoid=self.name)
-        apply: list[Put | Drop] = [Put(key, free)]
+        released_grant = Grant("", "", held.value.fencing_token, avoid=self.name)
+        apply: list[Put | Drop] = [Put(key, released_grant)]
         if release_leadership and self.is_leader and self.cluster.leader is not None:
             preconditions.append(Precondition(LEADER, self.cluster.leader.version))
             apply.append(Drop(LEADER))
@@ -157,6 +157,6 @@
         except ServiceError as error:
             log.info("%s not released: %s", grant_label(key), error)
             return False
-        self.cluster.note_grant(key, free, version)
+        self.cluster.note_grant(key, released_grant, version)
         log.info("%s released", grant_label(key))
         return True
