--- a/basaltlead/core/fleet_sizing.py
+++ b/basaltlead/core/fleet_sizing.py
@@ -11,7 +11,7 @@
 from basaltlead.core.rental_choice import RentalChoice
 
 
-class Demand(Struct):
+class TaskDemand(Struct):
     """How many tasks of a job should be on machines now, including those that are already."""
 
     job_state: JobState
@@ -60,7 +60,7 @@
 
 
 def plan_fleet(
-    needs: Sequence[Demand],
+    needs: Sequence[TaskDemand],
     spares: Sequence[WarmSpare],
     machines: Iterable[Machine],
     machine_types: Mapping[str, MachineType],
@@ -115,7 +115,7 @@
         """Names of the machines that something was placed on."""
         return {b.machine.name for b in self._bins if b.machine is not None and b.used}
 
-    def place_tasks(self, needs: Sequence[Demand]) -> None:
+    def place_tasks(self, needs: Sequence[TaskDemand]) -> None:
         """Place the wanted tasks of one rank: those on machines stay, the others are placed."""
         unplaced: list[int] = []
         for need in needs:
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -2,7 +2,7 @@
 
 from basaltlead.core import demand
 from basaltlead.core.entities import Machine
-from basaltlead.core.fleet_sizing import Demand, WarmSpare
+from basaltlead.core.fleet_sizing import TaskDemand, WarmSpare
 from basaltlead.core.jobs import US, Job, Shape
 from basaltlead.core.market import Market
 from basaltlead.shard.arrivals import ArrivalHistory, ClassArrivals
@@ -20,7 +20,7 @@
         self.market = market
         self.arrivals = arrivals
 
-    def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[Demand]:
+    def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[TaskDemand]:
         """The number of tasks of each open job that should be on machines now, highest rank first.
 
         `expected_machines` are the machines that are up or should be up soon. Also sets `need` of
@@ -46,7 +46,7 @@
         needs = []
         for state in sorted(job_states, key=lambda state: (-state.job.rank, state.submitted_at)):
             state.need = counts[state.job.ref]
-            need = Demand(state, state.need, run_us=shard.estimated_run_us(state))
+            need = TaskDemand(state, state.need, run_us=shard.estimated_run_us(state))
             if state.job.shape is Shape.ARRAY:
                 need.backlog_us = capacity.backlog_us(state.job, backlog)
             needs.append(need)
--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -1,7 +1,7 @@
 """Fleet sizing: what is rented for waiting tasks."""
 
 from basaltlead.core import fleet_sizing
-from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.fleet_sizing import TaskDemand
 from basaltlead.core.jobs import US
 from basaltlead.core.offers import Offer
 from tests.builders import MACHINE_TYPE, ShardHarness, make_job
@@ -19,7 +19,7 @@
     the machines rented already need for the backlog."""
     harness = ShardHarness(machines=0)
     job_state = harness.shard.add_job(make_job(tasks=40), 200, harness.now)
-    needs = [Demand(job_state, 40, backlog_us)]
+    needs = [TaskDemand(job_state, 40, backlog_us)]
     return [
         offer.spot
         for offer in fleet_sizing.plan_fleet(needs, [], [], {"k": MACHINE_TYPE}, offers, 12).rentals
--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -10,7 +10,7 @@
 from basaltlead.core import demand, fleet_sizing, placement, planning
 from basaltlead.core import offers as core_offers
 from basaltlead.core.entities import JobState, Machine
-from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.fleet_sizing import TaskDemand
 from basaltlead.core.jobs import US, Resources, Shape
 from basaltlead.core.offers import Offer
 from basaltlead.core.teams import TeamQuota
@@ -110,7 +110,7 @@
 
     job_states = list(harness.shard.job_states.values())
     running = sum(len(job_state.live) for job_state in job_states)
-    needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
+    needs = [TaskDemand(job_state, job_state.remaining) for job_state in job_states]
     machines = list(harness.shard.machines.values())
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (core_offers, "allowed")
@@ -186,7 +186,7 @@
     planning.plan(harness.shard, harness.now)
     job_states = list(harness.shard.job_states.values())
     machines: list[Machine] = list(harness.shard.machines.values())
-    needs = [Demand(job_state, job_state.remaining) for job_state in job_states]
+    needs = [TaskDemand(job_state, job_state.remaining) for job_state in job_states]
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "ab"}
     count = CallCounter(
         monkeypatch, (Resources, "fits"), (Resources, "capacity_for"), (core_offers, "allowed")
--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -12,7 +12,7 @@
 from basaltlead.core.entities import Machine
 from basaltlead.core.failures import FailurePolicy
 from basaltlead.core.fleet import MAX_RETAINED_NAMES
-from basaltlead.core.fleet_sizing import Demand
+from basaltlead.core.fleet_sizing import TaskDemand
 from basaltlead.core.jobs import RANKS, US, Resources, Shape
 from basaltlead.core.offers import Offer
 from basaltlead.core.shard import Shard
@@ -220,7 +220,7 @@
     harness = _full_fleet()
 
     job_states = list(harness.shard.job_states.values())
-    needs = [Demand(job_state, job_state.remaining * 2) for job_state in job_states]
+    needs = [TaskDemand(job_state, job_state.remaining * 2) for job_state in job_states]
     machines: list[Machine] = list(harness.shard.machines.values())
     offers: dict[Offer, int | None] = {Offer("k", zone, False): None for zone in "abc"}
     plan = fleet_sizing.plan_fleet(needs, [], machines, {"k": MACHINE_TYPE}, offers, MACHINES // 16)
