--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -148,12 +148,12 @@
             self.claim_cooldown_until = now_us() + CLAIM_COOLDOWN_US
         preconditions = [self.precondition(), Precondition(key, held.version)]
         released_grant = Grant("", "", held.value.fencing_token, avoid=self.name)
-        apply: list[Put | Drop] = [Put(key, released_grant)]
+        changes: list[Put | Drop] = [Put(key, released_grant)]
         if release_leadership and self.is_leader and self.cluster.leader is not None:
             preconditions.append(Precondition(LEADER, self.cluster.leader.version))
-            apply.append(Drop(LEADER))
+            changes.append(Drop(LEADER))
         try:
-            version = await self.store.compare_and_swap(preconditions, apply)
+            version = await self.store.compare_and_swap(preconditions, changes)
         except ServiceError as error:
             log.info("%s not released: %s", grant_label(key), error)
             return False
