--- a/basaltlead/storage/client.py
+++ b/basaltlead/storage/client.py
@@ -138,7 +138,7 @@
     async def compare_and_swap(
         self,
         preconditions: list[Precondition],
-        apply: Sequence[Put | Drop],
+        changes: Sequence[Put | Drop],
         low_priority: bool = False,
     ) -> int:
         """Apply all changes if every precondition holds.
@@ -151,9 +151,9 @@
         bookkeeping, which with hundreds of machines would fill the write limit by itself: users'
         submissions and cancellations go first.
         """
-        raw = self._encoded(preconditions, apply)
+        raw = self._encoded(preconditions, changes)
         take = self.write_limiter.take_low_priority if low_priority else self.write_limiter.take
-        await take(max(1, len(apply)))
+        await take(max(1, len(changes)))
         status, body = await self._call("POST", "/multi", raw)
         if status == STATUS_OK:
             return decode(body, Outcome).revision
@@ -163,20 +163,22 @@
             raise SessionLeaseExpired
         raise RequestFailed(f"transaction failed with status {status}: {body[:200]!r}", sent=True)
 
-    def _encoded(self, preconditions: list[Precondition], apply: Sequence[Put | Drop]) -> bytes:
+    def _encoded(self, preconditions: list[Precondition], changes: Sequence[Put | Drop]) -> bytes:
         """Return the request body of a transaction. Raises `TransactionTooLarge` if it exceeds a
         limit."""
         value_sizes: list[int] = []
-        changes: list[Put | Drop] = []
-        for change in apply:
+        encoded_changes: list[Put | Drop] = []
+        for change in changes:
             if isinstance(change, Put):
                 value = encode(change.value)
                 value_sizes.append(len(value))
-                changes.append(Put(change.key, msgspec.Raw(value), change.session_lease))
+                encoded_changes.append(Put(change.key, msgspec.Raw(value), change.session_lease))
             else:
-                changes.append(change)
-        raw = encode(Transaction(preconditions, changes))
-        limit_error = self.limits.limit_error(len(preconditions), len(apply), value_sizes, len(raw))
+                encoded_changes.append(change)
+        raw = encode(Transaction(preconditions, encoded_changes))
+        limit_error = self.limits.limit_error(
+            len(preconditions), len(changes), value_sizes, len(raw)
+        )
         if limit_error:
             raise TransactionTooLarge(limit_error)
         return raw
