--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -15,7 +15,8 @@
 from basaltlead.runtime.logs import log
 
 HOLDER_TYPES: dict[Duty, type[DutyHolder]] = {
-    holder.duty: holder for holder in (RentDuty, ReturnDuty, ReclaimDuty, CleanUpDuty)
+    holder_type.duty: holder_type
+    for holder_type in (RentDuty, ReturnDuty, ReclaimDuty, CleanUpDuty)
 }
 
 
