--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -172,7 +172,9 @@
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
         awaited_zones = {
-            m.zone for m in expected_machines if not m.last_heartbeat_at and _is_within_usual_boot_time(m, now)
+            m.zone
+            for m in expected_machines
+            if not m.last_heartbeat_at and _is_within_usual_boot_time(m, now)
         }
         return self.silent_zones.rentable_offers(offers, machine_types, awaited_zones, now)
 
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -82,7 +82,10 @@
         spawn(self.open_jobs_watch.follow(revision), "loop watch")
         spawn(self.results.finish_jobs(), "loop finish")
         spawn(self.results.flush_progress(), "loop flush")
-        spawn(self.results.sweep_orphaned_rows(self.open_jobs_watch.orphaned_rows), "sweep orphaned rows")
+        spawn(
+            self.results.sweep_orphaned_rows(self.open_jobs_watch.orphaned_rows),
+            "sweep orphaned rows",
+        )
         spawn(PlanningLoop(self.context, self.dispatcher).run(), "loop plan")
         spawn(MarketRounds(self.context, self.market).run(), "loop rounds")
         if self.context.sharded:
