--- a/basaltlead/api/job_reader.py
+++ b/basaltlead/api/job_reader.py
@@ -54,8 +54,8 @@
         return None if final is None else JobStatus(final.stage, final.done)
 
     def cache_final(self, ref: str, final: FinalState) -> None:
-        """Cache a final state. Must be called before any user is told of it: shard leaders must
-        know every confirmed cancellation."""
+        """Cache a final state, and report a new cancellation through `on_cancelled`. Must be called
+        before any user is told of it: shard leaders must know every confirmed cancellation."""
         self._finals[ref] = final
         if final.stage == CANCELLED and self.cancellations.add(ref, now_us()):
             self.on_cancelled(ref)
