--- a/basaltlead/cluster/cancellation_exchange.py
+++ b/basaltlead/cluster/cancellation_exchange.py
@@ -2,10 +2,10 @@
 
 A shard leader must know every cancellation that was confirmed to a user. While it can't read the
 key-value store, each response to its deferral requests lists all cancellations that the peer has
-confirmed to any user since the shard leader's last read. Responses of *every* other controller,
-none of which was silent or has restarted since that read, are equivalent to a read at the time the
-requests were sent: a cancellation that a peer confirms after its response is confirmed after that
-time, and one that no controller has confirmed need not be known.
+confirmed to any user since the shard leader's last read. If *every* other controller has responded,
+and none of them was silent or has restarted since that read, the responses are equivalent to a read
+at the time the requests were sent. A cancellation that a peer confirms after its response is also
+confirmed after that time. A cancellation that no controller has confirmed need not be known.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,13 +13,14 @@
 from basaltlead.core.cancellations import Cancellations
 from basaltlead.runtime.clock import now_us
 
-# The longest time that a request and its response may take together. The peer counts back from when
-# it reads the request, which is later than when it was sent, so it goes back further by this much.
+# The longest time that a request and its response may take together. A peer counts the requested
+# period back from when it reads the request. The request may have been sent this much earlier, so
+# the peer extends the period by this.
 MAX_ROUND_TRIP_US = 2_000_000
 
 
 class CancellationExchange:
-    """Passes cancellations between the peers and the shards of this controller."""
+    """Adds cancellations that peers report, and lists those that this controller has confirmed."""
 
     def __init__(
         self,
@@ -30,8 +31,8 @@
     ) -> None:
         """`cancellations_as_of` returns the time up to which all shards of this controller know all
         cancellations, or None if it leads no shard. `on_cancelled` is called with each job that a
-        peer reports as cancelled, and `on_confirmed` with the start and end of a period for which
-        all peers have reported their cancellations."""
+        peer reports as cancelled. `LeaseExtension` calls `on_confirmed` with the start and end of a
+        period for which all peers have reported their cancellations."""
         self.cancellations = cancellations
         self.cancellations_as_of = cancellations_as_of
         self.on_cancelled = on_cancelled
