--- a/basaltlead/cluster/election.py
+++ b/basaltlead/cluster/election.py
@@ -78,7 +78,8 @@
 
     def _turn_us(self) -> int:
         """When it is this candidate's turn to claim the leadership. Every candidate gets a turn,
-        since the member keys of those before it may outlive their processes for a while."""
+        since those before it may have failed: a member key exists until its session lease expires.
+        """
         if self.vacant_since is None:
             self.vacant_since = now_us()
         if not self.membership.cluster.previous_shard_leader:
@@ -130,7 +131,8 @@
             Precondition(FENCING_TOKEN, last_token.version),
             Precondition(key, held.version if held else 0),
         ]
-        # They fail unless the previous holder's lease has expired and the new holder is alive.
+        # The member preconditions fail unless the previous holder's lease has expired and the new
+        # holder is alive.
         named = {held.value.name if held is not None else "", target} - {"", self.membership.name}
         preconditions += versions.member_preconditions(cluster, sorted(named))
         grant = Grant(target, cluster.members[target].value.incarnation, last_token.value.last + 1)
@@ -143,7 +145,8 @@
         version = await self.membership.store.compare_and_swap(
             preconditions, [Put(FENCING_TOKEN, Counter(grant.fencing_token)), Put(key, grant)]
         )
-        # Update the view that the grant was based on: a newer view may have a newer token.
+        # Update the view that the grant was based on: the watch may have replaced
+        # `membership.cluster` during the write by a view with a newer token.
         cluster.note_fencing_token(Counter(grant.fencing_token), version)
         cluster.note_grant(key, grant, version)
         log.info(
