--- a/basaltlead/cluster/failover_deferrals.py
+++ b/basaltlead/cluster/failover_deferrals.py
@@ -21,7 +21,8 @@
 
 
 class FailoverDeferrals:
-    """Grants deferrals, and tracks when all that a holder may have been granted have ended."""
+    """Grants deferrals, and tracks when all deferrals that a holder may have been granted have
+    ended."""
 
     def __init__(self, session: SessionLeaseKeeper, watch: ClusterWatch) -> None:
         self.session = session
