--- a/basaltlead/cluster/membership.py
+++ b/basaltlead/cluster/membership.py
@@ -24,11 +24,13 @@
 from basaltlead.wire.store import Drop, Precondition, Put
 
 MAX_WATCH_TIMEOUT_MS = 4000
-CLAIM_COOLDOWN_US = 15_000_000  # after stepping down, a controller leaves the leadership to others
+# For this long after a release of the leadership, a controller claims it only as the only member.
+CLAIM_COOLDOWN_US = 15_000_000
 
 
 class Membership:
-    """The interface of the other components to the cluster, and the release of grants.
+    """Gives the other components the state of the cluster and the grants of this controller, and
+    releases grants.
 
     `session` holds the session lease, `watch` the view of the cluster, and `deferrals` the failover
     deferrals.
@@ -50,8 +52,9 @@
         self.on_change = on_change
         self.shard_keys = [shard_key(number) for number in range(settings.operator.shards)]
         self.ttl_us = settings.session_lease_us
-        # A shard leader may act for a limited time after it sent its last read of the open jobs.
-        # That time is at least a session lease, so a watch must return well within one.
+        # A shard leader may act for `Settings.staleness_us` after it sent its last read of the open
+        # jobs, and that time is at least a session lease. A watch counts as a read only when it
+        # returns, so its timeout is well below a session lease.
         self.watch_timeout_ms = min(MAX_WATCH_TIMEOUT_MS, self.ttl_us // 4000)
         self.rng = rng
         self.wake = asyncio.Event()  # set to have the election check the cluster again
@@ -89,7 +92,8 @@
 
     @property
     def store_unreachable(self) -> bool:
-        """Whether the key-value store has not answered for too long to serve users from it."""
+        """Whether the key-value store has been silent for so long that requests of users that need
+        it are rejected."""
         return self.session.store_unreachable
 
     @property
