--- a/basaltlead/cluster/versions.py
+++ b/basaltlead/cluster/versions.py
@@ -31,7 +31,7 @@
 
 def record_version(duties: bool) -> int:
     """The version for the member key. A controller with duties disabled leaves them to the shard
-    leaders, as versions without duties do, and so stores the version of those."""
+    leaders, as versions without duties do, so it stores `SERVICES_VERSION`."""
     return CURRENT_VERSION if duties else SERVICES_VERSION
 
 
