--- a/basaltlead/config/settings.py
+++ b/basaltlead/config/settings.py
@@ -205,8 +205,8 @@
     def session_lease_us(self) -> int:
         """The duration of a session lease, in microseconds.
 
-        The default is 0.3 of a worker's lease: after the loss of a shard leader, its workers stop
-        trying it after 4 to 6 s, and reach its successor before their leases expire.
+        The default is 0.3 of a worker's lease. Workers stop trying a failed shard leader after 4 to
+        6 s, and with this duration they reach the next one before their leases expire.
         """
         lease_s = self.operator.session_lease_s
         if lease_s is None:
