--- a/basaltlead/duties/holder.py
+++ b/basaltlead/duties/holder.py
@@ -1,4 +1,4 @@
-"""The base class of duty holders. A holder exists from the grant of a duty until it is lost."""
+"""The base class of duty holders. A holder acts from the grant of a duty until that grant ends."""
 
 from abc import ABC, abstractmethod
 
