--- a/basaltlead/duties/machine_rental.py
+++ b/basaltlead/duties/machine_rental.py
@@ -96,9 +96,9 @@
     ) -> None:
         """Record the outcome of a request: `stored` with the machine names, or None to delete it.
 
-        `version` is the version of the request's record and a precondition of the write. It keeps
-        a late duplicate of an attempt without a response from creating the record again after it
-        was deleted. Raises PreconditionFailed if the grant is lost.
+        `version` is the version of the request's record and a precondition of the write. So a
+        delayed duplicate of a write without a response can't create the record again after its
+        deletion. Raises PreconditionFailed if the grant is lost.
         """
         key = SCALE_OUT + name
         change: Put | Drop = Drop(key) if stored is None else Put(key, stored)
