--- a/basaltlead/duties/reclaim_duty.py
+++ b/basaltlead/duties/reclaim_duty.py
@@ -1,4 +1,5 @@
-"""The reclaim duty: adopts rented machines without a record, and returns those without a use."""
+"""The reclaim duty: adopts rented machines without a record, and returns machines that have failed
+or whose shard no longer exists."""
 
 import asyncio
 from enum import StrEnum
@@ -90,7 +91,7 @@
         self.pause_s = max(MIN_PAUSE_S, list_lag_s)
         self.unknown_machines = UnknownMachines(compute_grace_period_us(list_lag_s))
         self.known: set[str] = set()  # machines in the records that were read last
-        # When the list was requested with which the records were last compared.
+        # When the list that was last compared with the records was requested.
         self.compared_list_at = -RECORDS_VALID_US
         self.sequence = 0  # of the scale-ins that are recorded under this grant
 
