--- a/basaltlead/duties/registry.py
+++ b/basaltlead/duties/registry.py
@@ -78,8 +78,8 @@
     def _step_down_without_cloud(self) -> None:
         """Step down from the duties that need the cloud if it has not responded for too long.
 
-        Another controller may be able to reach it. An outage of the cloud itself is a response
-        (503) and no reason to change the holder.
+        Another controller may be able to reach it. During an outage of its own, the cloud responds
+        with 503, which is no reason to change the holder.
         """
         since = self.cloud.unanswered_since
         if (
