--- a/basaltlead/net/http/client.py
+++ b/basaltlead/net/http/client.py
@@ -29,13 +29,14 @@
     def send(self, request: bytes, may_send: Callable[[], bool]) -> asyncio.Future[ClientResponse]:
         """Send a request, and return a future of its response.
 
-        Raises `RequestFailed` if nothing was sent. The future is created only after these checks:
-        if it failed without being awaited, asyncio would report an unretrieved exception.
+        Raises `RequestFailed` if nothing was sent.
         """
         if self.transport is None:
             raise RequestFailed("connection lost", sent=False)
         if not may_send():
             raise RequestFailed("the lease has ended", sent=False)
+        # Created only after the checks: if a future failed without being awaited, asyncio would
+        # report that its exception was never retrieved.
         self.pending_response = asyncio.get_running_loop().create_future()
         self.transport.write(request)
         return self.pending_response
