--- a/basaltlead/net/http/server.py
+++ b/basaltlead/net/http/server.py
@@ -119,7 +119,9 @@
         """Pass the complete request to the handler."""
         if self.closing:
             return
-        if self.busy:  # pipelined request: not supported, as no client needs it
+        # A pipelined request is ignored, as no client needs pipelining. The connection is closed
+        # after the response to the current request.
+        if self.busy:
             self.closing = True
             return
         self.busy = True
@@ -203,9 +205,9 @@
     ) -> None:
         """Create a server; `limit` applies to its connections and `other_sockets` together.
 
-        At the limit, `close_other_idle` is called first to close an idle socket among the others;
-        it returns whether it did. So the others' idle connections never cause this server to refuse
-        a client.
+        At the limit, `close_other_idle` is called first: it closes an idle connection that
+        `other_sockets` counts, if there is one, and returns whether it closed one. So idle
+        connections that this server doesn't own never cause it to refuse a client.
         """
         self.handler = handler
         self.limit = limit
@@ -222,8 +224,8 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def connection_opened(self, connection: ServerProtocol) -> None:
-        """Register a new connection. At the limit, the least recently used idle connection is
-        closed, or the new one if all others are in use."""
+        """Register a new connection. At the limit, an idle connection that `other_sockets` counts
+        is closed, else the least recently used idle connection of this server, else the new one."""
         if (
             len(self.connections) + self.other_sockets() >= self.limit
             and not self.close_other_idle()
