--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -26,8 +26,8 @@
 from basaltlead.shard.arrivals import ArrivalHistory
 from basaltlead.shard.context import ShardContext
 
-# A pass may request this many machines, or 1/16 of a large fleet if that is more: a fleet of
-# thousands must grow as fast as the cloud rents machines out.
+# The limit on machines requested per pass is at least this, or 1/16 of a large fleet if that is
+# more: a fleet of thousands must grow as fast as the cloud rents machines out.
 MIN_RENTAL_LIMIT = 12
 RENTALS_FLEET_DIVISOR = 16
 # Above that minimum, a pass requests at most as many machines as can be recorded while they boot
@@ -108,7 +108,8 @@
             duration_us = now_us() - now
 
     def _resize(self, now: int) -> None:
-        """Run one pass: request missing machines and mark surplus ones as terminating."""
+        """Run one pass: request missing machines, allocate the slots of arrays, and mark surplus
+        machines as terminating."""
         shard = self.context.shard
         expected_machines = self.expected_machines(now)
         needs = self.demand.of_open_jobs(now, expected_machines)
@@ -180,6 +181,6 @@
 
 
 def _is_within_usual_boot_time(machine: Machine, now: int) -> bool:
-    """Whether the machine is still within the time in which most machines come up."""
+    """Whether the machine is no older than most machines are when they come up."""
     usual_us = machine.machine_type.boot_us * 3 // 2 + USUAL_BOOT_MARGIN_US
     return now - machine.created_at < usual_us
