--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -21,7 +21,7 @@
         self.arrivals = arrivals
 
     def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[TaskDemand]:
-        """The number of tasks of each open job that should be on machines now, highest rank first.
+        """The demand of each open job that is not waiting for a retry, highest rank first.
 
         `expected_machines` are the machines that are up or should be up soon. Also sets `need` of
         each job state, which the placement of tasks reads.
