--- a/basaltlead/scaling/quiet_calendar.py
+++ b/basaltlead/scaling/quiet_calendar.py
@@ -132,7 +132,7 @@
     if not timedelta(0) < span <= MAX_EVENT_DURATION:
         return [
             EventProblem(
-                field, f"a quiet time lasts longer than nothing, and {MAX_EVENT_DURATION} at most"
+                field, f"a quiet time must last longer than 0 s, and {MAX_EVENT_DURATION} at most"
             )
         ]
     return []
