--- a/basaltlead/scaling/reachability.py
+++ b/basaltlead/scaling/reachability.py
@@ -28,7 +28,8 @@
 
     @staticmethod
     def unreachable(machine: Machine, now: int) -> bool:
-        """Whether commands don't reach the machine for a while, although its heartbeats arrive."""
+        """Whether commands have not reached the machine for more than `UNREACHABLE_US`, even if its
+        heartbeats arrive."""
         return bool(machine.unreachable_since) and now - machine.unreachable_since > UNREACHABLE_US
 
     def all_silent(self, now: int) -> bool:
@@ -64,12 +65,12 @@
         return heard
 
     def losses_confirmed(self, now: int) -> bool:
-        """Whether machines marked as lost may be taken to be gone.
+        """Whether machines marked as lost may be treated as failed.
 
-        They may have been cut off together with all others. After such an outage a worker needs
-        some time to find this controller again, so machines that don't return with the first ones
-        may still be up. The losses are confirmed once other machines have been heard for that
-        time, or after `LOST_AFTER_LEASES` of silence in any case.
+        If all machines were silent, the lost ones may only have been unreachable. After such an
+        outage a worker needs some time to find this controller again, so a machine that sends no
+        heartbeat yet when the first ones do may still be up. The losses are confirmed once other
+        machines have been heard for that time, or after `LOST_AFTER_LEASES` of silence in any case.
         """
         if not self.any_heard(now):
             self.all_silent_at = now
