--- a/basaltlead/scaling/scale_in.py
+++ b/basaltlead/scaling/scale_in.py
@@ -1,7 +1,8 @@
 """Scale-in of a shard: returns machines that are marked as terminating to the cloud.
 
-While the duties have grants of their own, the shard leader only records these machines, and the
-holder of the return duty deletes them. Otherwise the shard leader deletes them under its own lease.
+While the duties have grants of their own, the shard leader only writes scale-in records for these
+machines, and the holder of the return duty deletes the machines. Otherwise the shard leader deletes
+them under its own lease.
 """
 
 import asyncio
@@ -36,7 +37,8 @@
 
 
 class ScaleIn:
-    """Records or deletes a shard's terminating machines, and watches the scale-in records.
+    """Writes scale-in records for a shard's terminating machines or deletes the machines, and
+    watches the scale-in records.
 
     Its background tasks end when the shard is released.
     """
@@ -53,7 +55,8 @@
             self.context.spawn(self._follow(), "loop scale-in watch")
 
     async def _return_terminating(self) -> None:
-        """Record or delete the machines that are marked as terminating; never returns."""
+        """Write scale-in records for the machines that are marked as terminating, or delete the
+        machines; never returns."""
         backoff = Backoff(MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US, self.context.membership.rng)
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -73,7 +76,7 @@
     # While the duties have grants of their own
 
     async def _record(self, names: list[str]) -> None:
-        """Record machines for deletion by the holder of the return duty.
+        """Write a scale-in record, so that the holder of the return duty deletes the machines.
 
         The write has the lease and the known version of each machine's record as preconditions.
         So every later leader of the shard reads the scale-in record before it acts.
@@ -124,7 +127,7 @@
     # Under the shard's own lease
 
     async def _delete(self, names: list[str]) -> None:
-        """Delete machines, and remove those whose deletion the cloud confirms from the shard."""
+        """Delete machines, and remove from the shard those whose deletion the cloud confirms."""
         now = now_us()
         due = self.machine_deletion.due(names, now)[:MAX_DELETIONS_PER_CALL]
         if not due:
@@ -169,7 +172,8 @@
             else:
                 return
 
-    # Watching the scale-in records, which the holders of the duties write as well
+    # Watching the scale-in records: the holder of the reclaim duty also writes them, and the holder
+    # of the return duty deletes them
 
     async def _follow(self) -> None:
         store, watch_timeout_ms = (
