--- a/basaltlead/scaling/termination.py
+++ b/basaltlead/scaling/termination.py
@@ -108,7 +108,7 @@
         return TerminationReason.IDLE if surplus and not self._retain(machine) else None
 
     def _retain(self, machine: Machine) -> bool:
-        """Whether an idle machine is retained for a quiet time.
+        """Retain an idle machine for a quiet time if possible. Returns whether it is retained.
 
         Call it only for machines that would be returned otherwise, since each retained machine is
         charged to the quiet time's budget.
