--- a/basaltlead/shard/dispatcher.py
+++ b/basaltlead/shard/dispatcher.py
@@ -176,7 +176,10 @@
             self.shard.request_plan()
             self.context.wake.set()
             log.info(
-                "machine %s (%s in %s) ready", machine.name, machine.machine_type.name, machine.zone
+                "machine %s (%s in %s) recorded",
+                machine.name,
+                machine.machine_type.name,
+                machine.zone,
             )
 
     async def _recorded_by_us(self, machine: Machine) -> bool:
