--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -29,7 +29,7 @@
         self._loaded = True
 
     def handle(self, heartbeat: Heartbeat) -> Response | None:
-        """Answer a heartbeat. Returns None if another controller must answer it."""
+        """Answer a heartbeat. Returns None if this shard leader must not answer it."""
         if not self.lease.holds_valid_lease:
             return None
         now = now_us()
@@ -47,8 +47,8 @@
 
         The machine belongs to a scale-out request that was executed late or, if the heartbeat is a
         delayed copy, was returned by an earlier shard leader. Tasks are started on recorded
-        machines only, so it has none that is still wanted. Only a heartbeat with our fencing token
-        proves that the machine still exists.
+        machines only, so no task on this machine is wanted any more. Only a heartbeat with our
+        fencing token proves that the machine still exists.
         """
         if heartbeat.machine in self.shard.deleted_machines:
             return None
