--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -27,7 +27,9 @@
 
 MACHINE_TYPES_POLL_INTERVAL_S = 0.05  # between two checks for the machine types
 MIN_SILENCE_TIMEOUT_US = 3 * US
-FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within this time
+# Workers whose controller has failed send us a heartbeat within this time plus a heartbeat interval
+# after the grant.
+FIRST_HEARTBEAT_TIMEOUT_US = 9 * US
 
 
 class ShardLeader:
@@ -108,7 +110,7 @@
                 await backoff.wait()
 
     def heartbeat(self, heartbeat: Heartbeat) -> Response | None:
-        """Answer a heartbeat. Returns None if another controller must answer it."""
+        """Answer a heartbeat. Returns None if this shard leader must not answer it."""
         return self.heartbeats.handle(heartbeat)
 
     def close_job(self, ref: str) -> None:
