--- a/basaltlead/shard/open_jobs_watch.py
+++ b/basaltlead/shard/open_jobs_watch.py
@@ -84,7 +84,7 @@
         job_state.bid = self.market.first_bid(job_state, now)
         job_state.has_objective = job.gang or self.market.objectives.has_objective(job_state, now)
         self.arrivals.note(job, now - age)
-        log.info("job %s (%s, %d tasks) acquired", ref, job.job_class, job.tasks)
+        log.info("job %s (%s, %d tasks) added", ref, job.job_class, job.tasks)
         self.context.wake.set()
 
     def _apply(self, change: Change) -> None:
@@ -106,7 +106,8 @@
         self.context.lease.cancellations_read(sent_at)
 
     def close(self, ref: str) -> None:
-        """Close a completed or cancelled job: stop its tasks, and drop its remaining rows."""
+        """Close a completed or cancelled job: stop its tasks, and drop its remaining rows unless
+        the holder of the clean-up duty does so."""
         job_state = self.shard.job_states.get(ref)
         if job_state is not None:
             self.results.close(job_state)
