--- a/basaltlead/shard/rebalancer.py
+++ b/basaltlead/shard/rebalancer.py
@@ -151,8 +151,9 @@
                 return
 
     async def balance(self) -> None:
-        """Twice a market round, publish the load of this shard, and hand waiting tasks to the shard
-        with the most free capacity."""
+        """Publish the load of this shard twice a market round. If its waiting tasks need more CPUs
+        than are free, hand some of them, all of one job, to the shard with the most free CPUs among
+        those without waiting tasks."""
         while True:
             await asyncio.sleep(self._interval_s)
             if self.context.lease.holds_valid_lease:
