--- a/basaltlead/shard/results.py
+++ b/basaltlead/shard/results.py
@@ -36,7 +36,8 @@
 
 
 class ResultWriter:
-    """Stores results: those that complete a job at once, others periodically."""
+    """Stores the final state of a job as soon as the job is complete, and the results of unfinished
+    jobs periodically."""
 
     def __init__(self, context: ShardContext) -> None:
         self.context = context
@@ -44,12 +45,13 @@
         self._flushed_at: dict[str, int] = {}
 
     def forget(self, ref: str) -> None:
-        """Forget a closed job, of which nothing is stored any more."""
+        """Forget a closed job: no more results of it will be stored."""
         self._stored_running.pop(ref, None)
         self._flushed_at.pop(ref, None)
 
     async def finish_jobs(self) -> None:
-        """Store the results that complete a job at once, since users wait for them."""
+        """Store the final state of each job as soon as the job is complete, since users wait for
+        it."""
         while True:
             await asyncio.sleep(SCAN_INTERVAL_S)
             if self.context.lease.holds_valid_lease:
@@ -106,8 +108,8 @@
                 [Precondition(OPEN + ref, job_state.version), Precondition(OVER + ref, 0)],
             )
         except PreconditionFailed as conflict:
-            # An earlier, unanswered attempt was executed, or the job was cancelled: in either case
-            # it is no longer open.
+            # An earlier write without a response was executed, or the job was cancelled: in either
+            # case the job is no longer open.
             if OPEN + ref in conflict.failed:
                 self.close(job_state)
                 return
@@ -122,7 +124,8 @@
             await self._sweep(ref, rows[max_drops:])
 
     def close(self, job_state: JobState) -> None:
-        """Close a completed or cancelled job: stop its tasks, and drop its remaining rows."""
+        """Close a completed or cancelled job: stop its tasks, and drop its remaining rows unless
+        the holder of the clean-up duty does so."""
         ref = job_state.job.ref
         if ref not in self.context.shard.job_states:
             return  # closed while its final state was being stored
@@ -131,14 +134,17 @@
         versions = self.context.store.versions
         rows = self.context.layout.keys(ref, job_state.job.tasks, [self.context.number])
         stored = [key for key in rows if versions.pop(key, None) is not None]
-        # The transaction that ended the job has dropped up to this many rows.
+        # The transaction that ended the job has dropped up to `operations - FINAL_OPERATIONS` rows.
         if len(stored) > self.context.store.limits.operations - FINAL_OPERATIONS:
             self.context.spawn(self._sweep(ref, stored), f"sweep {ref}")
         self.context.wake.set()
 
     async def _sweep(self, ref: str, keys: list[str]) -> None:
-        """Drop rows of a job that has ended. The write fails if the job is open: in a listing that
-        was read page by page, rows of an open job may look orphaned."""
+        """Drop rows of a job that has ended, unless the holder of the clean-up duty does so.
+
+        The write fails if the job is open: a listing that was read page by page may contain rows of
+        an open job without the job's own row.
+        """
         if self.context.membership.duties_granted:
             return  # the holder of the clean-up duty does it
         preconditions = [*self.context.lease.preconditions(), Precondition(OPEN + ref, 0)]
