--- a/run.py
+++ b/run.py
@@ -20,7 +20,8 @@
     from importlib import import_module
 
     # The build environment may disable writing bytecode. Every start would then compile that part
-    # of the standard library again: 0.5 s with a controller's third of a core.
+    # of the standard library again, which takes 0.5 s with the third of a core that a controller
+    # has.
     sys.dont_write_bytecode = False
     done = True
     for folder in (ROOT / "basaltlead", ROOT / "target" / "deps"):
