--- a/basaltlead/scaling/autoscaler.py
+++ b/basaltlead/scaling/autoscaler.py
@@ -26,9 +26,9 @@
 from basaltlead.shard.arrivals import ArrivalHistory
 from basaltlead.shard.context import ShardContext
 
-# A pass may request this many machines, or 1/16 of a large fleet if that is more: a fleet of
-# thousands must grow as fast as the cloud rents machines out.
-MIN_RENTALS_PER_PASS = 12
+# The limit on machines requested per pass is at least this, or 1/16 of a large fleet if that is
+# more: a fleet of thousands must grow as fast as the cloud rents machines out.
+MIN_RENTAL_LIMIT = 12
 RENTALS_FLEET_DIVISOR = 16
 # Above that minimum, a pass requests at most as many machines as can be recorded while they boot
 # and within this time after they have booted. An unrecorded machine gets no tasks, and a longer
@@ -108,7 +108,8 @@
             duration_us = now_us() - now
 
     def _resize(self, now: int) -> None:
-        """Run one pass: request missing machines and mark surplus ones as terminating."""
+        """Run one pass: request missing machines, allocate the slots of arrays, and mark surplus
+        machines as terminating."""
         shard = self.context.shard
         expected_machines = self.expected_machines(now)
         needs = self.demand.of_open_jobs(now, expected_machines)
@@ -154,7 +155,7 @@
         unrecorded = sum(not machine.recorded for machine in machines.values())
         span_s = self.demand.shortest_boot_us() / US + RECORDING_WINDOW_S
         recordable = int(span_s * self.context.store.client.write_limiter.rate) - unrecorded
-        return max(MIN_RENTALS_PER_PASS, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
+        return max(MIN_RENTAL_LIMIT, min(len(machines) // RENTALS_FLEET_DIVISOR, recordable))
 
     def _update_silent_zones(self, now: int) -> None:
         for zone in self.silent_zones.update(self.reachability.heard_by_zone(now), now):
@@ -172,12 +173,14 @@
         for offer in requests.rejected_offers:
             offers.pop(offer, None)
         awaited_zones = {
-            m.zone for m in expected_machines if not m.last_heartbeat_at and _may_come_up(m, now)
+            m.zone
+            for m in expected_machines
+            if not m.last_heartbeat_at and _is_within_usual_boot_time(m, now)
         }
         return self.silent_zones.rentable_offers(offers, machine_types, awaited_zones, now)
 
 
-def _may_come_up(machine: Machine, now: int) -> bool:
-    """Whether the machine is still within the time in which most machines come up."""
+def _is_within_usual_boot_time(machine: Machine, now: int) -> bool:
+    """Whether the machine is no older than most machines are when they come up."""
     usual_us = machine.machine_type.boot_us * 3 // 2 + USUAL_BOOT_MARGIN_US
     return now - machine.created_at < usual_us
--- a/basaltlead/scaling/fleet_demand.py
+++ b/basaltlead/scaling/fleet_demand.py
@@ -2,7 +2,7 @@
 
 from basaltlead.core import demand
 from basaltlead.core.entities import Machine
-from basaltlead.core.fleet_sizing import Demand, WarmSpare
+from basaltlead.core.fleet_sizing import TaskDemand, WarmSpare
 from basaltlead.core.jobs import US, Job, Shape
 from basaltlead.core.market import Market
 from basaltlead.shard.arrivals import ArrivalHistory, ClassArrivals
@@ -20,8 +20,8 @@
         self.market = market
         self.arrivals = arrivals
 
-    def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[Demand]:
-        """The number of tasks of each open job that should be on machines now, highest rank first.
+    def of_open_jobs(self, now: int, expected_machines: list[Machine]) -> list[TaskDemand]:
+        """The demand of each open job that is not waiting for a retry, highest rank first.
 
         `expected_machines` are the machines that are up or should be up soon. Also sets `need` of
         each job state, which the placement of tasks reads.
@@ -32,21 +32,21 @@
             for state in shard.job_states.values()
             if not state.closed and not state.complete and now >= state.retry_at
         ]
-        loads = demand.remaining_cpu_us(job_states, now, shard.estimated_run_us)
+        remaining_cpu_us = demand.remaining_cpu_us(job_states, now, shard.estimated_run_us)
         counts = demand.wanted_tasks(
             job_states,
             now,
             self.market.objectives.due,
             shard.estimated_run_us,
             self.shortest_boot_us(),
-            loads,
+            remaining_cpu_us,
         )
         capacity = demand.RentedCapacity(expected_machines)
-        backlog = sum(loads.values())
+        backlog = sum(remaining_cpu_us.values())
         needs = []
         for state in sorted(job_states, key=lambda state: (-state.job.rank, state.submitted_at)):
             state.need = counts[state.job.ref]
-            need = Demand(state, state.need, run_us=shard.estimated_run_us(state))
+            need = TaskDemand(state, state.need, run_us=shard.estimated_run_us(state))
             if state.job.shape is Shape.ARRAY:
                 need.backlog_us = capacity.backlog_us(state.job, backlog)
             needs.append(need)
@@ -66,7 +66,7 @@
             arrivals = self.arrivals.of_class(job_class)
             if arrivals is None:
                 continue
-            boot_us = self._boot_too_slow_us(arrivals.last_job, within_us)
+            boot_us = self._boot_us_if_too_slow(arrivals.last_job, within_us)
             if boot_us is None:
                 continue
             spare = _warm_spare(arrivals, boot_us, now)
@@ -74,7 +74,7 @@
                 spares.append(spare)
         return spares
 
-    def _boot_too_slow_us(self, job: Job, within_us: int) -> int | None:
+    def _boot_us_if_too_slow(self, job: Job, within_us: int) -> int | None:
         """The shortest boot time for a job, if booting and fetching its image exceed `within_us`.
 
         None if they don't, or if a task of the job fits on no machine type.
--- a/basaltlead/shard/heartbeats.py
+++ b/basaltlead/shard/heartbeats.py
@@ -22,21 +22,21 @@
         self.dispatcher = dispatcher
         self._loaded = False
         # When machines were last answered before the shard was loaded, by machine name.
-        self.answered_at: dict[str, int] = {}
+        self.answered_while_loading: dict[str, int] = {}
 
     def finish_loading(self) -> None:
         """Process heartbeats from now on, since the shard is loaded."""
         self._loaded = True
 
     def handle(self, heartbeat: Heartbeat) -> Response | None:
-        """Answer a heartbeat. Returns None if another controller must answer it."""
+        """Answer a heartbeat. Returns None if this shard leader must not answer it."""
         if not self.lease.holds_valid_lease:
             return None
         now = now_us()
         if heartbeat.fencing_token > self.lease.fencing_token:
             return None
         if not self._loaded:
-            self.answered_at[heartbeat.machine] = now
+            self.answered_while_loading[heartbeat.machine] = now
             return self._renewal(self.shard.halts_for_closed_jobs(heartbeat))
         if heartbeat.machine in self.shard.machines:
             return self._apply(heartbeat, now)
@@ -47,8 +47,8 @@
 
         The machine belongs to a scale-out request that was executed late or, if the heartbeat is a
         delayed copy, was returned by an earlier shard leader. Tasks are started on recorded
-        machines only, so it has none that is still wanted. Only a heartbeat with our fencing token
-        proves that the machine still exists.
+        machines only, so no task on this machine is wanted any more. Only a heartbeat with our
+        fencing token proves that the machine still exists.
         """
         if heartbeat.machine in self.shard.deleted_machines:
             return None
--- a/basaltlead/shard/leader.py
+++ b/basaltlead/shard/leader.py
@@ -27,7 +27,9 @@
 
 MACHINE_TYPES_POLL_INTERVAL_S = 0.05  # between two checks for the machine types
 MIN_SILENCE_TIMEOUT_US = 3 * US
-FIRST_HEARTBEAT_TIMEOUT_US = 9 * US  # workers that lost their controller find us within this time
+# Workers whose controller has failed send us a heartbeat within this time plus a heartbeat interval
+# after the grant.
+FIRST_HEARTBEAT_TIMEOUT_US = 9 * US
 
 
 class ShardLeader:
@@ -49,10 +51,10 @@
         self.heartbeats = HeartbeatHandler(context, self.dispatcher)
         self.results = ResultWriter(context)
         self.rebalancer = Rebalancer(context, market.parameters.round_us)
-        self.open_jobs = self.open_jobs_watch_class(
+        self.open_jobs_watch = self.open_jobs_watch_class(
             context, market, self.results, self.rebalancer, is_cancelled
         )
-        self.loader = ShardLoader(context, self.open_jobs, self.rebalancer, market)
+        self.loader = ShardLoader(context, self.open_jobs_watch, self.rebalancer, market)
         self.loaded = False
         self.on_loaded: Callable[[], None] | None = None
 
@@ -75,14 +77,17 @@
     async def _run(self, on_loaded: Callable[[], None]) -> None:
         revision = await self._load()
         self.loaded = True
-        self.open_jobs.finish_loading()
+        self.open_jobs_watch.finish_loading()
         self.heartbeats.finish_loading()
         on_loaded()
         spawn = self.context.spawn
-        spawn(self.open_jobs.follow(revision), "loop watch")
+        spawn(self.open_jobs_watch.follow(revision), "loop watch")
         spawn(self.results.finish_jobs(), "loop finish")
         spawn(self.results.flush_progress(), "loop flush")
-        spawn(self.results.sweep_orphaned_rows(self.open_jobs.orphaned_rows), "sweep orphaned rows")
+        spawn(
+            self.results.sweep_orphaned_rows(self.open_jobs_watch.orphaned_rows),
+            "sweep orphaned rows",
+        )
         spawn(PlanningLoop(self.context, self.dispatcher).run(), "loop plan")
         spawn(MarketRounds(self.context, self.market).run(), "loop rounds")
         if self.context.sharded:
@@ -99,18 +104,18 @@
                 await asyncio.sleep(MACHINE_TYPES_POLL_INTERVAL_S)
                 continue
             try:
-                return await self.loader.load(self.heartbeats.answered_at)
+                return await self.loader.load(self.heartbeats.answered_while_loading)
             except ServiceError as error:
                 log.info("loading shard %d failed, retrying: %s", self.context.number, error)
                 await backoff.wait()
 
     def heartbeat(self, heartbeat: Heartbeat) -> Response | None:
-        """Answer a heartbeat. Returns None if another controller must answer it."""
+        """Answer a heartbeat. Returns None if this shard leader must not answer it."""
         return self.heartbeats.handle(heartbeat)
 
     def close_job(self, ref: str) -> None:
         """Close a job whose cancellation was confirmed to its user."""
-        self.open_jobs.close(ref)
+        self.open_jobs_watch.close(ref)
 
     def is_isolated(self) -> bool:
         """Whether no machine has been heard from for too long, while other controllers are alive.
@@ -122,12 +127,12 @@
         heartbeat_interval_us = self.shard.timing.heartbeat_interval_us
         silence_timeout = max(MIN_SILENCE_TIMEOUT_US, int(heartbeat_interval_us * 2.5))
         if self.dispatcher.last_token_shown_at:
-            known = sum(
+            active = sum(
                 1
                 for machine in self.shard.machines.values()
                 if machine.synced and not machine.lost and not machine.terminating
             )
-            return known > 1 and now - self.dispatcher.last_token_shown_at > silence_timeout
+            return active > 1 and now - self.dispatcher.last_token_shown_at > silence_timeout
         first_heartbeat_timeout = FIRST_HEARTBEAT_TIMEOUT_US + heartbeat_interval_us
         return (
             len(self.shard.unsynced) > 1 and now - self.shard.acquired_at > first_heartbeat_timeout
