--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -665,7 +665,7 @@
 @pytest.mark.parametrize(
     "case", ["no checkpoint", "other has objective", "same rank", "no objective", "no share"]
 )
-def test_job_with_objective_preempts_nothing_else(case: str) -> None:
+def test_job_preempts_no_task_if_one_condition_is_missing(case: str) -> None:
     harness = ShardHarness()
     checkpoint_fields = (
         {}
