--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -130,7 +130,7 @@
     assert before_grant.live
 
 
-def test_unacknowledged_start_holds_its_task_until_it_is_resolved() -> None:
+def test_unacknowledged_start_is_repeated_and_its_attempt_is_not_forgotten() -> None:
     harness = ShardHarness()
     job_state = harness.submit()
     machine = harness.shard.machines["m-0"]
