--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -170,7 +170,7 @@
         """Keep, resend or remove an attempt of ours that a heartbeat does not list."""
         if attempt.start_in_flight or attempt.start_unacknowledged or not attempt.may_be_on_machine:
             # A pushed start without an answer keeps its task bound to the machine
-            # (test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it).
+            # (test_attempt_of_a_closed_job_is_kept_until_its_unacknowledged_start_is_halted).
             return
         if attempt.sent_sequence and attempt.sent_sequence >= sequence:
             # The worker may not have had the start command yet when it sent this heartbeat.
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -150,7 +150,7 @@
     assert harness.heartbeat("m-0", task_status(attempt, "ended", "full")) == []
 
 
-def test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it() -> None:
+def test_attempt_of_a_closed_job_is_kept_until_its_unacknowledged_start_is_halted() -> None:
     harness = ShardHarness()
     job_state = harness.submit()
 
