--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -2,7 +2,7 @@
 
 The list of a machine's tasks is trusted only if the report carries our fencing token: the worker
 then rejects every command of an earlier shard leader, so only our own commands can still change the
-list (test_heartbeat_without_our_fencing_token_does_not_sync_the_machine). Its entries are applied
+list (test_heartbeat_with_an_earlier_fencing_token_does_not_sync_the_machine). Its entries are applied
 only if no newer list was applied before.
 """
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -98,7 +98,7 @@
     assert job_state.waiting == 1
 
 
-def test_heartbeat_without_our_fencing_token_does_not_sync_the_machine() -> None:
+def test_heartbeat_with_an_earlier_fencing_token_does_not_sync_the_machine() -> None:
     harness = ShardHarness(machines=0)
     harness.add("m-9", loaded=True)
     job_state = harness.submit(version=50)  # accepted before the grant
