--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -441,7 +441,7 @@
     assert machine.usable(harness.now)
 
 
-def test_unacknowledged_push_keeps_new_tasks_off_until_a_command_takes_effect() -> None:
+def test_machine_with_an_unacknowledged_push_is_unusable_until_a_command_takes_effect() -> None:
     harness = ShardHarness()
     job_state = harness.submit()
     machine = harness.shard.machines["m-0"]
