--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -641,7 +641,7 @@
     assert not harness.shard.is_settled(machine)
 
 
-def test_job_with_objective_reclaims_its_share_from_checkpointed_job_without_objective() -> None:
+def test_job_with_objective_preempts_checkpointed_job_without_objective_up_to_its_slots() -> None:
     harness = ShardHarness()
 
     harness.shard.machines["m-0"].images["img"] = 1.0
