--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -133,7 +133,7 @@
 
 
 @simulated
-async def test_no_task_runs_twice_when_machines_that_are_not_heard_begin_a_new_epoch(
+async def test_no_task_runs_twice_when_machines_that_reach_no_controller_begin_a_new_epoch(
     loop: Loop,
 ) -> None:
     # Given idle machines, half of which suddenly reach no controller
