--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -102,7 +102,7 @@
     assert harness.attempt(job_state).machine.name == "m-1"
 
 
-def test_machine_that_shows_itself_again_is_not_lost_again_at_once() -> None:
+def test_lost_machine_that_answers_a_probe_is_not_lost_again_at_once() -> None:
     # Given a machine that was lost
     harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
