--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -171,7 +171,7 @@
 # The log tells which shard leader started a task, and what it knew then
 
 
-def test_log_tells_since_what_the_lease_of_a_lost_machine_was_counted() -> None:
+def test_log_of_a_lost_machine_names_the_event_from_which_its_lease_was_counted() -> None:
     harness = ShardHarness(machines=0)
     machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
