--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -79,7 +79,9 @@
 
 
 @simulated
-async def test_confirmations_of_all_controllers_bridge_a_long_outage(loop: Loop) -> None:
+async def test_shard_leader_acts_throughout_a_long_outage_while_all_controllers_answer(
+    loop: Loop,
+) -> None:
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
     starts = deployment.rule_checker.starts
