--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -97,7 +97,7 @@
     deployment.assert_no_violation()
 
 
-def test_cancellations_are_confirmed_only_as_far_back_as_they_are_remembered() -> None:
+def test_list_of_cancellations_is_refused_for_times_before_it_is_complete() -> None:
     known = Cancellations(100, max_known=2)
 
     assert known.since(99) is None  # an earlier incarnation may have confirmed some
