--- a/basaltlead/cluster/failover_deferrals.py
+++ b/basaltlead/cluster/failover_deferrals.py
@@ -54,7 +54,7 @@
         That includes those that an earlier run of this process may have granted. They last a
         session lease at most, so a process waits that long after its start, plus a hundredth for
         clock drift. A holder that was replaced by its own next incarnation needs no deferral
-        (test_deferrals_are_kept_and_possibly_forgotten_ones_are_waited_out).
+        (test_no_holder_is_replaced_before_its_deferrals_have_ended).
         """
         member = self.watch.view.members.get(held.name)
         if held.name == self.session.name or (
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -133,7 +133,7 @@
 
 
 @simulated
-async def test_deferrals_are_kept_and_possibly_forgotten_ones_are_waited_out(loop: Loop) -> None:
+async def test_no_holder_is_replaced_before_its_deferrals_have_ended(loop: Loop) -> None:
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
