--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -179,7 +179,7 @@
 
 
 @simulated
-async def test_restarted_shard_leader_replaces_itself_at_once(loop: Loop) -> None:
+async def test_shard_is_granted_at_once_when_its_leader_has_restarted(loop: Loop) -> None:
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(4, 20.0)
 
