--- a/basaltlead/cluster/lease_extension.py
+++ b/basaltlead/cluster/lease_extension.py
@@ -91,7 +91,7 @@
                 state.note_confirmed(ConfirmedSpan(request.cancellations_as_of, request.sent_at))
                 self._merge_confirmations()
         # Deferrals extend a valid lease; after it has expired another controller may lead the shard
-        # (test_deferrals_do_not_revive_an_ended_session_lease).
+        # (test_deferrals_do_not_extend_an_expired_session_lease).
         if now_us() < self.session.valid_until and deferral.span_us > 0:
             state.note_deferral(request.sent_at, deferral)
             self._extend_lease()
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -193,7 +193,7 @@
 
 
 @simulated
-async def test_deferrals_do_not_revive_an_ended_session_lease(loop: Loop) -> None:
+async def test_deferrals_do_not_extend_an_expired_session_lease(loop: Loop) -> None:
     """A shard leader that alone lost the key-value store was replaced. Then the store was down for
     all, and the deferrals that the old one was granted made it act again beside its successor."""
     deployment = Deployment(loop)
