--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -213,7 +213,7 @@
 
 
 @simulated
-async def test_controller_that_alone_lost_the_store_is_unhealthy(loop: Loop) -> None:
+async def test_controller_is_unhealthy_if_only_it_has_lost_the_store(loop: Loop) -> None:
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
