--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -453,7 +453,9 @@
 
 @pytest.mark.parametrize("share", [0.15, 0.4])
 @simulated
-async def test_unanswered_transactions_are_applied_late(loop: Loop, share: float) -> None:
+async def test_rules_hold_when_the_store_applies_unanswered_transactions_late(
+    loop: Loop, share: float
+) -> None:
     deployment = Deployment(loop, seed=2)
     await deployment.start()
 
