--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -283,7 +283,9 @@
 
 
 @simulated
-async def test_team_at_its_limit_with_failover_silent_machine_and_cancellation(loop: Loop) -> None:
+async def test_jobs_of_a_team_at_its_quota_start_within_three_leases_after_a_cancellation(
+    loop: Loop,
+) -> None:
     deployment = Deployment(loop, team_cpus_max={"red": 8})
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=8, RunS=100.0))
