--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -563,7 +563,7 @@
 
 
 @simulated
-async def test_jobs_cancelled_through_a_new_leader_while_the_old_one_keeps_workers_and_users(
+async def test_jobs_cancelled_elsewhere_end_although_the_old_leader_still_reaches_workers_and_users(
     loop: Loop,
 ) -> None:
     deployment = Deployment(loop)
