--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -631,7 +631,7 @@
 
 
 @simulated
-async def test_impossible_and_malformed_jobs_are_refused_and_accepted_ones_never(
+async def test_invalid_jobs_are_refused_unless_they_may_have_been_accepted_before(
     loop: Loop,
 ) -> None:
     deployment = Deployment(loop)
