--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -124,7 +124,7 @@
 
 
 @simulated
-async def test_controllers_restart_in_the_middle_of_elections(loop: Loop) -> None:
+async def test_rules_hold_while_controllers_restart_during_elections(loop: Loop) -> None:
     deployment = Deployment(loop, seed=5)
     deployment.heartbeat_copy_rate = 0.3
     shard_leader = await deployment.start_with_running_job(6, 60.0)
