--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -145,7 +145,7 @@
 
 
 @simulated
-async def test_each_controller_knows_each_accepted_job_soon_after_the_last_fault(
+async def test_every_controller_answers_for_every_accepted_job_after_restarts_in_an_outage(
     loop: Loop,
 ) -> None:
     """All controllers restart during a store outage, while one of them is isolated; no accepted job
