--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -247,7 +247,7 @@
 
 
 @simulated
-async def test_nothing_is_rented_in_a_silent_zone(loop: Loop) -> None:
+async def test_nothing_is_rented_in_a_zone_that_has_just_become_silent(loop: Loop) -> None:
     deployment = Deployment(loop)
     deployment.cloud.capacity = 20
     await deployment.start()
