--- a/tests/test_silent_zones.py
+++ b/tests/test_silent_zones.py
@@ -22,7 +22,7 @@
 REPORTING_BY_ZONE = {"a": [True, False], "b": [False, False, False]}
 
 
-def test_silent_zone_gets_one_trial_machine_after_a_pause_until_it_is_heard() -> None:
+def test_silent_zone_gets_one_trial_machine_after_a_pause_until_a_machine_reports() -> None:
     zones = SilentZones()
 
     assert zones.rentable_offers(OFFERS, MACHINE_TYPES, [], 0) == OFFERS
