--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -71,7 +71,7 @@
     assert _state(harness) is MachineState.READY
 
 
-def test_unknown_exit_reason_or_stage_counts_against_nobody() -> None:
+def test_unknown_exit_reason_or_stage_counts_against_neither_job_nor_machine() -> None:
     harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
