--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -99,7 +99,7 @@
     assert _state(harness) is MachineState.READY
 
 
-def test_machine_with_a_preemption_notice_drains_until_it_is_withdrawn() -> None:
+def test_machine_drains_while_its_heartbeats_carry_a_preemption_notice() -> None:
     harness = ShardHarness()
     notice = harness.make_heartbeat("m-0")
 
