--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -93,7 +93,9 @@
     assert _plan_calls(monkeypatch, after) < 4 * MACHINES
 
 
-def test_wave_of_spot_losses_costs_only_the_lost_attempts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_loss_of_half_the_machines_costs_only_the_lost_attempts(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     harness = _full_fleet()
 
     harness.now += TIMING.lease_expiry_us // 2
