--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -218,7 +218,7 @@
     return deployment.controllers[name].shard_leaders[0]
 
 
-def test_fleet_grows_by_a_share_of_itself_and_remembers_returned_names() -> None:
+def test_rentals_of_a_pass_are_limited_and_names_of_deleted_machines_are_retained() -> None:
     harness = _full_fleet()
 
     job_states = list(harness.shard.job_states.values())
