--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -16,7 +16,7 @@
 from tests.simulation import HOST, Loop, simulated
 
 
-async def _busy_fleet(deployment: Deployment, gangs: int, arrays: int) -> list[str]:
+async def _start_busy_fleet(deployment: Deployment, gangs: int, arrays: int) -> list[str]:
     """Start a fleet that runs gangs of three tasks and arrays of eight. Returns the references of
     the jobs."""
     await deployment.start()
@@ -47,7 +47,7 @@
     twice."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 60
-    refs = await _busy_fleet(deployment, gangs=8, arrays=20)
+    refs = await _start_busy_fleet(deployment, gangs=8, arrays=20)
     machines = list(deployment.cloud.machines.values())
 
     hung, dead, healthy = machines[:12], machines[12:24], machines[24:]
@@ -76,7 +76,7 @@
 ) -> None:
     deployment = Deployment(loop)
     deployment.cloud.capacity = 80
-    refs = await _busy_fleet(deployment, gangs=8, arrays=30)
+    refs = await _start_busy_fleet(deployment, gangs=8, arrays=30)
 
     for _ in range(2):  # the second time before the first failover is complete
         for name in list(deployment.controller_tasks):
