--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -268,11 +268,11 @@
             deployment, "req-000002"
         )
         if workers:
-            victim = workers[round_ % len(workers)]
+            failing_worker = workers[round_ % len(workers)]
             if round_ == 1:
-                victim.hung = True
-            elif victim.name in deployment.cloud.machines:
-                deployment.cloud.machines.pop(victim.name).stop()
+                failing_worker.hung = True
+            elif failing_worker.name in deployment.cloud.machines:
+                deployment.cloud.machines.pop(failing_worker.name).stop()
         shard_leader = deployment.shard_leader()
         if shard_leader is not None:
             deployment.crash(shard_leader)
