--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -147,12 +147,12 @@
             harness.now += TIMING.lease_expiry_us
             harness.shard.advance(harness.now)
         planning.plan(harness.shard, harness.now)
-        for one in harness.shard.machines.values():
-            not_stopping = [a for a in one.attempts.values() if a.stop_grace_s is None]
-            assert one.free.cpus == pytest.approx(
+        for checked in harness.shard.machines.values():
+            not_stopping = [a for a in checked.attempts.values() if a.stop_grace_s is None]
+            assert checked.free.cpus == pytest.approx(
                 4.0 - sum(a.job_state.job.cpus for a in not_stopping)
             )
-            assert one.booked == pytest.approx(sum(a.bid for a in not_stopping))
+            assert checked.booked == pytest.approx(sum(a.bid for a in not_stopping))
         for job_state in harness.shard.job_states.values():
             waiting = job_state.remaining - sum(
                 not job_state.is_done(index) for index in job_state.live
