--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -195,14 +195,14 @@
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
 
-    for tens, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE_S), start=2):
+    for round_number, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE_S), start=2):
         frozen = deployment.shard_leader() or shard_leader
         for ones in range(4):
-            await deployment.submit(deployment.job(10 * tens + ones, Pieces=3, RunS=5.0))
+            await deployment.submit(deployment.job(10 * round_number + ones, Pieces=3, RunS=5.0))
         deployment.freeze(frozen)
         others = deployment.other_nodes(frozen)
         end = loop.time() + seconds
-        assert await deployment.cancel(f"req-{10 * tens:06d}", others[0]) == "withdrawn"
+        assert await deployment.cancel(f"req-{10 * round_number:06d}", others[0]) == "withdrawn"
         while loop.time() < end:
             deployment.shard_leader()  # fails if two act; a frozen one's lease ends by the clock
             await asyncio.sleep(0.25)
@@ -211,11 +211,11 @@
             deployment.shard_leader()
             deployment.rule_checker.check()
             await asyncio.sleep(0.05)
-        assert await deployment.poll(f"req-{10 * tens:06d}", frozen) in ("withdrawn", "503")
+        assert await deployment.poll(f"req-{10 * round_number:06d}", frozen) in ("withdrawn", "503")
 
     await deployment.wait_until_done("req-000001", seconds=200)
     await deployment.wait_until_done(
-        *[f"req-{10 * tens + ones:06d}" for tens in (2, 3, 4) for ones in (1, 2, 3)]
+        *[f"req-{10 * round_number + ones:06d}" for round_number in (2, 3, 4) for ones in (1, 2, 3)]
     )
     deployment.assert_no_violation()
 
