--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -197,8 +197,10 @@
 
     for round_number, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE_S), start=2):
         frozen = deployment.shard_leader() or shard_leader
-        for ones in range(4):
-            await deployment.submit(deployment.job(10 * round_number + ones, Pieces=3, RunS=5.0))
+        for job_index in range(4):
+            await deployment.submit(
+                deployment.job(10 * round_number + job_index, Pieces=3, RunS=5.0)
+            )
         deployment.freeze(frozen)
         others = deployment.other_nodes(frozen)
         end = loop.time() + seconds
@@ -215,7 +217,11 @@
 
     await deployment.wait_until_done("req-000001", seconds=200)
     await deployment.wait_until_done(
-        *[f"req-{10 * round_number + ones:06d}" for round_number in (2, 3, 4) for ones in (1, 2, 3)]
+        *[
+            f"req-{10 * round_number + job_index:06d}"
+            for round_number in (2, 3, 4)
+            for job_index in (1, 2, 3)
+        ]
     )
     deployment.assert_no_violation()
 
