--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -131,12 +131,12 @@
 
     for number in range(2, 6):
         await deployment.submit(deployment.job(number, Pieces=3, RunS=10.0))
-    for moment in range(12):
-        name = deployment.nodes[moment % 3] if moment % 2 else shard_leader
+    for restart_number in range(12):
+        name = deployment.nodes[restart_number % 3] if restart_number % 2 else shard_leader
         deployment.crash(name)
         await asyncio.sleep(0.15)
         deployment.start_controller(name)
-        await asyncio.sleep(0.4 + 0.3 * (moment % 4))
+        await asyncio.sleep(0.4 + 0.3 * (restart_number % 4))
         deployment.shard_leader()  # fails if two act
         deployment.rule_checker.check()
 
