--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -127,12 +127,12 @@
 async def test_rules_hold_while_controllers_restart_during_elections(loop: Loop) -> None:
     deployment = Deployment(loop, seed=5)
     deployment.heartbeat_copy_rate = 0.3
-    shard_leader = await deployment.start_with_running_job(6, 60.0)
+    first_leader = await deployment.start_with_running_job(6, 60.0)
 
     for number in range(2, 6):
         await deployment.submit(deployment.job(number, Pieces=3, RunS=10.0))
     for restart_number in range(12):
-        name = deployment.nodes[restart_number % 3] if restart_number % 2 else shard_leader
+        name = deployment.nodes[restart_number % 3] if restart_number % 2 else first_leader
         deployment.crash(name)
         await asyncio.sleep(0.15)
         deployment.start_controller(name)
