--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -2,8 +2,8 @@
 
 The list of a machine's tasks is trusted only if the report carries our fencing token: the worker
 then rejects every command of an earlier shard leader, so only our own commands can still change the
-list (test_heartbeat_with_an_earlier_fencing_token_does_not_sync_the_machine). Its entries are applied
-only if no newer list was applied before.
+list (test_heartbeat_with_an_earlier_fencing_token_does_not_sync_the_machine). Its entries are
+applied only if no newer list was applied before.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
--- a/basaltlead/shard/lease.py
+++ b/basaltlead/shard/lease.py
@@ -82,7 +82,8 @@
         """Record that every other controller listed what it confirmed between these two times.
 
         Together that is equivalent to a read at `until`, provided that the cancellations were known
-        up to `since` before (test_shard_leader_acts_throughout_a_long_outage_while_all_controllers_answer).
+        up to `since` before
+        (test_shard_leader_acts_throughout_a_long_outage_while_all_controllers_answer).
         """
         if self.cancellations_as_of is not None and since <= self.cancellations_as_of:
             self.cancellations_as_of = max(self.cancellations_as_of, until)
