--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -9,7 +9,8 @@
 from tests.fakes import Deployment, FakeWorker
 from tests.simulation import Loop, poll_until, simulated
 
-# With a session lease of 0.3 * LEASE_S these leave little slack.
+# With a session lease of 0.3 * LEASE_S there is little time between the latest permitted stop of a
+# task and CANCEL_S.
 LEASE_S, CANCEL_S = 10.0, 30.0
 
 
@@ -23,7 +24,8 @@
 
 
 # The key-value store refuses only the shard leader, another controller confirms cancellations, and
-# then the store is down for all
+# then the store is down for all. Each of the following functions lets the store refuse the shard
+# leader, and has the cancellation of job `ref` confirmed to its user.
 
 
 async def _confirmed_at_once(deployment: Deployment, shard_leader: str, ref: str) -> None:
@@ -32,8 +34,7 @@
 
 
 async def _confirmed_just_before(deployment: Deployment, shard_leader: str, ref: str) -> None:
-    """The shard leader's watch is open, and its answer is in flight when the refusal begins; it is
-    lost."""
+    """The answer to the shard leader's watch is in flight when the refusal begins, and is lost."""
     deployment.net.cut(deployment.host(shard_leader), deployment.store.HOST)
     assert await deployment.cancel(ref, deployment.other_node(shard_leader)) == "withdrawn"
     deployment.store.refused_hosts.add(deployment.host(shard_leader))
@@ -58,6 +59,7 @@
 async def _confirmed_by_one_that_restarts(
     deployment: Deployment, shard_leader: str, ref: str
 ) -> None:
+    """The controller that confirmed the cancellation restarts."""
     first = deployment.other_node(shard_leader)
     await _confirmed_at_once(deployment, shard_leader, ref)
     deployment.crash(first)
@@ -128,9 +130,10 @@
 async def test_shard_leader_that_could_not_load_its_shard_renews_no_worker_lease(
     loop: Loop,
 ) -> None:
-    """All controllers crash after a cancellation that the shard leader did not see. The next one is
-    granted the shard, and the key-value store goes down before it has listed the open jobs. Since
-    it can't tell which running tasks are cancelled, it must not renew any worker's lease."""
+    """All controllers crash after a cancellation that the shard leader did not see. The next shard
+    leader is granted the shard, and the key-value store goes down before the new leader has listed
+    the open jobs. Since the new leader can't tell which running tasks are cancelled, it must not
+    renew any worker's lease."""
     deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     shard_leader = await deployment.start_with_running_job(6, 500.0)
 
@@ -169,8 +172,9 @@
 
 @simulated
 async def test_refused_shard_leader_starts_no_task_of_a_cancelled_job(loop: Loop) -> None:
-    """Another controller notifies it of the cancellation. Its lease is still valid for some time,
-    and more tasks are waiting than there is room for."""
+    """The key-value store refuses only the shard leader, whose session lease is still valid for
+    some time. Another controller notifies the shard leader of the cancellation. More tasks are
+    waiting than there is room for."""
     deployment = Deployment(loop, lease=LEASE_S, cancel=CANCEL_S)
     deployment.cloud.capacity = 2
     await deployment.start()
@@ -236,6 +240,8 @@
 
 @simulated
 async def test_overload_with_two_ranks_over_slow_links(loop: Loop) -> None:
+    """Messages to the controllers are slow. Jobs of two ranks compete for three machines, and those
+    of one team want more than its quota. The rules must hold, and all jobs must end."""
     deployment = Deployment(loop, team_cpus_max={"red": 30})
     deployment.cloud.capacity = 3
     await deployment.start()
@@ -286,11 +292,13 @@
 async def test_jobs_of_a_team_at_its_quota_start_within_three_leases_after_a_cancellation(
     loop: Loop,
 ) -> None:
+    """The shard leader crashes, and one machine with tasks of the cancelled job is silent. The
+    quota must hold meanwhile."""
     deployment = Deployment(loop, team_cpus_max={"red": 8})
     await deployment.start()
     await deployment.submit(deployment.job(1, Pieces=8, RunS=100.0))
     await deployment.wait_until(lambda: len(deployment.running_tasks("req-000001")) == 8)
-    # They have to wait: the team is at its limit.
+    # These tasks have to wait: the team is at its quota.
     await deployment.submit(deployment.job(2, Pieces=8, RunS=5.0))
 
     await _run_checked(deployment, 2)
@@ -433,6 +441,8 @@
 
 @simulated
 async def test_tasks_of_one_job_end_far_apart_across_failovers(loop: Loop) -> None:
+    """One machine of each job hangs, so tasks of the job may end on both sides of a failover. All
+    jobs must end."""
     deployment = Deployment(loop)
     await deployment.start()
     refs = job_refs(1, 4)
@@ -489,7 +499,8 @@
     deployment = Deployment(loop)
     deployment.cloud.capacity = 1
     await deployment.start()
-    # On the small machine type fewer than 40 tasks would end while results are observed.
+    # More than 40 tasks must end in the 15 s in which results are observed below. On the small
+    # machine type it would be fewer.
     job = deployment.job(1, Pieces=400, Cores=1.0, RunS=2.0, Grades=["large"])
     await deployment.submit(job)
     await deployment.wait_until(lambda: len(deployment.rule_checker.results) >= 16)
@@ -566,6 +577,7 @@
 async def test_jobs_cancelled_elsewhere_end_although_the_old_leader_still_reaches_workers_and_users(
     loop: Loop,
 ) -> None:
+    """The old shard leader is cut off from the key-value store and from its peers."""
     deployment = Deployment(loop)
     first = await deployment.start_with_running_job(6, 200.0)
     await deployment.submit(deployment.job(2, Pieces=4, RunS=200.0))
@@ -660,7 +672,8 @@
     for field in ("Lane", "Pieces", "OneZone", "GuessS", "Mould"):
         job = {key: value for key, value in deployment.job(40).items() if key != field}
         assert (await deployment.request("node-1", "POST", "/api/jobs", job))[0] == 400, field
-    # It may have been accepted earlier, which only the store can tell: neither 422 nor 200.
+    # This job may have been accepted earlier, which only the store can tell. During the outage it
+    # is answered with neither 422 nor 200.
     job = deployment.job(50, Cores=17.0)
     assert (await deployment.request("node-1", "POST", "/api/jobs", job))[0] == 503
     deployment.store.end_outage()
@@ -692,7 +705,8 @@
 
 @simulated
 async def test_job_whose_cancellation_overtook_its_submission_is_not_started(loop: Loop) -> None:
-    """The shard leader's watch reports the job late, and its cancellation later still."""
+    """Another controller announces the cancellation to the shard leader before the leader's watch
+    reports the job. The watch reports the cancellation later still."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(2, 100.0)
     other = deployment.other_node(shard_leader)
