--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -125,6 +125,7 @@
 
 @simulated
 async def test_rules_hold_while_controllers_restart_during_elections(loop: Loop) -> None:
+    """The first shard leader and other controllers restart in turn, in quick succession."""
     deployment = Deployment(loop, seed=5)
     deployment.heartbeat_copy_rate = 0.3
     first_leader = await deployment.start_with_running_job(6, 60.0)
@@ -225,7 +226,8 @@
 
 @simulated
 async def test_machines_are_not_returned_while_no_heartbeats_arrive_at_all(loop: Loop) -> None:
-    """All machines fall silent at once, then some are heard again sooner than others."""
+    """No heartbeat reaches the controller for 2.5 leases. No machine may be returned then, nor when
+    heartbeats arrive again."""
     deployment = Deployment(loop, nodes=1)
     await deployment.start()
 
@@ -236,7 +238,7 @@
     assert len(rented) > 1
     deployment.isolate("node-0", store=False, cloud=False)
     await asyncio.sleep(2.5 * FakeWorker.LEASE_S)
-    # None is returned, and none is rented, since it could not be heard either.
+    # None is returned, and none is rented, since its heartbeats would not arrive either.
     assert set(deployment.cloud.machines) == rented
     deployment.rejoin("node-0")
     await asyncio.sleep(15)
