--- a/tests/test_fleet_sizing.py
+++ b/tests/test_fleet_sizing.py
@@ -15,8 +15,8 @@
 
 
 def _rented(backlog_us: float, offers: dict[Offer, int | None]) -> list[bool]:
-    """Whether each machine rented for a job of 40 tasks is a spot machine. `drain_us` is how long
-    the machines rented already need for the backlog."""
+    """Whether each machine rented for a job of 40 tasks is a spot machine. `backlog_us` is how long
+    the machines that are already rented need for the backlog."""
     harness = ShardHarness(machines=0)
     job_state = harness.shard.add_job(make_job(tasks=40), 200, harness.now)
     needs = [Demand(job_state, 40, backlog_us)]
