--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -143,7 +143,8 @@
 
 @simulated
 async def test_commands_do_not_wait_behind_probes_of_silent_machines(loop: Loop) -> None:
-    """A zone that is cut off has hundreds of them, and each probe takes its whole timeout."""
+    """A zone that is cut off has hundreds of silent machines, and each probe lasts until its
+    timeout."""
     deployment = Deployment(loop)
     name = await deployment.start_with_running_job(1, 60.0)
     shard_leader = deployment.controllers[name].shard_leaders[0]
@@ -191,7 +192,8 @@
 
 @simulated
 async def test_frozen_controller_checks_its_lease_after_it_resumes(loop: Loop) -> None:
-    """Its clocks run on during the freeze, and it checks its earlier state against them."""
+    """Its clocks run on during the freeze. After the freeze it must check by its clock whether its
+    session lease has ended."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
 
@@ -257,7 +259,7 @@
     assert abs(due_at / 1e6 - submitted_at - 100.0) <= 2 * skew_s + 1
     for machine in shard_leader.shard.machines.values():
         created_at = deployment.cloud.machines[machine.name].created_at
-        # Only used to judge the first boot
+        # `created_at` is only used to judge how long the first boot takes
         assert abs(machine.created_at / 1e6 - created_at) < 15.0
     await deployment.wait_until_done("req-000001")
     assert shard_leader.shard.class_ratios == {}  # this leader has seen no complete run
