--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -33,7 +33,7 @@
     for _ in range(int((lease_s + 5) * 10)):
         await asyncio.sleep(0.1)
         assert deployment.shard_leader() == shard_leader
-    for name in deployment.nodes:  # all have lost the store, so none is better than another
+    for name in deployment.nodes:  # healthy, since no controller reaches the store
         assert (await deployment.request(name, "GET", "/healthz"))[0] == 200
     deployment.store.end_outage()
 
@@ -47,9 +47,9 @@
 async def test_shard_leader_stops_when_cancellations_can_not_be_confirmed_any_more(
     loop: Loop, fault: str
 ) -> None:
-    """During a store outage a shard leader may act only while every other controller lists the
-    cancellations that it has confirmed. One of them can't: it was restarted, is frozen, is cut off
-    from the shard leader, or answers too late."""
+    """During a store outage a shard leader may act only while each other controller lists the
+    cancellations that this controller has confirmed. Here one controller can't: it was restarted,
+    is frozen, is cut off from the shard leader, or answers too late."""
     # With the default session lease of 1.8 s, deferrals would end before they arrive over the slow
     # link.
     deployment = Deployment(loop, operator={"right_s": 6.0} if fault == "slow" else None)
@@ -134,13 +134,15 @@
 
 @simulated
 async def test_no_holder_is_replaced_before_its_deferrals_have_ended(loop: Loop) -> None:
+    """Those include deferrals that the controller may have granted in an earlier run, which it does
+    not know."""
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
     member = deployment.controllers["node-0"].membership
 
     grant = Grant("node-x", "incarnation", 1)
-    # It has just started, and may have granted a deferral in an earlier run.
+    # node-0 has just started, and may have granted a deferral in an earlier run.
     assert not member.deferrals.may_replace(grant)
     await asyncio.sleep(member.ttl_us * 1.02 / 1e6)
     assert member.deferrals.may_replace(grant)
@@ -166,7 +168,7 @@
     shard_leader = deployment.acting_shard_leader()
     other = deployment.other_node(shard_leader)
     member = deployment.controllers[other].membership
-    # Its view is wrong: the shard leader's member key is gone, and it is the leader itself.
+    # `other` acts on a wrong view: it is the leader, and the shard leader's member key is gone.
     leader = deployment.store.keys["c/leader"]
     deployment.store.keys["c/leader"] = (leader[0], leader[1], None)
     del member.cluster.members[shard_leader]
@@ -194,8 +196,8 @@
 
 @simulated
 async def test_deferrals_do_not_extend_an_expired_session_lease(loop: Loop) -> None:
-    """A shard leader that alone lost the key-value store was replaced. Then the store was down for
-    all, and the deferrals that the old one was granted made it act again beside its successor."""
+    """Only the shard leader loses the key-value store, and it is replaced. Then the store is down
+    for all. Deferrals granted to the old shard leader must not let it act beside its successor."""
     deployment = Deployment(loop)
     first = await deployment.start_with_running_job(4, 60.0)
 
