--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -48,7 +48,7 @@
 
 
 def test_late_job_does_not_outbid_jobs_that_can_be_on_time() -> None:
-    """When late jobs bid their team's whole budget, they made the other jobs late too."""
+    """Late jobs must not bid their team's whole budget: that would make the other jobs late too."""
     market = Market(PARAMETERS, ["red"], _objectives())
     shard = Shard(1, 1, 0, Timing(10 * US, US), {"red": TeamQuota()})
     late = shard.add_job(make_job(1, tasks=50, due_us=30 * US), 1, 0)
