--- a/tests/test_scale_hundreds.py
+++ b/tests/test_scale_hundreds.py
@@ -93,8 +93,8 @@
 def test_jobs_waiting_for_a_full_fleet_cost_a_plan_almost_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """When each of them cost a pass over all machines, the shard leader of 600 machines spent a
-    fifth of a core on it."""
+    """Otherwise each waiting job costs a pass over all machines, which took the shard leader of 600
+    machines a fifth of a core."""
     harness = _full_fleet()
 
     count = CallCounter(
