--- a/tests/test_scale_thousands.py
+++ b/tests/test_scale_thousands.py
@@ -96,6 +96,7 @@
 def test_loss_of_half_the_machines_costs_only_the_lost_attempts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Every second machine stops sending heartbeats; each of its attempts is removed once."""
     harness = _full_fleet()
 
     harness.now += TIMING.lease_expiry_us // 2
@@ -157,8 +158,8 @@
 
 @simulated
 async def test_market_rounds_do_not_wait_for_machine_records(loop: Loop) -> None:
-    """Rounds were 72 s apart when they waited for the records of 2,700 machines that came up in a
-    minute."""
+    """Otherwise rounds are delayed when many machines come up: with 2,700 machines in a minute they
+    were 72 s apart."""
     deployment = Deployment(loop, announced_limits={"write_rps": 8.0})
     deployment.cloud.capacity = 400
     await deployment.start()
