--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -138,7 +138,7 @@
     commands, pushed_starts = harness.shard.take_push_commands(machine)
     assert [w.verb for w in commands] == ["run"]
     assert harness.heartbeat("m-0") == []  # in flight: not sent twice
-    assert job_state.live, "a heartbeat that does not list it proves nothing"
+    assert job_state.live, "the heartbeat may have been sent before the start arrived"
     harness.shard.acknowledge_starts(pushed_starts, None)
     assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
     assert harness.heartbeat("m-0") == [("run", "req-000001/0")]
@@ -167,7 +167,7 @@
 
 
 def test_refused_start_that_may_arrive_again_does_not_delay_the_task() -> None:
-    """Such a task waited forever if the fleet had a single machine."""
+    """Otherwise the task would wait forever if the fleet has a single machine."""
     harness = ShardHarness()
     job_state = harness.submit()
 
@@ -244,6 +244,8 @@
 
 
 def test_limited_team_waits_while_tasks_of_unknown_size_may_run() -> None:
+    """A team with a quota starts nothing while a machine is unsynced or has a task of a closed job.
+    The usage of the team does not include such tasks, so it could exceed its quota."""
     harness = ShardHarness(quotas={"red": TeamQuota(cpus_max=2.0)})
     harness.add("m-9", loaded=True)
     job_state = harness.submit(tasks=3)
@@ -274,8 +276,8 @@
 
 
 def test_unsynced_machine_gets_halts_for_closed_jobs_in_the_first_answer() -> None:
-    """That answer renews the worker's lease and may be the last to arrive: a task without a halt in
-    it would run on for a whole lease."""
+    """That answer renews the worker's lease and may be the last to arrive: a task that it does not
+    halt would run on for a whole lease."""
     harness = ShardHarness()
     harness.add("m-9", loaded=True)
     harness.submit(number=2, version=50)
@@ -458,8 +460,9 @@
 
 
 def test_machine_that_never_shows_the_fencing_token_does_not_block_older_jobs_for_ever() -> None:
-    """After a failover, heartbeats of a machine that our answers don't reach, or late copies of
-    heartbeats, may keep arriving."""
+    """After a failover, heartbeats with an earlier fencing token may keep arriving: from a machine
+    that the shard leader's answers don't reach, or as late copies. They must not prolong the wait
+    for that machine."""
     harness = ShardHarness()
     harness.add("m-9", loaded=True)
     job_state = harness.submit(version=50)
@@ -503,13 +506,15 @@
     assert not machine.up
     assert not machine.attempts
     assert not machine.last_heartbeat_at
-    harness.heartbeat("m-9", epoch=4, sequence=1)  # our token proves that it is alive
+    harness.heartbeat("m-9", epoch=4, sequence=1)  # the current token proves that it is alive
 
     assert not machine.lost
     assert machine.synced
 
 
 def test_stragglers_move_off_a_slow_machine_but_a_job_slow_everywhere_stays() -> None:
+    """Tasks that run far longer than others of their job are stopped, and started on another
+    machine. A job that is slow on every machine is left alone after four stops."""
     harness = ShardHarness(machines=3)
     job_state = harness.submit(tasks=9)
 
@@ -545,6 +550,7 @@
     plan(harness.shard, harness.now)
     assert job_state.live
     assert all(a.machine is not slow for a in job_state.live.values())
+    # Another job is slow on each machine on which it is tried
     slow_job = harness.submit(2, tasks=1)
     for _ in range(10):
         attempt = slow_job.live[0]
@@ -591,7 +597,7 @@
 
     running = [harness.submit(number, cpus=2.0, shape=Shape.GANG) for number in range(1, 5)]
     large = harness.submit(9, tasks=2, cpus=4.0, shape=Shape.GANG, one_zone=True)
-    for number in range(10, 40):  # each time one ends and another is submitted
+    for number in range(10, 40):  # in each round a small gang ends, another is submitted
         harness.now += 10 * US
         for name in ("m-0", "m-1"):
             harness.heartbeat(
@@ -614,7 +620,8 @@
 
 def test_machine_is_settled_although_an_orphaned_attempt_stays_listed() -> None:
     """A pushed start without an answer may still arrive, so the worker must not forget the attempt.
-    The machine can be returned all the same once the result is stored."""
+    The machine is settled all the same once the result is stored: it can be returned without losing
+    work or results."""
     harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
     job_state = harness.submit()
@@ -642,6 +649,7 @@
 
 
 def test_job_with_objective_preempts_checkpointed_job_without_objective_up_to_its_slots() -> None:
+    """It has a higher rank, and fewer tasks on machines than slots from the auction."""
     harness = ShardHarness()
 
     harness.shard.machines["m-0"].images["img"] = 1.0
@@ -658,7 +666,7 @@
     job_state.slots, low.slots = 2, 2
     plan(harness.shard, harness.now)
 
-    assert len(job_state.live) == 2  # its share, and no more
+    assert len(job_state.live) == 2  # as many as its slots, and no more
     assert sorted(a.stop_grace_s for a in attempts if a.stop_grace_s is not None) == [2.0, 2.0]
 
 
@@ -666,6 +674,7 @@
     "case", ["no checkpoint", "other has objective", "same rank", "no objective", "no share"]
 )
 def test_job_preempts_no_task_if_one_condition_is_missing(case: str) -> None:
+    """The conditions are those of the test above; a job without slots has "no share"."""
     harness = ShardHarness()
     checkpoint_fields = (
         {}
