--- a/tests/test_unknown_machines.py
+++ b/tests/test_unknown_machines.py
@@ -42,7 +42,8 @@
 
 @simulated
 async def test_two_jobs_that_fail_everywhere_drain_no_machine_of_a_small_fleet(loop: Loop) -> None:
-    """There is no third machine on which they could be tried."""
+    """There is no third machine on which the jobs could be tried. Their failures on both machines
+    must not mark these as faulty."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 2
     await deployment.start()
@@ -178,7 +179,7 @@
 def test_corrupt_replies_count_as_unanswered(
     corruption: str, service_name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The request may have been executed all the same. No controller stops over such a reply."""
+    """The request may have been executed all the same. No controller may stop on such a reply."""
 
     async def scenario(loop: Loop) -> None:
         deployment = Deployment(loop)
