--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -242,7 +242,7 @@
 
 
 def test_lease_expires_no_earlier_than_on_the_slowest_clock() -> None:
-    """The worker's clock may be slow and ours fast, by 0.05% each."""
+    """The worker's clock may be slow and the shard leader's fast, by 0.05% each."""
     slowest_us = TIMING.lease_us * 1.0005 / 0.9995
     assert TIMING.lease_expiry_us > slowest_us
 
@@ -265,9 +265,15 @@
 
 @simulated
 async def test_push_decided_in_one_epoch_is_not_executed_in_the_next(loop: Loop) -> None:
-    """Otherwise a task runs twice: its start is to be pushed, a heartbeat shows that the machine
-    has begun another epoch, so the attempt is removed and the task started elsewhere, and only then
-    is the push sent. It must name the epoch for which it was decided, not the one known by then."""
+    """Otherwise a task runs twice:
+
+    - The shard leader decides to push a start to a machine.
+    - A heartbeat shows that the machine has begun another epoch. The attempt is removed, and the
+      task is started elsewhere.
+    - The push is sent, and the first machine executes it.
+
+    The push must name the epoch for which it was decided, not the one known when it is sent.
+    """
     # Given idle machines
     deployment = Deployment(loop)
     await deployment.start()
