--- a/basaltlead/core/reconciliation.py
+++ b/basaltlead/core/reconciliation.py
@@ -2,8 +2,8 @@
 
 The list of a machine's tasks is trusted only if the report carries our fencing token: the worker
 then rejects every command of an earlier shard leader, so only our own commands can still change the
-list (test_heartbeat_without_our_fencing_token_does_not_sync_the_machine). Its entries are applied
-only if no newer list was applied before.
+list (test_heartbeat_with_an_earlier_fencing_token_does_not_sync_the_machine). Its entries are
+applied only if no newer list was applied before.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -170,7 +170,7 @@
         """Keep, resend or remove an attempt of ours that a heartbeat does not list."""
         if attempt.start_in_flight or attempt.start_unacknowledged or not attempt.may_be_on_machine:
             # A pushed start without an answer keeps its task bound to the machine
-            # (test_unacknowledged_start_is_kept_although_a_heartbeat_does_not_list_it).
+            # (test_attempt_of_a_closed_job_is_kept_until_its_unacknowledged_start_is_halted).
             return
         if attempt.sent_sequence and attempt.sent_sequence >= sequence:
             # The worker may not have had the start command yet when it sent this heartbeat.
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -124,19 +124,20 @@
 
 
 @simulated
-async def test_controllers_restart_in_the_middle_of_elections(loop: Loop) -> None:
+async def test_rules_hold_while_controllers_restart_during_elections(loop: Loop) -> None:
+    """The first shard leader and other controllers restart in turn, in quick succession."""
     deployment = Deployment(loop, seed=5)
     deployment.heartbeat_copy_rate = 0.3
-    shard_leader = await deployment.start_with_running_job(6, 60.0)
+    first_leader = await deployment.start_with_running_job(6, 60.0)
 
     for number in range(2, 6):
         await deployment.submit(deployment.job(number, Pieces=3, RunS=10.0))
-    for moment in range(12):
-        name = deployment.nodes[moment % 3] if moment % 2 else shard_leader
+    for restart_number in range(12):
+        name = deployment.nodes[restart_number % 3] if restart_number % 2 else first_leader
         deployment.crash(name)
         await asyncio.sleep(0.15)
         deployment.start_controller(name)
-        await asyncio.sleep(0.4 + 0.3 * (moment % 4))
+        await asyncio.sleep(0.4 + 0.3 * (restart_number % 4))
         deployment.shard_leader()  # fails if two act
         deployment.rule_checker.check()
 
@@ -145,7 +146,7 @@
 
 
 @simulated
-async def test_each_controller_knows_each_accepted_job_soon_after_the_last_fault(
+async def test_every_controller_answers_for_every_accepted_job_after_restarts_in_an_outage(
     loop: Loop,
 ) -> None:
     """All controllers restart during a store outage, while one of them is isolated; no accepted job
@@ -225,7 +226,8 @@
 
 @simulated
 async def test_machines_are_not_returned_while_no_heartbeats_arrive_at_all(loop: Loop) -> None:
-    """All machines fall silent at once, then some are heard again sooner than others."""
+    """No heartbeat reaches the controller for 2.5 leases. No machine may be returned then, nor when
+    heartbeats arrive again."""
     deployment = Deployment(loop, nodes=1)
     await deployment.start()
 
@@ -236,7 +238,7 @@
     assert len(rented) > 1
     deployment.isolate("node-0", store=False, cloud=False)
     await asyncio.sleep(2.5 * FakeWorker.LEASE_S)
-    # None is returned, and none is rented, since it could not be heard either.
+    # None is returned, and none is rented, since its heartbeats would not arrive either.
     assert set(deployment.cloud.machines) == rented
     deployment.rejoin("node-0")
     await asyncio.sleep(15)
@@ -247,7 +249,7 @@
 
 
 @simulated
-async def test_nothing_is_rented_in_a_silent_zone(loop: Loop) -> None:
+async def test_nothing_is_rented_in_a_zone_that_has_just_become_silent(loop: Loop) -> None:
     deployment = Deployment(loop)
     deployment.cloud.capacity = 20
     await deployment.start()
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -16,7 +16,7 @@
 from tests.simulation import HOST, Loop, simulated
 
 
-async def _busy_fleet(deployment: Deployment, gangs: int, arrays: int) -> list[str]:
+async def _start_busy_fleet(deployment: Deployment, gangs: int, arrays: int) -> list[str]:
     """Start a fleet that runs gangs of three tasks and arrays of eight. Returns the references of
     the jobs."""
     await deployment.start()
@@ -47,7 +47,7 @@
     twice."""
     deployment = Deployment(loop)
     deployment.cloud.capacity = 60
-    refs = await _busy_fleet(deployment, gangs=8, arrays=20)
+    refs = await _start_busy_fleet(deployment, gangs=8, arrays=20)
     machines = list(deployment.cloud.machines.values())
 
     hung, dead, healthy = machines[:12], machines[12:24], machines[24:]
@@ -76,7 +76,7 @@
 ) -> None:
     deployment = Deployment(loop)
     deployment.cloud.capacity = 80
-    refs = await _busy_fleet(deployment, gangs=8, arrays=30)
+    refs = await _start_busy_fleet(deployment, gangs=8, arrays=30)
 
     for _ in range(2):  # the second time before the first failover is complete
         for name in list(deployment.controller_tasks):
@@ -143,7 +143,8 @@
 
 @simulated
 async def test_commands_do_not_wait_behind_probes_of_silent_machines(loop: Loop) -> None:
-    """A zone that is cut off has hundreds of them, and each probe takes its whole timeout."""
+    """A zone that is cut off has hundreds of silent machines, and each probe lasts until its
+    timeout."""
     deployment = Deployment(loop)
     name = await deployment.start_with_running_job(1, 60.0)
     shard_leader = deployment.controllers[name].shard_leaders[0]
@@ -191,18 +192,21 @@
 
 @simulated
 async def test_frozen_controller_checks_its_lease_after_it_resumes(loop: Loop) -> None:
-    """Its clocks run on during the freeze, and it checks its earlier state against them."""
+    """Its clocks run on during the freeze. After the freeze it must check by its clock whether its
+    session lease has ended."""
     deployment = Deployment(loop)
     shard_leader = await deployment.start_with_running_job(6, 60.0)
 
-    for tens, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE_S), start=2):
+    for round_number, seconds in enumerate((1.0, 3.0, 1.5 * FakeWorker.LEASE_S), start=2):
         frozen = deployment.shard_leader() or shard_leader
-        for ones in range(4):
-            await deployment.submit(deployment.job(10 * tens + ones, Pieces=3, RunS=5.0))
+        for job_index in range(4):
+            await deployment.submit(
+                deployment.job(10 * round_number + job_index, Pieces=3, RunS=5.0)
+            )
         deployment.freeze(frozen)
         others = deployment.other_nodes(frozen)
         end = loop.time() + seconds
-        assert await deployment.cancel(f"req-{10 * tens:06d}", others[0]) == "withdrawn"
+        assert await deployment.cancel(f"req-{10 * round_number:06d}", others[0]) == "withdrawn"
         while loop.time() < end:
             deployment.shard_leader()  # fails if two act; a frozen one's lease ends by the clock
             await asyncio.sleep(0.25)
@@ -211,11 +215,15 @@
             deployment.shard_leader()
             deployment.rule_checker.check()
             await asyncio.sleep(0.05)
-        assert await deployment.poll(f"req-{10 * tens:06d}", frozen) in ("withdrawn", "503")
+        assert await deployment.poll(f"req-{10 * round_number:06d}", frozen) in ("withdrawn", "503")
 
     await deployment.wait_until_done("req-000001", seconds=200)
     await deployment.wait_until_done(
-        *[f"req-{10 * tens + ones:06d}" for tens in (2, 3, 4) for ones in (1, 2, 3)]
+        *[
+            f"req-{10 * round_number + job_index:06d}"
+            for round_number in (2, 3, 4)
+            for job_index in (1, 2, 3)
+        ]
     )
     deployment.assert_no_violation()
 
@@ -251,7 +259,7 @@
     assert abs(due_at / 1e6 - submitted_at - 100.0) <= 2 * skew_s + 1
     for machine in shard_leader.shard.machines.values():
         created_at = deployment.cloud.machines[machine.name].created_at
-        # Only used to judge the first boot
+        # `created_at` is only used to judge how long the first boot takes
         assert abs(machine.created_at / 1e6 - created_at) < 15.0
     await deployment.wait_until_done("req-000001")
     assert shard_leader.shard.class_ratios == {}  # this leader has seen no complete run
--- a/tests/test_machine_state.py
+++ b/tests/test_machine_state.py
@@ -71,7 +71,7 @@
     assert _state(harness) is MachineState.READY
 
 
-def test_unknown_exit_reason_or_stage_counts_against_nobody() -> None:
+def test_unknown_exit_reason_or_stage_counts_against_neither_job_nor_machine() -> None:
     harness = ShardHarness()
     job_state = harness.submit()
     attempt = harness.attempt(job_state)
@@ -99,7 +99,7 @@
     assert _state(harness) is MachineState.READY
 
 
-def test_machine_with_a_preemption_notice_drains_until_it_is_withdrawn() -> None:
+def test_machine_drains_while_its_heartbeats_carry_a_preemption_notice() -> None:
     harness = ShardHarness()
     notice = harness.make_heartbeat("m-0")
 
--- a/tests/test_worker_lease.py
+++ b/tests/test_worker_lease.py
@@ -102,7 +102,7 @@
     assert harness.attempt(job_state).machine.name == "m-1"
 
 
-def test_machine_that_shows_itself_again_is_not_lost_again_at_once() -> None:
+def test_lost_machine_that_answers_a_probe_is_not_lost_again_at_once() -> None:
     # Given a machine that was lost
     harness = ShardHarness()
     machine = harness.shard.machines["m-0"]
@@ -133,7 +133,7 @@
 
 
 @simulated
-async def test_no_task_runs_twice_when_machines_that_are_not_heard_begin_a_new_epoch(
+async def test_no_task_runs_twice_when_machines_that_reach_no_controller_begin_a_new_epoch(
     loop: Loop,
 ) -> None:
     # Given idle machines, half of which suddenly reach no controller
@@ -171,7 +171,7 @@
 # The log tells which shard leader started a task, and what it knew then
 
 
-def test_log_tells_since_what_the_lease_of_a_lost_machine_was_counted() -> None:
+def test_log_of_a_lost_machine_names_the_event_from_which_its_lease_was_counted() -> None:
     harness = ShardHarness(machines=0)
     machine = harness.add("m-0", loaded=True)
     machine.address = "10.1.0.1:9"
@@ -242,7 +242,7 @@
 
 
 def test_lease_expires_no_earlier_than_on_the_slowest_clock() -> None:
-    """The worker's clock may be slow and ours fast, by 0.05% each."""
+    """The worker's clock may be slow and the shard leader's fast, by 0.05% each."""
     slowest_us = TIMING.lease_us * 1.0005 / 0.9995
     assert TIMING.lease_expiry_us > slowest_us
 
@@ -265,9 +265,15 @@
 
 @simulated
 async def test_push_decided_in_one_epoch_is_not_executed_in_the_next(loop: Loop) -> None:
-    """Otherwise a task runs twice: its start is to be pushed, a heartbeat shows that the machine
-    has begun another epoch, so the attempt is removed and the task started elsewhere, and only then
-    is the push sent. It must name the epoch for which it was decided, not the one known by then."""
+    """Otherwise a task runs twice:
+
+    - The shard leader decides to push a start to a machine.
+    - A heartbeat shows that the machine has begun another epoch. The attempt is removed, and the
+      task is started elsewhere.
+    - The push is sent, and the first machine executes it.
+
+    The push must name the epoch for which it was decided, not the one known when it is sent.
+    """
     # Given idle machines
     deployment = Deployment(loop)
     await deployment.start()
