--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -181,7 +181,7 @@
         self.net.refusing_addresses.clear()
         if self.store.down:
             self.store.end_outage()
-        self.rule_checker.all_faults_over()
+        self.rule_checker.start_time_limit_checks()
 
     def isolate(self, name: str, store: bool = True, cloud: bool = True) -> None:
         """Cut a controller off from all hosts, with or without the store and the cloud."""
--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -121,7 +121,7 @@
             self.checked_at = now
             self._check_waiting_jobs(now)
 
-    def all_faults_over(self) -> None:
+    def start_time_limit_checks(self) -> None:
         """Start to check the time limits, since all faults have ended."""
         self.faults_over_at = self.deployment.loop.time()
         self.waiting_since.clear()
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -89,7 +89,7 @@
 def _never_answered(deployment: Deployment) -> None:
     _add_job(deployment)
     _answer_user(deployment, "pending", "submit", 201)
-    deployment.rule_checker.all_faults_over()
+    deployment.rule_checker.start_time_limit_checks()
     deployment.loop._selector.now += 76
     _answer_user(deployment, "", status=503)
 
@@ -130,7 +130,7 @@
     _add_job(deployment)
     _add_worker(deployment, 1)
     _answer_user(deployment, "pending", "submit", 201)
-    deployment.rule_checker.all_faults_over()
+    deployment.rule_checker.start_time_limit_checks()
     for _ in range(95):
         deployment.loop._selector.now += 1.0
         deployment.rule_checker.check()
