--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -49,7 +49,7 @@
         self.last_stage: dict[str, str] = {}  # the last stage that users were told, by job
         self.cancelled_at: dict[str, float] = {}  # when users were told that a job is cancelled
         self.starts = 0
-        self.started: list[str] = []
+        self.started_tasks: list[str] = []
         self.violations: list[str] = []
 
     def add_violation(self, text: str) -> None:
@@ -59,7 +59,7 @@
     def task_started(self, task: str, worker: FakeWorker, attempt_number: int) -> None:
         """Check the start of a task on a worker."""
         self.starts += 1
-        self.started.append(task)
+        self.started_tasks.append(task)
         ref = task.partition("/")[0]
         job = self.deployment.jobs[ref]
         if task in self.running_on:
@@ -105,7 +105,7 @@
 
     def starts_of(self, ref: str) -> int:
         """Return how often tasks of a job were started."""
-        return sum(task.partition("/")[0] == ref for task in self.started)
+        return sum(task.partition("/")[0] == ref for task in self.started_tasks)
 
     def task_completed(self, task: str) -> None:
         """Record that a task has ended with a result."""
