--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -185,12 +185,12 @@
 
     def isolate(self, name: str, store: bool = True, cloud: bool = True) -> None:
         """Cut a controller off from all hosts, with or without the store and the cloud."""
-        for host in self._all_hosts_but(name, store, cloud):
+        for host in self._other_hosts(name, store, cloud):
             self.net.cut(self.host(name), host)
 
     def rejoin(self, name: str, deliver: bool = True) -> None:
         """End `isolate`; what was sent in the meantime is delivered late or lost."""
-        for host in self._all_hosts_but(name, True, True):
+        for host in self._other_hosts(name, True, True):
             self.net.heal(self.host(name), host, deliver)
 
     def cut_from_store_and_peers(self, name: str) -> None:
@@ -207,7 +207,7 @@
     def _store_and_peers(self, name: str) -> list[str]:
         return [self.host(n) for n in self.nodes if n != name] + [FakeKeyValueStore.HOST]
 
-    def _all_hosts_but(self, name: str, store: bool, cloud: bool) -> list[str]:
+    def _other_hosts(self, name: str, store: bool, cloud: bool) -> list[str]:
         hosts = [self.host(n) for n in self.nodes if n != name]
         hosts += [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
         hosts += ["10.9.9.9"]
