--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -131,7 +131,7 @@
     ids=["wall forward", "wall back", "steady forward"],
 )
 @simulated
-async def test_clock_jumps_on_one_host_make_no_stale_holder(
+async def test_no_stale_holder_acts_after_clock_jumps_on_its_host(
     loop: Loop, wall: float, steady: float
 ) -> None:
     deployment = await start_with_duties(loop)
