--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("duty", list(Duty))
 @simulated
-async def test_duty_moves_on_when_leader_and_holder_are_lost_together(
+async def test_duty_gets_another_holder_when_leader_and_holder_are_lost_together(
     loop: Loop, duty: Duty
 ) -> None:
     deployment = await start_with_duties(loop)
