--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 @simulated
-async def test_holder_cut_off_from_the_key_value_store_alone_is_replaced(
+async def test_holder_cut_off_only_from_the_key_value_store_is_replaced(
     loop: Loop, duty: Duty
 ) -> None:
     deployment = await start_with_duties(loop)
