--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -234,7 +234,7 @@
 
 
 @simulated
-async def test_holder_cut_off_from_the_cloud_alone_releases_its_duty(loop: Loop) -> None:
+async def test_holder_cut_off_only_from_the_cloud_releases_its_duty(loop: Loop) -> None:
     deployment = await start_with_duties(loop)
     holder = deployment.acting_holder(Duty.RENT)
 
