--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -253,7 +253,7 @@
 
 
 @simulated
-async def test_older_version_takes_over_open_intents_and_newer_version_takes_them_back(
+async def test_jobs_and_open_intents_are_completed_across_a_downgrade_and_an_upgrade(
     loop: Loop,
 ) -> None:
     deployment = await start_with_duties(loop)
