--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -41,7 +41,9 @@
 
 
 @simulated
-async def test_all_controllers_answer_alike_or_report_that_they_do_not_know(loop: Loop) -> None:
+async def test_controllers_give_equal_answers_and_report_unknown_during_a_store_outage(
+    loop: Loop,
+) -> None:
     deployment = await start_with_duties(loop)
 
     deployment.cloud.refused_names.add("large")
