--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -95,7 +95,7 @@
     return called_addresses
 
 
-def test_the_command_shows_holders_and_open_intents(
+def test_duties_command_shows_holders_and_open_intents(
     config: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     response = DutiesResponse(
