--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -312,7 +312,7 @@
 
 
 @simulated
-async def test_quiet_budget_holds_across_failovers(loop: Loop) -> None:
+async def test_spending_stays_within_the_quiet_budget_across_failovers(loop: Loop) -> None:
     stored: list[StoredQuietReservation] = []
 
     async def reserve(reservation: StoredQuietReservation) -> bool:
