--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -23,7 +23,7 @@
     return RentedMachine(name, "small", "a", True, "running", "10.1.0.1:9", age_s)
 
 
-def test_lagging_machine_list_makes_no_machine_abandoned() -> None:
+def test_unknown_machine_is_abandoned_only_after_the_grace_period() -> None:
     unknown_machines = UnknownMachines(grace_period_us=6 * US)
     offer = Offer("small", "a", True)
     for second in range(0, 21, 4):
