--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -142,7 +142,9 @@
 
 @pytest.mark.parametrize("error_status", [429, 503])
 @simulated
-async def test_cloud_errors_in_the_middle_of_a_batch(loop: Loop, error_status: int) -> None:
+async def test_rentals_and_returns_are_completed_after_cloud_errors_in_a_batch(
+    loop: Loop, error_status: int
+) -> None:
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=24, RunS=4.0))
     await deployment.wait_until(lambda: len(deployment.cloud.scale_outs) >= 1)
