--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -276,7 +276,7 @@
 
 
 @simulated
-async def test_chunked_results_survive_an_old_shard_leader_in_between(loop: Loop) -> None:
+async def test_chunked_results_are_kept_while_an_old_controller_leads_the_shard(loop: Loop) -> None:
     deployment = Deployment(loop, announced_limits={"value_kb": 0.5, "txn_ops": 4})
     deployment.old_version_nodes = {"node-1"}
     await deployment.start()
