--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -311,7 +311,7 @@
 
 
 @simulated
-async def test_returned_old_controller_can_not_keep_a_shard_with_services(loop: Loop) -> None:
+async def test_rejoined_old_controller_can_not_keep_a_shard_with_services(loop: Loop) -> None:
     """It can't read them and releases the shard, which is then granted to a new controller."""
     deployment = Deployment(loop)
     await deployment.start()
