--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -85,7 +85,9 @@
 
 
 @simulated
-async def test_replicas_of_a_dead_machine_restart_after_its_lease_has_expired(loop: Loop) -> None:
+async def test_replicas_of_a_dead_machine_restart_within_ten_seconds_after_its_lease(
+    loop: Loop,
+) -> None:
     deployment = Deployment(loop)
     await _start_with_service(deployment, Apart=True, Pieces=4)
 
