--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -222,7 +222,7 @@
 
 
 @simulated
-async def test_above_the_write_rate_users_and_session_leases_go_first_without_a_retry_storm(
+async def test_user_writes_and_session_leases_succeed_above_the_write_rate_with_few_retries(
     loop: Loop,
 ) -> None:
     """The key-value store accepts a fifth of the write rate that it announced."""
