--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -57,7 +57,7 @@
     deployment.start_controller(name)
 
 
-async def _hand_over_and_back(deployment: Deployment, rng: random.Random) -> None:
+async def _crash_twice(deployment: Deployment, rng: random.Random) -> None:
     """Two crashes of the acting shard leader; the first has restarted before the second."""
     for _ in range(2):
         await _crash(deployment, rng)
@@ -104,7 +104,7 @@
 
 LEADER_FAULTS: list[LeaderFault] = [
     _crash,
-    _hand_over_and_back,
+    _crash_twice,
     _freeze,
     _lose_store,
     _refuse_leader,
