--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -90,7 +90,7 @@
     deployment.store.refused_hosts.discard(host)
 
 
-async def _outage(deployment: Deployment, rng: random.Random) -> None:
+async def _crash_then_outage(deployment: Deployment, rng: random.Random) -> None:
     """The shard leader crashes and restarts; then the key-value store is down for all."""
     await _crash(deployment, rng)
     deployment.store.down = True
@@ -108,7 +108,7 @@
     _freeze,
     _lose_store,
     _refuse_leader,
-    _outage,
+    _crash_then_outage,
     _none,
 ]
 
