--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -98,7 +98,7 @@
     deployment.store.end_outage()
 
 
-async def _none(deployment: Deployment, rng: random.Random) -> None:
+async def _no_leader_fault(deployment: Deployment, rng: random.Random) -> None:
     """The shard leader has no fault."""
 
 
@@ -109,7 +109,7 @@
     _lose_store,
     _refuse_leader,
     _crash_then_outage,
-    _none,
+    _no_leader_fault,
 ]
 
 
