--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -86,7 +86,7 @@
     _answer_user(deployment, "", "submit", 422)
 
 
-def _never_answered(deployment: Deployment) -> None:
+def _unanswered_since_the_faults(deployment: Deployment) -> None:
     _add_job(deployment)
     _answer_user(deployment, "pending", "submit", 201)
     deployment.rule_checker.start_time_limit_checks()
@@ -148,7 +148,7 @@
         (_ran_cancelled, "ran_cancelled"),
         (_not_found, "forgotten"),
         (_refused_later, "forgotten"),
-        (_never_answered, "forgotten"),
+        (_unanswered_since_the_faults, "forgotten"),
         (_invented, "invented"),
         (_not_done, "not_done"),
         (_back_from_done, "went_back"),
