--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -94,7 +94,7 @@
     _answer_user(deployment, "", status=503)
 
 
-def _invented(deployment: Deployment) -> None:
+def _answered_without_submission(deployment: Deployment) -> None:
     _answer_user(deployment, "pending")
 
 
@@ -149,7 +149,7 @@
         (_not_found, "forgotten"),
         (_refused_later, "forgotten"),
         (_unanswered_since_the_faults, "forgotten"),
-        (_invented, "invented"),
+        (_answered_without_submission, "invented"),
         (_not_done, "not_done"),
         (_back_from_done, "went_back"),
         (_cancelled_by_nobody, "went_back"),
