--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -178,7 +178,7 @@
             | ({"Cause": entry["Cause"], "Saved": False} if entry["Stage"] == "ended" else {})
             for (task, attempt_number), entry in self.tasks.items()
         ]
-        preemption_at = (
+        preemption_in_s = (
             None if self.preemption_at is None else max(0.0, self.preemption_at - self.loop.time())
         )
         return {
@@ -190,7 +190,7 @@
             "Shift": self.epoch,
             "Tick": self.sequence,
             "Baton": self.fencing_token,
-            "RecallS": preemption_at,
+            "RecallS": preemption_in_s,
             "Pieces": tasks,
         }
 
