--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -234,8 +234,8 @@
         acting = [
             name
             for name, node in self.controllers.items()
-            for one, holder in node.duties.holders.items()
-            if one == duty and holder.holds_valid_lease
+            for held_duty, holder in node.duties.holders.items()
+            if held_duty == duty and holder.holds_valid_lease
         ]
         assert len(acting) <= 1, acting
         return acting[0] if acting else None
@@ -267,8 +267,8 @@
         pieces: int = self.jobs[ref]["Pieces"]
         ready = 0
         for worker in self.cloud.machines.values():
-            for (one, number), entry in worker.tasks.items():
-                if one.partition("/")[0] == ref and number == attempt_number:
+            for (other_task, number), entry in worker.tasks.items():
+                if other_task.partition("/")[0] == ref and number == attempt_number:
                     ready += entry["Stage"] in ("gathering", "running")
         return ready == pieces
 
