--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -207,11 +207,11 @@
     def _store_and_peers(self, name: str) -> list[str]:
         return [self.host(n) for n in self.nodes if n != name] + [FakeKeyValueStore.HOST]
 
-    def _other_hosts(self, name: str, store: bool, cloud: bool) -> list[str]:
+    def _other_hosts(self, name: str, include_store: bool, include_cloud: bool) -> list[str]:
         hosts = [self.host(n) for n in self.nodes if n != name]
         hosts += [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
         hosts += ["10.9.9.9"]
-        return hosts + [FakeKeyValueStore.HOST] * store + [FakeCloud.HOST] * cloud
+        return hosts + [FakeKeyValueStore.HOST] * include_store + [FakeCloud.HOST] * include_cloud
 
     def shard_leader(self, shard: int = 0) -> str | None:
         """Return the controller that acts for a shard, or None; fails if there are two."""
