--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -101,7 +101,8 @@
         self.cut_links.add(frozenset((a, b)))
 
     def heal(self, a: str, b: str, deliver: bool = True) -> None:
-        """Restore a cut link. Data that was held back is delivered, or its connection is reset."""
+        """Restore a cut link. If `deliver` is true, the data held back is delivered; otherwise its
+        connections are reset."""
         link = frozenset((a, b))
         self.cut_links.discard(link)
         for transport, data in self.held_back.pop(link, []):
@@ -132,7 +133,8 @@
         self.loop.call_at(at, self._deliver_on_host, transport, data)
 
     def _deliver_on_host(self, transport: Transport, data: bytes | None) -> None:
-        """Process the data in the receiver's context, and later if the receiving host is frozen."""
+        """Schedule the delivery in the receiver's context. While the receiving host is frozen, the
+        delivery is delayed."""
         context = contextvars.copy_context()
         context.run(HOST.set, transport.remote_host)
         context.run(PEER.set, transport.local_host)
@@ -193,7 +195,7 @@
 class _HostCallback:
     """A callback that is delayed while its host is frozen.
 
-    It does not run if it is cancelled in the meantime
+    It does not run if it is cancelled before its turn, even if it fell due during the freeze
     (test_timeout_that_fell_due_on_a_frozen_host_does_not_fire_once_it_is_over).
     """
 
