--- a/tests/fakes/duty_checker.py
+++ b/tests/fakes/duty_checker.py
@@ -1,7 +1,7 @@
 """Finds actions of replaced duty holders among the writes and calls that the fakes have accepted.
 
-It ignores the preconditions of a transaction. Whether the writer was entitled to it is decided by
-the fencing token in the record, compared with the grant that is in force at that moment.
+It ignores the preconditions of a transaction. Instead, it compares the fencing token in the record
+with the grant that is in force at that moment.
 """
 
 from typing import Any
@@ -88,12 +88,12 @@
                 is_current = int(name.split("-")[1]) in self.tokens("c/block/")
                 self._check(is_current, f"requested by a stale shard leader: {name}")
         elif self.duties_granted and not name.startswith(ADOPTED_REQUEST_PREFIX):
-            self._check(has_event, f"settled without a duty: {name}")
+            self._check(has_event, f"settled without a history event: {name}")
 
     def _check_scale_in(self, key: str, value: dict[str, Any] | None, has_event: bool) -> None:
         if value is None:
             if self.duties_granted:
-                self._check(has_event, f"settled without a duty: {key}")
+                self._check(has_event, f"settled without a history event: {key}")
         elif key not in self.store.keys:
             self.to_return.update(value["names"])
             self._check(value["token"] in self.tokens(*GRANT_PREFIXES), f"stale decision: {key}")
