--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -46,9 +46,11 @@
         self.preemption_at: float | None = None
         self.up = False
         self.hung = False
-        self.unreachable = False  # its heartbeats arrive, but responses and commands are lost
+        # Its heartbeats arrive, but it ignores the responses, and it handles pushed commands and
+        # probes only after the fault
+        self.unreachable = False
         self.faulty = False  # every task on it fails
-        self.answers_lost = False  # pushed commands are executed, but their responses are lost
+        self.answers_lost = False  # pushed commands are executed, but answered only after the fault
         self.failed = False  # the machine has stopped by itself
         self.sends_no_heartbeats = False  # it still executes pushed commands
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}  # by task and attempt number
@@ -86,7 +88,7 @@
         self.tasks.clear()
 
     def begin_next_epoch(self) -> None:
-        """End the epoch, because the lease has expired: all tasks stop."""
+        """End the epoch, as when the lease expires: all tasks stop."""
         self._stop_all_tasks()
         self.epoch += 1
         self.sequence = 0
