--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -43,7 +43,7 @@
         self.nodes = [f"node-{i}" for i in range(nodes)]
         self.operator = operator or {}
         self.announced_limits = announced_limits  # in force after `apply_announced_limits`
-        self.old_version_nodes: set[str] = set()  # they run the version before services
+        self.old_version_nodes: set[str] = set()  # they run the last version without services
         self.write_rps = 200.0  # changes per second that the settings allow
         self.heartbeat_copy_rate = 0.0  # share of heartbeats that arrive a second time, late
         self.caches_images = False  # whether a task starts at once if its machine has its image
@@ -184,12 +184,13 @@
         self.rule_checker.start_time_limit_checks()
 
     def isolate(self, name: str, store: bool = True, cloud: bool = True) -> None:
-        """Cut a controller off from all hosts, with or without the store and the cloud."""
+        """Cut a controller off from all hosts; the store and the cloud are optional."""
         for host in self._other_hosts(name, store, cloud):
             self.net.cut(self.host(name), host)
 
     def rejoin(self, name: str, deliver: bool = True) -> None:
-        """End `isolate`; what was sent in the meantime is delivered late or lost."""
+        """End `isolate`. What was sent in the meantime is delivered late, or lost if `deliver` is
+        false."""
         for host in self._other_hosts(name, True, True):
             self.net.heal(self.host(name), host, deliver)
 
@@ -262,7 +263,7 @@
         return self.acting_shard_leader()
 
     def gang_complete(self, task: str, attempt_number: int) -> bool:
-        """Whether all tasks of this attempt at a gang are on their machines."""
+        """Whether all tasks of the gang with this attempt number are on their machines."""
         ref = task.partition("/")[0]
         pieces: int = self.jobs[ref]["Pieces"]
         ready = 0
@@ -273,8 +274,8 @@
         return ready == pieces
 
     def end_gang(self, task: str, attempt_number: int) -> None:
-        """End an attempt at a gang: its tasks complete together, or fail if any of them is missing
-        or hangs."""
+        """End the tasks of the gang with this attempt number. They complete together, or fail if
+        any of them is missing or on a hung machine."""
         ref = task.partition("/")[0]
         attempts = [
             (worker, key)
