--- a/tests/fakes/rule_checker.py
+++ b/tests/fakes/rule_checker.py
@@ -11,7 +11,7 @@
 class RuleChecker:
     """Records a violation for each rule that is broken, by what workers, users and the cloud see.
 
-    The two time limits hold once all faults have ended.
+    ANSWER_WITHIN_S and START_WITHIN_S are checked only after all faults have ended.
     """
 
     ANSWER_WITHIN_S = 75.0  # in which at least one request about a job must be answered
@@ -42,7 +42,7 @@
         self.answered_at: dict[str, float] = {}  # when users last got a response, by job
         self.waiting_since: dict[str, float] = {}  # since when a job waits while there is room
         self.checked_at = 0.0
-        # Tasks that started after their job was cancelled, and how long after the user was told
+        # (task, seconds) of each start after a user was told that the task's job is cancelled
         self.started_after_cancel: list[tuple[str, float]] = []
         self.running_on: dict[str, FakeWorker] = {}  # by task
         self.results: set[str] = set()  # tasks that have completed
@@ -128,7 +128,10 @@
 
     def _check_waiting_jobs(self, now: float) -> None:
         """Check that no job waits longer than START_WITHIN_S while its team's quota permits a start
-        and a suitable machine has room."""
+        and a suitable machine has room.
+
+        Gangs, and jobs whose placement depends on their other tasks, are not checked.
+        """
         jobs = self.deployment.jobs
         running = {task.partition("/")[0] for task in self.running_on}
         for ref, stage in self.last_stage.items():
@@ -181,23 +184,23 @@
     ) -> None:
         """Check the response to a user's request.
 
-        `known_stage` is the stage that the user knew when sending the request. A job must not go
-        back from that stage. `last_stage` may be later, since the responses to concurrent requests
-        arrive in any order.
+        `known_stage` is the stage that the user knew when sending the request. If it is final (done
+        or withdrawn), the job must stay in it. `last_stage` may be later, since the responses to
+        concurrent requests arrive in any order.
         """
         if status == 404 and known_stage is not None:
             self.add_violation(f"forgotten {ref}")
         if status in (400, 422) and known_stage is not None:
-            self.add_violation(f"forgotten {ref}: {status}")
+            self.add_violation(f"refused after acceptance {ref}: {status}")
         now = self.deployment.loop.time()
         if status not in (200, 201):
             answer_due_from = max(self.faults_over_at or now, self.answered_at.get(ref, 0.0))
             if known_stage is not None and now - answer_due_from > self.ANSWER_WITHIN_S:
-                self.add_violation(f"forgotten {ref}: no answer")
+                self.add_violation(f"unanswered {ref}")
             return
         self.answered_at[ref] = now
         if ref not in self.deployment.jobs:
-            self.add_violation(f"invented {ref}")
+            self.add_violation(f"answered without submission {ref}")
             return
         if verb == "submit" and not self._is_valid(self.deployment.jobs[ref]):
             self.add_violation(f"bad job accepted {ref}")
@@ -210,7 +213,7 @@
             self.add_violation(f"went_back {ref}: {self.last_stage[ref]} and {stage}")
         if stage == "withdrawn":
             if not self.deployment.cancel_requested.get(ref):
-                self.add_violation(f"went_back {ref}: nobody cancelled it")
+                self.add_violation(f"withdrawn without cancellation {ref}")
             self.cancelled_at.setdefault(ref, self.deployment.loop.time())
         if self.deployment.jobs[ref]["Shape"] == "service" and (stage == "done" or body["done"]):
             self.add_violation(f"service done {ref}: {body}")
