--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -66,6 +66,8 @@
 
 @simulated
 async def test_regrant_to_the_same_controller_has_a_new_version(loop: Loop) -> None:
+    """Otherwise the holder of the earlier grant could still commit: the member's key is unchanged,
+    so only the version in the duty's precondition makes its transaction fail."""
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
     membership = deployment.controllers[name].membership
@@ -196,7 +198,7 @@
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
     deployment.cloud.error_status = 503
-    # It fits large machines only
+    # Its tasks fit only large machines
     await deployment.submit(deployment.job(2, Pieces=4, RunS=60.0, Cores=8.0))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
