--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -321,7 +321,7 @@
 
     spent, now = 0.0, 0
 
-    for _ in range(40):
+    for _ in range(40):  # each time, a new shard leader loads the last reservation
         budget = QuietBudget(2.0, reserve)
         if stored:
             budget.load(stored[-1])
