--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -214,7 +214,7 @@
 @simulated
 async def test_shard_leader_stays_active_with_short_session_leases(loop: Loop) -> None:
     """A watch must not be held open for longer than the session lease that it renews; otherwise the
-    lease expires and the shard leader becomes inactive.
+    shard leader becomes inactive.
 
     The session lease is the default one here: the settings take `cancel_s`, which the constructor
     has already set, so the assignment of `CANCEL_S` does not shorten it.
