--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -20,7 +20,12 @@
 
 
 async def _freeze_at(deployment: Deployment, when: str, prefix: str, name: str) -> None:
-    """Freeze the holder of a duty when its next intent is recorded, or when it has been sent."""
+    """Freeze the holder `name` of a duty, by `when`:
+
+    - "before the check": as the store accepts the next intent with this key prefix
+    - "sent": 0.6 s later, when its call to the cloud has been sent
+    - "half sent": 0.6 s later too, but the second half of the call arrives only after 90 s
+    """
     if when == "half sent":
         deployment.net.second_half_delay_s[FakeCloud.HOST] = 90.0
     if when == "before the check":
@@ -43,6 +48,8 @@
 async def test_holder_frozen_for_a_minute_decides_nothing_after_it_resumes(
     loop: Loop, duty: Duty, when: str
 ) -> None:
+    """Nothing is rented in the 10 s after it resumes. The duty checker reports the records of stale
+    decisions, also about returns."""
     deployment = await start_with_duties(loop)
 
     prefix = "hire/" if duty == Duty.RENT else "return/"
@@ -215,7 +222,7 @@
     deployment = await start_with_duties(loop)
 
     deployment.cloud.refused_names.add("large")
-    # It fits large machines only
+    # Its tasks fit only large machines
     await deployment.submit(deployment.job(1, Pieces=2, RunS=3.0, Cores=8.0))
     await deployment.submit(deployment.job(2, Pieces=6, RunS=3.0))
     await deployment.wait_until_done("req-000002")
