--- a/tests/test_replicated_services.py
+++ b/tests/test_replicated_services.py
@@ -88,6 +88,7 @@
 async def test_replicas_of_a_dead_machine_restart_within_ten_seconds_after_its_lease(
     loop: Loop,
 ) -> None:
+    """Only the upper bound is checked, which counts the lease from the death of the machine."""
     deployment = Deployment(loop)
     await _start_with_service(deployment, Apart=True, Pieces=4)
 
