--- a/tests/test_state_service_limits.py
+++ b/tests/test_state_service_limits.py
@@ -242,6 +242,7 @@
     assert {
         name: deployment.controllers[name].membership.incarnation for name in deployment.nodes
     } == members
+    # Fewer than 5 refusals per second; simulated time begins at 1000 s
     assert deployment.store.refused_writes < 5 * loop.time() - 5 * 1000
     deployment.assert_no_violation()
 
