--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,6 +1,6 @@
 """Rolling upgrades and downgrades: both versions side by side, each reading the other's records.
 
-`data/production_records.json` was written by the version before services itself. In a checkout of
+`data/production_records.json` was written by the last version without services. In a checkout of
 the commit that deploy/service.toml names, a script submitted jobs of every shape to the deployment
 of `tests/fakes`, cancelled one, and stopped the key-value store for 5 s. It saved the first record
 of each kind that the key-value store received, and the first message of each kind that a controller
@@ -160,7 +160,8 @@
     assert not versions.services_allowed(ClusterView())  # nothing is known yet
     assert not versions.services_allowed(_cluster(a=1, b=0))
     one_absent = _cluster(a=1, b=1)
-    assert versions.services_allowed(one_absent)  # without its member key the third does nothing
+    # A third controller without a member key can't act
+    assert versions.services_allowed(one_absent)
     preconditions = versions.member_preconditions(one_absent, ["b", "c"])
 
     assert [(precondition.key, precondition.version) for precondition in preconditions] == [
@@ -171,7 +172,7 @@
 
 @simulated
 async def test_acceptance_of_a_service_fails_when_an_old_member_joins_meanwhile(loop: Loop) -> None:
-    """The controller that gets the submission does not know of it yet."""
+    """The controller that gets the submission does not know of the old member yet."""
     deployment = Deployment(loop)
     await deployment.start()
     await deployment.wait_until(lambda: deployment.shard_leader() is not None)
