--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -1,11 +1,17 @@
 """Random losses of contact with machines while the shard leader has a fault too, by seed.
 
 `tests/test_random_faults.py` draws each fault separately, for one machine or one controller. It
-never produced this sequence: a machine begins a new agent epoch unheard, is given a task there, and
-is taken for lost before that epoch is over. The sequence requires a shard leader granted in the
-second half of the lease of a machine that reaches no controller, a job accepted within half a lease
-of the grant, room on another machine that has the image, and a cloud that does not delete the
-machine first. The tests here draw the combination: which machines lose contact and how, and which
+never produced this sequence: a machine begins a new agent epoch while its heartbeats don't arrive,
+a task is started in that epoch, and the machine is considered lost before the epoch has ended. The
+sequence requires that
+
+- a shard leader is granted the shard in the second half of the lease of a machine that reaches no
+  controller,
+- a job is accepted within half a lease of the grant,
+- another machine that has the image has room, and
+- the cloud does not delete the machine first.
+
+The tests here draw the combination: which machines lose contact and how, and which
 fault the shard leader has how much later. Jobs are submitted all the time.
 """
 
