--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -11,8 +11,8 @@
 - another machine that has the image has room, and
 - the cloud does not delete the machine first.
 
-The tests here draw the combination: which machines lose contact and how, and which
-fault the shard leader has how much later. Jobs are submitted all the time.
+The tests here draw the combination: which machines lose contact and how, and which fault the shard
+leader has how much later. Jobs are submitted all the time.
 """
 
 import asyncio
