--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -43,7 +43,7 @@
         self.nodes = [f"node-{i}" for i in range(nodes)]
         self.operator = operator or {}
         self.announced_limits = announced_limits  # in force after `apply_announced_limits`
-        self.old_version_nodes: set[str] = set()  # they run the version before services
+        self.old_version_nodes: set[str] = set()  # they run the last version without services
         self.write_rps = 200.0  # changes per second that the settings allow
         self.heartbeat_copy_rate = 0.0  # share of heartbeats that arrive a second time, late
         self.caches_images = False  # whether a task starts at once if its machine has its image
@@ -181,16 +181,17 @@
         self.net.refusing_addresses.clear()
         if self.store.down:
             self.store.end_outage()
-        self.rule_checker.all_faults_over()
+        self.rule_checker.start_time_limit_checks()
 
     def isolate(self, name: str, store: bool = True, cloud: bool = True) -> None:
-        """Cut a controller off from all hosts, with or without the store and the cloud."""
-        for host in self._all_hosts_but(name, store, cloud):
+        """Cut a controller off from all hosts; the store and the cloud are optional."""
+        for host in self._other_hosts(name, store, cloud):
             self.net.cut(self.host(name), host)
 
     def rejoin(self, name: str, deliver: bool = True) -> None:
-        """End `isolate`; what was sent in the meantime is delivered late or lost."""
-        for host in self._all_hosts_but(name, True, True):
+        """End `isolate`. What was sent in the meantime is delivered late, or lost if `deliver` is
+        false."""
+        for host in self._other_hosts(name, True, True):
             self.net.heal(self.host(name), host, deliver)
 
     def cut_from_store_and_peers(self, name: str) -> None:
@@ -207,11 +208,11 @@
     def _store_and_peers(self, name: str) -> list[str]:
         return [self.host(n) for n in self.nodes if n != name] + [FakeKeyValueStore.HOST]
 
-    def _all_hosts_but(self, name: str, store: bool, cloud: bool) -> list[str]:
+    def _other_hosts(self, name: str, include_store: bool, include_cloud: bool) -> list[str]:
         hosts = [self.host(n) for n in self.nodes if n != name]
         hosts += [f"10.1.{i // 250}.{i % 250}" for i in range(1000)]
         hosts += ["10.9.9.9"]
-        return hosts + [FakeKeyValueStore.HOST] * store + [FakeCloud.HOST] * cloud
+        return hosts + [FakeKeyValueStore.HOST] * include_store + [FakeCloud.HOST] * include_cloud
 
     def shard_leader(self, shard: int = 0) -> str | None:
         """Return the controller that acts for a shard, or None; fails if there are two."""
@@ -234,8 +235,8 @@
         acting = [
             name
             for name, node in self.controllers.items()
-            for one, holder in node.duties.holders.items()
-            if one == duty and holder.holds_valid_lease
+            for held_duty, holder in node.duties.holders.items()
+            if held_duty == duty and holder.holds_valid_lease
         ]
         assert len(acting) <= 1, acting
         return acting[0] if acting else None
@@ -262,19 +263,19 @@
         return self.acting_shard_leader()
 
     def gang_complete(self, task: str, attempt_number: int) -> bool:
-        """Whether all tasks of this attempt at a gang are on their machines."""
+        """Whether all tasks of the gang with this attempt number are on their machines."""
         ref = task.partition("/")[0]
         pieces: int = self.jobs[ref]["Pieces"]
         ready = 0
         for worker in self.cloud.machines.values():
-            for (one, number), entry in worker.tasks.items():
-                if one.partition("/")[0] == ref and number == attempt_number:
+            for (other_task, number), entry in worker.tasks.items():
+                if other_task.partition("/")[0] == ref and number == attempt_number:
                     ready += entry["Stage"] in ("gathering", "running")
         return ready == pieces
 
     def end_gang(self, task: str, attempt_number: int) -> None:
-        """End an attempt at a gang: its tasks complete together, or fail if any of them is missing
-        or hangs."""
+        """End the tasks of the gang with this attempt number. They complete together, or fail if
+        any of them is missing or on a hung machine."""
         ref = task.partition("/")[0]
         attempts = [
             (worker, key)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -66,6 +66,8 @@
 
 @simulated
 async def test_regrant_to_the_same_controller_has_a_new_version(loop: Loop) -> None:
+    """Otherwise the holder of the earlier grant could still commit: the member's key is unchanged,
+    so only the version in the duty's precondition makes its transaction fail."""
     deployment = await start_with_duties(loop)
     name = deployment.acting_holder(Duty.RETURN)
     membership = deployment.controllers[name].membership
@@ -131,7 +133,7 @@
     ids=["wall forward", "wall back", "steady forward"],
 )
 @simulated
-async def test_clock_jumps_on_one_host_make_no_stale_holder(
+async def test_no_stale_holder_acts_after_clock_jumps_on_its_host(
     loop: Loop, wall: float, steady: float
 ) -> None:
     deployment = await start_with_duties(loop)
@@ -174,7 +176,7 @@
 
 @pytest.mark.parametrize("duty", list(Duty))
 @simulated
-async def test_duty_moves_on_when_leader_and_holder_are_lost_together(
+async def test_duty_gets_another_holder_when_leader_and_holder_are_lost_together(
     loop: Loop, duty: Duty
 ) -> None:
     deployment = await start_with_duties(loop)
@@ -196,7 +198,7 @@
     await deployment.submit(deployment.job(1, Pieces=3, RunS=3.0))
     await deployment.wait_until_done("req-000001")
     deployment.cloud.error_status = 503
-    # It fits large machines only
+    # Its tasks fit only large machines
     await deployment.submit(deployment.job(2, Pieces=4, RunS=60.0, Cores=8.0))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "hire/")))
     await deployment.wait_until(lambda: bool(open_intents(deployment, "return/")), seconds=120.0)
@@ -217,7 +219,7 @@
 
 @pytest.mark.parametrize("duty", [Duty.RENT, Duty.RETURN])
 @simulated
-async def test_holder_cut_off_from_the_key_value_store_alone_is_replaced(
+async def test_holder_cut_off_only_from_the_key_value_store_is_replaced(
     loop: Loop, duty: Duty
 ) -> None:
     deployment = await start_with_duties(loop)
@@ -234,7 +236,7 @@
 
 
 @simulated
-async def test_holder_cut_off_from_the_cloud_alone_releases_its_duty(loop: Loop) -> None:
+async def test_holder_cut_off_only_from_the_cloud_releases_its_duty(loop: Loop) -> None:
     deployment = await start_with_duties(loop)
     holder = deployment.acting_holder(Duty.RENT)
 
@@ -253,7 +255,7 @@
 
 
 @simulated
-async def test_older_version_takes_over_open_intents_and_newer_version_takes_them_back(
+async def test_jobs_and_open_intents_are_completed_across_a_downgrade_and_an_upgrade(
     loop: Loop,
 ) -> None:
     deployment = await start_with_duties(loop)
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -41,7 +41,9 @@
 
 
 @simulated
-async def test_all_controllers_answer_alike_or_report_that_they_do_not_know(loop: Loop) -> None:
+async def test_controllers_give_equal_answers_and_report_unknown_during_a_store_outage(
+    loop: Loop,
+) -> None:
     deployment = await start_with_duties(loop)
 
     deployment.cloud.refused_names.add("large")
@@ -93,7 +95,7 @@
     return called_addresses
 
 
-def test_the_command_shows_holders_and_open_intents(
+def test_duties_command_shows_holders_and_open_intents(
     config: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     response = DutiesResponse(
@@ -310,7 +312,7 @@
 
 
 @simulated
-async def test_quiet_budget_holds_across_failovers(loop: Loop) -> None:
+async def test_spending_stays_within_the_quiet_budget_across_failovers(loop: Loop) -> None:
     stored: list[StoredQuietReservation] = []
 
     async def reserve(reservation: StoredQuietReservation) -> bool:
@@ -319,7 +321,7 @@
 
     spent, now = 0.0, 0
 
-    for _ in range(40):
+    for _ in range(40):  # each time, a new shard leader loads the last reservation
         budget = QuietBudget(2.0, reserve)
         if stored:
             budget.load(stored[-1])
--- a/tests/test_reclaim_duty.py
+++ b/tests/test_reclaim_duty.py
@@ -23,7 +23,7 @@
     return RentedMachine(name, "small", "a", True, "running", "10.1.0.1:9", age_s)
 
 
-def test_lagging_machine_list_makes_no_machine_abandoned() -> None:
+def test_unknown_machine_is_abandoned_only_after_the_grace_period() -> None:
     unknown_machines = UnknownMachines(grace_period_us=6 * US)
     offer = Offer("small", "a", True)
     for second in range(0, 21, 4):
@@ -35,7 +35,8 @@
         abandoned = unknown_machines.abandoned(
             [_listed("m-1")], pending_offers=[], listed_at=second * US
         )
-        assert bool(abandoned) == (second > 6)  # until then it may be a deleted one
+        # In the grace period, m-1 may be a deleted machine that the list still shows
+        assert bool(abandoned) == (second > 6)
     unknown_machines.update([_listed("m-1")], known=["m-1"], listed_at=24 * US)
     unknown_machines.update([_listed("m-1")], known=[], listed_at=28 * US)
 
--- a/tests/test_rent_and_return_duties.py
+++ b/tests/test_rent_and_return_duties.py
@@ -20,7 +20,12 @@
 
 
 async def _freeze_at(deployment: Deployment, when: str, prefix: str, name: str) -> None:
-    """Freeze the holder of a duty when its next intent is recorded, or when it has been sent."""
+    """Freeze the holder `name` of a duty, by `when`:
+
+    - "before the check": as the store accepts the next intent with this key prefix
+    - "sent": 0.6 s later, when its call to the cloud has been sent
+    - "half sent": 0.6 s later too, but the second half of the call arrives only after 90 s
+    """
     if when == "half sent":
         deployment.net.second_half_delay_s[FakeCloud.HOST] = 90.0
     if when == "before the check":
@@ -43,6 +48,8 @@
 async def test_holder_frozen_for_a_minute_decides_nothing_after_it_resumes(
     loop: Loop, duty: Duty, when: str
 ) -> None:
+    """Nothing is rented in the 10 s after it resumes. The duty checker reports the records of stale
+    decisions, also about returns."""
     deployment = await start_with_duties(loop)
 
     prefix = "hire/" if duty == Duty.RENT else "return/"
@@ -142,7 +149,9 @@
 
 @pytest.mark.parametrize("error_status", [429, 503])
 @simulated
-async def test_cloud_errors_in_the_middle_of_a_batch(loop: Loop, error_status: int) -> None:
+async def test_rentals_and_returns_are_completed_after_cloud_errors_in_a_batch(
+    loop: Loop, error_status: int
+) -> None:
     deployment = await start_with_duties(loop)
     await deployment.submit(deployment.job(1, Pieces=24, RunS=4.0))
     await deployment.wait_until(lambda: len(deployment.cloud.scale_outs) >= 1)
@@ -213,7 +222,7 @@
     deployment = await start_with_duties(loop)
 
     deployment.cloud.refused_names.add("large")
-    # It fits large machines only
+    # Its tasks fit only large machines
     await deployment.submit(deployment.job(1, Pieces=2, RunS=3.0, Cores=8.0))
     await deployment.submit(deployment.job(2, Pieces=6, RunS=3.0))
     await deployment.wait_until_done("req-000002")
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -86,15 +86,15 @@
     _answer_user(deployment, "", "submit", 422)
 
 
-def _never_answered(deployment: Deployment) -> None:
+def _unanswered_since_the_faults(deployment: Deployment) -> None:
     _add_job(deployment)
     _answer_user(deployment, "pending", "submit", 201)
-    deployment.rule_checker.all_faults_over()
+    deployment.rule_checker.start_time_limit_checks()
     deployment.loop._selector.now += 76
     _answer_user(deployment, "", status=503)
 
 
-def _invented(deployment: Deployment) -> None:
+def _answered_without_submission(deployment: Deployment) -> None:
     _answer_user(deployment, "pending")
 
 
@@ -130,7 +130,7 @@
     _add_job(deployment)
     _add_worker(deployment, 1)
     _answer_user(deployment, "pending", "submit", 201)
-    deployment.rule_checker.all_faults_over()
+    deployment.rule_checker.start_time_limit_checks()
     for _ in range(95):
         deployment.loop._selector.now += 1.0
         deployment.rule_checker.check()
@@ -147,12 +147,12 @@
         (_apart, "wrong_place"),
         (_ran_cancelled, "ran_cancelled"),
         (_not_found, "forgotten"),
-        (_refused_later, "forgotten"),
-        (_never_answered, "forgotten"),
-        (_invented, "invented"),
+        (_refused_later, "refused after acceptance"),
+        (_unanswered_since_the_faults, "unanswered"),
+        (_answered_without_submission, "answered without submission"),
         (_not_done, "not_done"),
         (_back_from_done, "went_back"),
-        (_cancelled_by_nobody, "went_back"),
+        (_cancelled_by_nobody, "withdrawn without cancellation"),
         (_bad_job, "bad job"),
         (_no_field, "bad job"),
         (_waited, "waited"),
--- a/tests/test_silent_machine_faults.py
+++ b/tests/test_silent_machine_faults.py
@@ -1,12 +1,18 @@
 """Random losses of contact with machines while the shard leader has a fault too, by seed.
 
 `tests/test_random_faults.py` draws each fault separately, for one machine or one controller. It
-never produced this sequence: a machine begins a new agent epoch unheard, is given a task there, and
-is taken for lost before that epoch is over. The sequence requires a shard leader granted in the
-second half of the lease of a machine that reaches no controller, a job accepted within half a lease
-of the grant, room on another machine that has the image, and a cloud that does not delete the
-machine first. The tests here draw the combination: which machines lose contact and how, and which
-fault the shard leader has how much later. Jobs are submitted all the time.
+never produced this sequence: a machine begins a new agent epoch while its heartbeats don't arrive,
+a task is started in that epoch, and the machine is considered lost before the epoch has ended. The
+sequence requires that
+
+- a shard leader is granted the shard in the second half of the lease of a machine that reaches no
+  controller,
+- a job is accepted within half a lease of the grant,
+- another machine that has the image has room, and
+- the cloud does not delete the machine first.
+
+The tests here draw the combination: which machines lose contact and how, and which fault the shard
+leader has how much later. Jobs are submitted all the time.
 """
 
 import asyncio
@@ -57,7 +63,7 @@
     deployment.start_controller(name)
 
 
-async def _hand_over_and_back(deployment: Deployment, rng: random.Random) -> None:
+async def _crash_twice(deployment: Deployment, rng: random.Random) -> None:
     """Two crashes of the acting shard leader; the first has restarted before the second."""
     for _ in range(2):
         await _crash(deployment, rng)
@@ -90,7 +96,7 @@
     deployment.store.refused_hosts.discard(host)
 
 
-async def _outage(deployment: Deployment, rng: random.Random) -> None:
+async def _crash_then_outage(deployment: Deployment, rng: random.Random) -> None:
     """The shard leader crashes and restarts; then the key-value store is down for all."""
     await _crash(deployment, rng)
     deployment.store.down = True
@@ -98,18 +104,18 @@
     deployment.store.end_outage()
 
 
-async def _none(deployment: Deployment, rng: random.Random) -> None:
+async def _no_leader_fault(deployment: Deployment, rng: random.Random) -> None:
     """The shard leader has no fault."""
 
 
 LEADER_FAULTS: list[LeaderFault] = [
     _crash,
-    _hand_over_and_back,
+    _crash_twice,
     _freeze,
     _lose_store,
     _refuse_leader,
-    _outage,
-    _none,
+    _crash_then_outage,
+    _no_leader_fault,
 ]
 
 
